--- /dev/null
+++ b/peers/tests/golden.rs
@@ -0,0 +1,126 @@
+//! Pins the datagrams between nodes, byte by byte.
+
+use marbledeck::{Micros, WorkerId};
+use marbledeck_peers::message::Message;
+use marbledeck_peers::{keeper, short, Peers};
+use std::fmt::Write;
+
+const NODES: usize = 5;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn messages() -> Vec<(&'static str, Message)> {
+    let worker = 0xDEAD_BEEF;
+    vec![
+        (
+            "count",
+            Message::Held {
+                worker,
+                number: 255,
+                calls: 3,
+            },
+        ),
+        (
+            "count over the limit",
+            Message::Held {
+                worker,
+                number: 0,
+                calls: 255,
+            },
+        ),
+        ("query", Message::Ask { worker }),
+        (
+            "answer",
+            Message::Told {
+                worker,
+                calls: Some(17),
+            },
+        ),
+        (
+            "answer over the limit",
+            Message::Told {
+                worker,
+                calls: Some(255),
+            },
+        ),
+        (
+            "answer unknown",
+            Message::Told {
+                worker,
+                calls: None,
+            },
+        ),
+    ]
+}
+
+#[test]
+fn datagrams_keep_their_form() {
+    let mut text = String::new();
+    for (name, message) in messages() {
+        writeln!(text, "{name}: {}", hex(&message.bytes())).expect("a string takes it");
+    }
+    insta::assert_snapshot!("datagrams", text);
+}
+
+#[test]
+fn datagrams_are_read_back_and_others_are_dropped() {
+    for (name, message) in messages() {
+        let read = Message::read(&message.bytes()).expect("known");
+        assert_eq!(read.bytes(), message.bytes(), "{name}");
+    }
+    for strange in [
+        &[][..],
+        &[0x21, 0, 0, 0, 1],
+        &[0x12, 0, 0, 0, 1, 9],
+        &[0x14, 0, 0, 0, 1],
+    ] {
+        assert!(Message::read(strange).is_none(), "{strange:?}");
+    }
+}
+
+#[test]
+fn short_names_and_owners_of_workers_stay() {
+    let mut text = String::new();
+    for id in [0, 1, 0xFFFF_FFFF, 0x1_0000_0000, 0x0123_4567_89AB_CDEF] {
+        let short = short(WorkerId(id));
+        let owners: Vec<usize> = [1, 2, 5, 300].map(|nodes| keeper(short, nodes)).to_vec();
+        writeln!(text, "{id:016x}: {short:08x}, owners {owners:?}").expect("a string takes it");
+    }
+    insta::assert_snapshot!("owners", text);
+}
+
+/// All that two nodes send each other while calls begin, end and are asked about.
+#[test]
+fn a_history_sends_the_same_datagrams() {
+    let mut nodes: Vec<Peers> = (0..NODES)
+        .map(|index| Peers::new(index, NODES, Micros(0)))
+        .collect();
+    let mut text = String::new();
+    for step in 0..60_u64 {
+        let now = Micros(step * 100_000);
+        let worker = WorkerId((step % 7).wrapping_mul(0x9E37_79B9_7F4A_7C15));
+        let node = &mut nodes[(step % NODES as u64) as usize];
+        match step % 4 {
+            0 | 1 => node.called(now, worker),
+            2 => node.ended(now, worker),
+            _ => {
+                let _ = node.ask(now, worker);
+            }
+        }
+        node.wake(now);
+        deliver(&mut nodes, now, &mut text);
+    }
+    insta::assert_snapshot!("history", text);
+}
+
+fn deliver(nodes: &mut [Peers], now: Micros, text: &mut String) {
+    for from in 0..nodes.len() {
+        while let Some((to, bytes)) = nodes[from].datagram() {
+            writeln!(text, "{:>7} {from} to {to}: {}", now.0, hex(&bytes))
+                .expect("a string takes it");
+            nodes[to].receive(now, from, &bytes);
+        }
+    }
+}
--- /dev/null
+++ b/tests/decision_digest.rs
@@ -0,0 +1,399 @@
+//! Pins every decision of a dispatcher over seeded event histories: one changed random draw, timer or
+//! rejection changes a digest. The expected digests are written in `tests/snapshots/` and never edited by
+//! hand.
+
+use marbledeck::*;
+use std::collections::VecDeque;
+use std::fmt::Write;
+
+const MILLISECOND: u64 = 1_000;
+const SECOND: u64 = 1_000 * MILLISECOND;
+const WORKERS: u64 = 24;
+const STEPS: u32 = 4_000;
+const SEEDS: [u64; 3] = [1, 77, 9_001];
+
+/// FNV-1a over the text of all actions.
+struct Digest(u64);
+
+impl Digest {
+    const OFFSET_BASIS: u64 = 0xCBF2_9CE4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01B3;
+
+    fn add(&mut self, text: &str) {
+        for byte in text.bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(Self::PRIME);
+        }
+    }
+}
+
+/// An attempt that the history has not ended yet.
+#[derive(Clone, Copy)]
+struct OpenAttempt {
+    request: RequestId,
+    number: u32,
+    worker: WorkerId,
+    sent: u64,
+}
+
+/// Plays random events against one dispatcher and answers its actions like workers, clients and a list would.
+struct History {
+    dispatcher: Dispatcher,
+    random: oorandom::Rand64,
+    digest: Digest,
+    now: u64,
+    next_request: u64,
+    open: Vec<OpenAttempt>,
+    attempts_sent: Vec<(RequestId, u32)>,
+    probes: VecDeque<WorkerId>,
+    timers: Vec<(u64, u64)>,
+    classes: u64,
+    tenants: u64,
+    actions: u64,
+}
+
+impl History {
+    fn new(settings: &Settings, seed: u64) -> Self {
+        History {
+            classes: settings.classes.len() as u64,
+            tenants: settings.tenants.len().max(1) as u64,
+            dispatcher: Dispatcher::new(settings.clone(), seed, Micros(0)).expect("sound settings"),
+            random: oorandom::Rand64::new(u128::from(seed) + 1),
+            digest: Digest(Digest::OFFSET_BASIS),
+            now: 0,
+            next_request: 0,
+            open: Vec::new(),
+            attempts_sent: Vec::new(),
+            probes: VecDeque::new(),
+            timers: Vec::new(),
+            actions: 0,
+        }
+    }
+
+    fn below(&mut self, bound: u64) -> u64 {
+        self.random.rand_range(0..bound)
+    }
+
+    fn run(mut self) -> String {
+        let everything = (0..WORKERS).map(|id| self.entry(id)).collect();
+        self.handle(Event::List(ListKind::Cached, everything));
+        for _ in 0..STEPS {
+            self.now += self.below(40 * MILLISECOND);
+            self.fire_timers();
+            self.step();
+        }
+        format!("{:016x} of {} actions", self.digest.0, self.actions)
+    }
+
+    fn step(&mut self) {
+        match self.below(20) {
+            0..=6 => self.hand_in_job(),
+            7..=9 => self.answer_probe(),
+            10..=11 => self.start_attempt(),
+            12..=16 => self.end_attempt(),
+            17 => self.change_list(),
+            18 => self.client_leaves(),
+            _ => self.now += self.random.rand_range(0..200 * MILLISECOND),
+        }
+    }
+
+    fn hand_in_job(&mut self) {
+        self.next_request += 1;
+        let hint = self.below(900 * MILLISECOND);
+        let job = Job {
+            id: RequestId(self.next_request),
+            class: ClassId(self.below(self.classes) as u32),
+            tenant: TenantId(self.below(self.tenants) as u32),
+            time_left: Micros(200 * MILLISECOND + self.below(6 * SECOND)),
+            cost_hint: (hint > 300 * MILLISECOND).then_some(Micros(hint)),
+            slots: self.below(4) as f64,
+            memory: self.below(3) as f64,
+        };
+        self.handle(Event::Job(job));
+    }
+
+    fn answer_probe(&mut self) {
+        let Some(worker) = self.probes.pop_front() else {
+            return;
+        };
+        let outcome = match self.below(12) {
+            0 => Outcome::TimedOut,
+            1 => Outcome::ConnectFailed,
+            _ => Outcome::Ok,
+        };
+        let report = self.report();
+        self.handle(Event::Probed(worker, outcome, report));
+    }
+
+    fn report(&mut self) -> Option<Report> {
+        let (slots, memory, held) = (self.below(10), self.below(8), self.below(9));
+        match self.below(4) {
+            0 => None,
+            1 => Some(Report {
+                free_slots: Some(9.0),
+                free_memory: None,
+                held: Some(held as f64),
+            }),
+            _ => Some(Report {
+                free_slots: Some(slots as f64 + 0.2),
+                free_memory: Some(memory as f64),
+                held: None,
+            }),
+        }
+    }
+
+    fn pick_open(&mut self) -> Option<usize> {
+        let count = self.open.len() as u64;
+        (count > 0).then(|| self.below(count) as usize)
+    }
+
+    fn start_attempt(&mut self) {
+        if let Some(i) = self.pick_open() {
+            let OpenAttempt {
+                request, number, ..
+            } = self.open[i];
+            let streaming = self.below(5) == 0;
+            self.handle(match streaming {
+                true => Event::Streaming(request, number),
+                false => Event::Started(request, number),
+            });
+        }
+    }
+
+    fn end_attempt(&mut self) {
+        let Some(i) = self.pick_open() else { return };
+        let attempt = self.open.swap_remove(i);
+        let outcome = match self.below(14) {
+            0 => Outcome::Error,
+            1 => Outcome::Full,
+            2 => Outcome::TimedOut,
+            3 => Outcome::ConnectFailed,
+            4 => Outcome::Reset,
+            5 => Outcome::Cancelled,
+            6 => Outcome::Moot,
+            _ => Outcome::Ok,
+        };
+        let report = self.report();
+        self.handle(Event::Ended(Ended {
+            id: attempt.request,
+            attempt: attempt.number,
+            worker: attempt.worker,
+            outcome,
+            closed: outcome == Outcome::Ok,
+            latency: Micros(self.now - attempt.sent),
+            report,
+        }));
+    }
+
+    fn entry(&mut self, id: u64) -> Entry {
+        let state = match self.below(10) {
+            0 => State::Draining,
+            1 => State::Gone,
+            _ => State::Ready,
+        };
+        let started = self.below(self.now + 2 * SECOND);
+        Entry {
+            worker: WorkerId(id * 7_919),
+            state,
+            zone: ZoneId((id % 2) as u32),
+            kind: KindId((id % 3) as u32),
+            cell: (id % 5 != 0).then_some(CellId((id / 4) as u32)),
+            started: (id % 4 == 0).then_some(Micros(started.min(self.now))),
+        }
+    }
+
+    fn change_list(&mut self) {
+        let changed = 1 + self.below(4);
+        let event = match self.below(8) {
+            0 => Event::List(ListKind::Failed, Vec::new()),
+            1 => {
+                let all = (0..WORKERS).map(|id| self.entry(id)).collect();
+                Event::List(ListKind::Full, all)
+            }
+            _ => {
+                let ids: Vec<u64> = (0..changed).map(|_| self.below(WORKERS)).collect();
+                let entries = ids.into_iter().map(|id| self.entry(id)).collect();
+                Event::List(ListKind::Delta, entries)
+            }
+        };
+        self.handle(event);
+    }
+
+    fn client_leaves(&mut self) {
+        if self.next_request > 0 {
+            let back = self.below(12).min(self.next_request - 1);
+            self.handle(Event::Gone(RequestId(self.next_request - back)));
+        }
+    }
+
+    fn fire_timers(&mut self) {
+        while let Some(i) = self.timers.iter().position(|(at, _)| *at <= self.now) {
+            let (_, id) = self.timers.remove(i);
+            self.handle(Event::Timer(id));
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.dispatcher
+            .handle(Micros(self.now), event, &mut actions);
+        for action in actions {
+            self.actions += 1;
+            let text = self.carry_out(action);
+            let now = self.now;
+            self.digest.add(&format!("{now} {text}\n"));
+        }
+    }
+
+    /// Carries an action out and gives its text.
+    fn carry_out(&mut self, action: Action) -> String {
+        let mut text = String::new();
+        let micros = |moment: Option<Micros>| moment.map_or("-".to_owned(), |m| m.0.to_string());
+        match action {
+            Action::Send(id, worker, latest) => {
+                self.open_attempt(id, worker);
+                write!(text, "send {} {} {}", id.0, worker.0, micros(latest))
+            }
+            Action::Refuse(id, retry_after) => {
+                write!(text, "refuse {} {}", id.0, micros(retry_after))
+            }
+            Action::Fail(id) => write!(text, "fail {}", id.0),
+            Action::Cancel(id, number) => write!(text, "cancel {} {number}", id.0),
+            Action::Probe(worker) => {
+                self.probes.push_back(worker);
+                write!(text, "probe {}", worker.0)
+            }
+            Action::Timer(at, id) => {
+                self.timers.push((at.0, id));
+                write!(text, "timer {} {id}", at.0)
+            }
+            Action::Watch => write!(text, "watch"),
+        }
+        .expect("a string takes it");
+        text
+    }
+
+    fn open_attempt(&mut self, request: RequestId, worker: WorkerId) {
+        let earlier = self.attempts_sent.iter_mut().find(|(id, _)| *id == request);
+        let number = match earlier {
+            Some((_, sent)) => {
+                *sent += 1;
+                *sent
+            }
+            None => {
+                self.attempts_sent.push((request, 0));
+                0
+            }
+        };
+        self.open.push(OpenAttempt {
+            request,
+            number,
+            worker,
+            sent: self.now,
+        });
+    }
+}
+
+fn class(effect: Effect, aim: u64, kind: Option<u32>) -> Class {
+    Class {
+        effect,
+        kind: kind.map(KindId),
+        aim: Micros(aim),
+        stretch: 1.5,
+        deadline: Micros(6 * SECOND),
+    }
+}
+
+fn classes() -> Vec<Class> {
+    let window = Micros(2 * SECOND);
+    vec![
+        class(Effect::Safe, 400 * MILLISECOND, None),
+        class(Effect::Keyed(Group::All, window), 700 * MILLISECOND, None),
+        class(Effect::Keyed(Group::Zone, window), SECOND, None),
+        class(Effect::Keyed(Group::Cell, window), SECOND, Some(1)),
+        class(Effect::Unsafe, 2 * SECOND, None),
+    ]
+}
+
+fn tenants() -> Vec<Tenant> {
+    let tenant = |quota, share| Tenant { quota, share };
+    vec![
+        tenant(Some(9.0), 0.5),
+        tenant(Some(4.0), 0.3),
+        tenant(None, 0.2),
+    ]
+}
+
+fn base(dispatchers: u32) -> Settings {
+    Settings {
+        dispatchers,
+        index: dispatchers / 2,
+        classes: classes(),
+        reporting: Reporting::Carried,
+        tells_start: true,
+        ..Settings::default()
+    }
+}
+
+/// The settings of one history, by name.
+fn variants() -> Vec<(&'static str, Settings)> {
+    let mut variants = Vec::new();
+    for (name, dispatchers) in [("3 dispatchers", 3), ("300 dispatchers", 300)] {
+        let plain = base(dispatchers);
+        let mut probing = plain.clone();
+        probing.reporting = Reporting::Probed;
+        probing.limits.probes = true;
+        let mut polled = probing.clone();
+        polled.ask_list = true;
+        polled.tenants = tenants();
+        let mut hedged = polled.clone();
+        hedged.limits.second_copies = true;
+        hedged.limits.cancel = true;
+        hedged.zone = ZoneId(1);
+        let mut silent = plain.clone();
+        silent.reporting = Reporting::Never;
+        silent.tells_start = false;
+        silent.tenants = tenants();
+        silent.limits.max_retry_after = None;
+        variants.extend([
+            (name, "carried reports, pushed list", plain),
+            (name, "probed reports, pushed list", probing),
+            (name, "probed reports, polled list, tenants", polled),
+            (name, "hedged requests, polled list, tenants", hedged),
+            (name, "no reports, tenants", silent),
+        ]);
+    }
+    let named = |(count, what, settings): (&str, &str, Settings)| {
+        let name: &'static str = Box::leak(format!("{count}, {what}").into_boxed_str());
+        (name, settings)
+    };
+    variants.into_iter().map(named).collect()
+}
+
+#[test]
+fn decisions_are_the_same_to_the_last_draw() {
+    let mut digests = String::new();
+    for (name, settings) in variants() {
+        for seed in SEEDS {
+            let digest = History::new(&settings, seed).run();
+            writeln!(digests, "{name}, seed {seed}: {digest}").expect("a string takes it");
+        }
+    }
+    insta::assert_snapshot!("decisions", digests);
+}
+
+/// Sharing among successors and new quotas are decisions, too.
+#[test]
+fn decisions_after_a_change_of_quotas_and_shares_are_the_same() {
+    let mut digests = String::new();
+    for seed in SEEDS {
+        let mut settings = base(3);
+        settings.tenants = tenants();
+        settings.limits.probes = true;
+        let mut history = History::new(&settings, seed);
+        history.dispatcher.share(Micros(0), 2);
+        let quotas = [Some(3.0), None, Some(20.0)];
+        history.dispatcher.set_quotas(Micros(0), &quotas);
+        writeln!(digests, "seed {seed}: {}", history.run()).expect("a string takes it");
+    }
+    insta::assert_snapshot!("decisions_after_changes", digests);
+}
