--- a/Makefile
+++ b/Makefile
@@ -8,11 +8,11 @@
 
 # A node between stand-ins, and some jobs for it.
 demo: build
-	cargo run --quiet --release --locked -p marbledeck-lab --bin demo
+	cargo run --quiet --release --locked -p marbledeck-test-support --bin demo
 
 test: binding
 	MARBLEDECK_BINDING=$(CURDIR)/$(BINDING) cargo test --locked
-	RUSTFLAGS="--cfg loom" cargo test --locked --release --target-dir target/loom -p marbledeck-store --test mailbox
+	RUSTFLAGS="--cfg loom" cargo test --locked --release --target-dir target/loom -p marbledeck-storage --test mailbox
 
 binding: $(BINDING)/ready
 
@@ -37,9 +37,9 @@
 
 # Measures the submission front on loopback, for some minutes; docs/benchmarks.md has the figures.
 bench: build
-	cargo run --release --locked -p marbledeck-lab --bin submission-bench
-	cargo run --release --locked -p marbledeck-lab --bin eureka-bench
-	cargo run --release --locked -p marbledeck-lab --bin fleet-bench
-	cargo test --release --locked -p marbledeck-agreement --test fleet figures -- --ignored --nocapture
-	cargo bench --locked -p marbledeck-seats
-	MARBLEDECK_HISTORIES=1000 cargo test --release --locked -p marbledeck-agreement --test fleet no_two_versions
+	cargo run --release --locked -p marbledeck-test-support --bin submission-bench
+	cargo run --release --locked -p marbledeck-test-support --bin eureka-bench
+	cargo run --release --locked -p marbledeck-test-support --bin fleet-bench
+	cargo test --release --locked -p marbledeck-consensus --test fleet figures -- --ignored --nocapture
+	cargo bench --locked -p marbledeck-licensing
+	MARBLEDECK_HISTORIES=1000 cargo test --release --locked -p marbledeck-consensus --test fleet no_two_versions
--- a/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -159,7 +159,7 @@
         session: Option<String>,
         /// Those in this state; may be given several times
         #[arg(long, value_name = "STATE", value_parser = state)]
-        state: Vec<marbledeck_client::JobState>,
+        state: Vec<marbledeck_submission_client::JobState>,
         /// Those of this name
         #[arg(long)]
         name: Option<String>,
@@ -287,8 +287,8 @@
     Ok(at.as_millis() as u64)
 }
 
-fn state(text: &str) -> Result<marbledeck_client::JobState, String> {
-    let known = marbledeck_client::JobState::ALL;
+fn state(text: &str) -> Result<marbledeck_submission_client::JobState, String> {
+    let known = marbledeck_submission_client::JobState::ALL;
     let found = known
         .into_iter()
         .find(|s| s.word().eq_ignore_ascii_case(text));
--- a/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -3,7 +3,7 @@
 use crate::args::{Common, JobCommand, TemplateArgs, Which};
 use crate::{print, settings, Cli, Failure, Status};
 use indicatif::{ProgressBar, ProgressStyle};
-use marbledeck_client::{
+use marbledeck_submission_client::{
     Accepted, Bulk, Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Op, Problem, Targets,
     Template,
 };
--- a/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use args::{Common, JobCommand, NodeCommand, SessionCommand};
 
-use marbledeck_client::{Client, Error, ErrorId, Settings};
+use marbledeck_submission_client::{Client, Error, ErrorId, Settings};
 use std::process::ExitCode;
 use std::time::Duration;
 
--- a/cli/src/print.rs
+++ b/crates/cli/src/print.rs
@@ -1,6 +1,6 @@
 //! How jobs are shown.
 
-use marbledeck_client::JobInfo;
+use marbledeck_submission_client::JobInfo;
 use serde::Serialize;
 use std::io::{self, Write};
 
--- a/cli/src/sessions.rs
+++ b/crates/cli/src/sessions.rs
@@ -2,7 +2,7 @@
 
 use crate::args::{NodeCommand, SessionCommand};
 use crate::{print, Cli, Failure, Status};
-use marbledeck_client::{Filter, Op};
+use marbledeck_submission_client::{Filter, Op};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -6,8 +6,8 @@
 mod v1;
 mod v2;
 
-use marbledeck_client::{Client, Settings, Template};
-use marbledeck_lab::{Act, Lab, Options};
+use marbledeck_submission_client::{Client, Settings, Template};
+use marbledeck_test_support::{Act, Lab, Options};
 use std::fmt::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
@@ -108,7 +108,7 @@
         let started = self.client.wait_started(&job, PATIENCE);
         assert_eq!(
             started.expect("it runs").job_state,
-            marbledeck_client::JobState::Running
+            marbledeck_submission_client::JobState::Running
         );
         job
     }
--- a/conformance/src/v2.rs
+++ b/crates/conformance/src/v2.rs
@@ -1,7 +1,7 @@
 //! Clauses of GFD.231 (DRMAA v2), over the wire.
 
 use crate::{Clause, Test, World, PATIENCE};
-use marbledeck_client::{
+use marbledeck_submission_client::{
     Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Op, Settings, Targets, Template,
 };
 use serde_json::Value;
@@ -654,12 +654,12 @@
                         let again = job.target == "/returned"
                             && first.swap(false, std::sync::atomic::Ordering::SeqCst);
                         match job.target.as_str() {
-                            _ if again => marbledeck_lab::Act::Return(ms(5)),
+                            _ if again => marbledeck_test_support::Act::Return(ms(5)),
                             t if t.starts_with("/slow") => {
-                                marbledeck_lab::Act::Serve(ms(4000), "late".to_owned())
+                                marbledeck_test_support::Act::Serve(ms(4000), "late".to_owned())
                             }
-                            t if t.starts_with("/fail") => marbledeck_lab::Act::Fail(ms(5)),
-                            t => marbledeck_lab::Act::Serve(ms(5), format!("made {t}")),
+                            t if t.starts_with("/fail") => marbledeck_test_support::Act::Fail(ms(5)),
+                            t => marbledeck_test_support::Act::Serve(ms(5), format!("made {t}")),
                         }
                     });
                 }
--- a/conformance/tests/table.rs
+++ b/crates/conformance/tests/table.rs
@@ -14,7 +14,7 @@
     assert!(failed.is_empty(), "{}", failed.join("\n"));
     assert_eq!(
         report(&table),
-        include_str!("../../docs/conformance.md"),
+        include_str!("../../../docs/conformance.md"),
         "make conformance"
     );
 }
--- a/agreement/src/book.rs
+++ b/crates/consensus/src/book.rs
@@ -1,8 +1,8 @@
 //! The records, and the commands that change them: alike at every voter, without a clock.
 
 use crate::error::Refusal;
-use marbledeck_manifest::Catalog;
-use marbledeck_seats::{Ledger, Move, Pool};
+use marbledeck_federation::Catalog;
+use marbledeck_licensing::{Ledger, Move, Pool};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/agreement/src/reader.rs
+++ b/crates/consensus/src/reader.rs
@@ -2,7 +2,7 @@
 
 use crate::book::Record;
 use crate::wire::Answer;
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use std::collections::BTreeMap;
 
 /// How long a reading holds, and what is assumed of clocks.
--- a/agreement/src/warden.rs
+++ b/crates/consensus/src/warden.rs
@@ -2,8 +2,8 @@
 
 use crate::book::{Book, What};
 use crate::reader::Terms;
-use marbledeck::Micros;
-use marbledeck_seats::Move;
+use marbledeck_dispatcher::Micros;
+use marbledeck_licensing::Move;
 use std::collections::BTreeMap;
 
 /// Watches over seats while its voter leads. What it has seen counts from its own observation: a voter that has just
--- a/agreement/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::book::{Book, Command, Outcome, Record, Stream};
 use crate::error::AgreementError;
-use marbledeck_seats::{Part, Pool};
+use marbledeck_licensing::{Part, Pool};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/agreement/tests/book.rs
+++ b/crates/consensus/tests/book.rs
@@ -1,11 +1,11 @@
 //! The records and what changes them.
 
-use marbledeck_agreement::wire::{self, Frame, Said};
-use marbledeck_agreement::{
+use marbledeck_consensus::wire::{self, Frame, Said};
+use marbledeck_consensus::{
     AgreementError, Body, Book, Change, Command, Durable, Outcome, Rates, Refusal, Stream, Voter,
     What,
 };
-use marbledeck_seats::Pool;
+use marbledeck_licensing::Pool;
 use std::collections::BTreeMap;
 
 fn pool(seats: u32) -> Option<Body> {
--- a/agreement/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -1,13 +1,13 @@
 //! A fleet in virtual time: voters that are killed, cut off, and run out of disk; nodes that are stopped, restarted and
 //! whose clocks run at different rates. One checker looks at every node at every step. A failure prints its seed.
 
-use marbledeck::Micros;
-use marbledeck_agreement::wire::{Answer, MOST_COMMANDS};
-use marbledeck_agreement::{
+use marbledeck_dispatcher::Micros;
+use marbledeck_consensus::wire::{Answer, MOST_COMMANDS};
+use marbledeck_consensus::{
     Acting, Body, Book, Change, Command, Durable, Outcome, Rates, Reader, Record, Save, Terms,
     Voter, Warden, What,
 };
-use marbledeck_seats::{Desk, Licence, Pool, Reading};
+use marbledeck_licensing::{Desk, Licence, Pool, Reading};
 use std::collections::{BTreeMap, BinaryHeap};
 
 const STEP: u64 = 10_000;
@@ -971,7 +971,7 @@
     assert_eq!(reader.until(), Micros(1_500_000));
 }
 
-/// Figures for `docs/benchmarks.md`, not a test: `cargo test --release -p marbledeck-agreement --test fleet figures --
+/// Figures for `docs/benchmarks.md`, not a test: `cargo test --release -p marbledeck-consensus --test fleet figures --
 /// --ignored --nocapture`.
 #[test]
 #[ignore = "figures"]
--- a/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -4,7 +4,7 @@
 //! happened and carries out the actions it answers with.
 //!
 //! ```
-//! use marbledeck::*;
+//! use marbledeck_dispatcher::*;
 //!
 //! let settings = Settings { dispatchers: 1, classes: vec![Class::default()], ..Settings::default() };
 //! let mut dispatcher = Dispatcher::new(settings, 42, Micros(0)).expect("sound settings");
--- a/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Small helpers for the module's tests.
 #![allow(dead_code)]
 
-use marbledeck::*;
+use marbledeck_dispatcher::*;
 
 pub const SECOND: u64 = 1_000_000;
 
--- a/tests/decision_digest.rs
+++ b/crates/dispatcher/tests/decision_digest.rs
@@ -2,7 +2,7 @@
 //! rejection changes a digest. The expected digests are written in `tests/snapshots/` and never edited by
 //! hand.
 
-use marbledeck::*;
+use marbledeck_dispatcher::*;
 use std::collections::VecDeque;
 use std::fmt::Write;
 
--- a/tests/mechanism.rs
+++ b/crates/dispatcher/tests/mechanism.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use marbledeck::*;
+use marbledeck_dispatcher::*;
 
 /// One tenant of 2 jobs a second: the bucket starts full, holds two standard deviations of 20 s, which is
 /// more here than the mean of 4 s, and refuses with int(wait)+1 seconds, capped.
--- a/tests/rules.rs
+++ b/crates/dispatcher/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use marbledeck::*;
+use marbledeck_dispatcher::*;
 use std::collections::HashMap;
 
 const OUTCOMES: [Outcome; 7] = [
--- a/tests/size.rs
+++ b/crates/dispatcher/tests/size.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use marbledeck::*;
+use marbledeck_dispatcher::*;
 
 /// Settings as at full size: far more dispatchers than one hears of workers, probes and copies allowed.
 fn large(effect: Effect, dispatchers: u32) -> Settings {
--- a/drmaa/src/errno.rs
+++ b/crates/drmaa/src/errno.rs
@@ -1,6 +1,6 @@
 //! The error codes of the C binding (GFD.133), with their words.
 
-use marbledeck_client::{Error, ErrorId};
+use marbledeck_submission_client::{Error, ErrorId};
 use std::ffi::CStr;
 
 macro_rules! codes {
--- a/drmaa/src/lib.rs
+++ b/crates/drmaa/src/lib.rs
@@ -12,7 +12,7 @@
 mod times;
 
 use errno::{Errno, Failure, Result};
-use marbledeck_client::{ErrorId, JobInfo, JobState};
+use marbledeck_submission_client::{ErrorId, JobInfo, JobState};
 use session::{Action, Session, Timeout};
 use std::ffi::{c_char, c_int, c_long, c_uint, CStr, CString};
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/drmaa/src/session.rs
+++ b/crates/drmaa/src/session.rs
@@ -9,7 +9,7 @@
 use crate::errno::{Errno, Failure, Result};
 use crate::native::{self, Native};
 use crate::template::{Template, INCR};
-use marbledeck_client::{
+use marbledeck_submission_client::{
     Client, ErrorId, Event, Filter, JobInfo, JobState, Op, Problem, Settings, Targets,
 };
 use rand::Rng;
@@ -199,7 +199,7 @@
                 let _ = self.client.control(Op::Terminate { of: of.clone() });
                 let _ = self.client.control(Op::Reap { of });
             }
-            return Err(marbledeck_client::Error::Problem(problem).into());
+            return Err(marbledeck_submission_client::Error::Problem(problem).into());
         }
         for (index, id) in &ids {
             self.enter(
@@ -420,7 +420,7 @@
 }
 
 /// What the node says of a job: one that it does not know is no job.
-fn of_job(error: marbledeck_client::Error) -> Failure {
+fn of_job(error: marbledeck_submission_client::Error) -> Failure {
     match error.is(ErrorId::InvalidArgument) {
         true => Failure::new(Errno::InvalidJob, error.to_string()),
         false => error.into(),
--- a/drmaa/src/template.rs
+++ b/crates/drmaa/src/template.rs
@@ -4,7 +4,7 @@
 use crate::native::Native;
 use crate::times;
 use chrono::Local;
-use marbledeck_client::Template as Wire;
+use marbledeck_submission_client::Template as Wire;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
--- a/drmaa/tests/programs.rs
+++ b/crates/drmaa/tests/programs.rs
@@ -1,7 +1,7 @@
 //! Programs of others against the library and a node between stand-ins: one in C, and an unchanged stock binding of
 //! Python with its own examples.
 
-use marbledeck_lab::{Act, Lab, Options};
+use marbledeck_test_support::{Act, Lab, Options};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::time::Duration;
--- a/eureka/src/instance.rs
+++ b/crates/eureka/src/instance.rs
@@ -1,6 +1,6 @@
 //! An instance as a registry tells it, in either form, and the word on a worker that it comes to.
 
-use marbledeck::{CellId, Micros};
+use marbledeck_dispatcher::{CellId, Micros};
 use marbledeck_membership::{Status, Word};
 use serde::de::{Deserializer, Error};
 use serde::Deserialize;
--- a/eureka/src/lease.rs
+++ b/crates/eureka/src/lease.rs
@@ -1,7 +1,7 @@
 //! The node's own entry in a registry: registered, renewed, registered anew where the registry has forgotten it, and taken
 //! out when the node ends.
 
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use serde_json::json;
 use std::net::SocketAddr;
 
--- a/eureka/src/poll.rs
+++ b/crates/eureka/src/poll.rs
@@ -3,7 +3,7 @@
 
 use crate::instance::{Action, Instance, InstanceStatus, Keys};
 use crate::read::{Encoding, Fault, Form, Item, Reader};
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use marbledeck_membership::{Status, Word};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
--- a/eureka/tests/poll.rs
+++ b/crates/eureka/tests/poll.rs
@@ -1,6 +1,6 @@
 //! The poll against scripted answers, in virtual time.
 
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use marbledeck_eureka::*;
 
 fn settings(registries: usize) -> Settings {
--- a/eureka/tests/wire.rs
+++ b/crates/eureka/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Answers of a registry, as its public client would get them, whole, in pieces, cut and mutated.
 
 use flate2::{write::GzEncoder, Compression};
-use marbledeck::{CellId, Micros};
+use marbledeck_dispatcher::{CellId, Micros};
 use marbledeck_eureka::*;
 use marbledeck_membership::Status;
 use proptest::prelude::*;
--- a/manifest/src/lib.rs
+++ b/crates/federation/src/lib.rs
@@ -2,7 +2,7 @@
 //! a pure function of both, total, and bounded by what they hold (`docs/design/agreement.md`, guarantee 12).
 //!
 //! ```
-//! use marbledeck_manifest::{check, Catalog, Fit, Manifest};
+//! use marbledeck_federation::{check, Catalog, Fit, Manifest};
 //!
 //! let catalog = Catalog { classes: ["preview".into()].into(), codecs: ["av1".into()].into(), ..Catalog::default() };
 //! let manifest = Manifest { class: "preview".into(), codecs: ["av1".into()].into(), ..Manifest::default() };
--- a/manifest/tests/check.rs
+++ b/crates/federation/tests/check.rs
@@ -1,6 +1,6 @@
 //! The check of a manifest against a catalog.
 
-use marbledeck_manifest::{check, Catalog, Fit, Manifest, Misfit, MOST_ENTRIES};
+use marbledeck_federation::{check, Catalog, Fit, Manifest, Misfit, MOST_ENTRIES};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
--- a/manifest/tests/errand.rs
+++ b/crates/federation/tests/errand.rs
@@ -1,6 +1,6 @@
 //! Which site is asked for a job, and what follows from its answers.
 
-use marbledeck_manifest::{Errand, Fit, Heard, Known, Misfit, Step};
+use marbledeck_federation::{Errand, Fit, Heard, Known, Misfit, Step};
 use proptest::prelude::*;
 
 fn known(name: &str, version: u64, fit: Fit) -> Known {
--- a/peers/src/ledger.rs
+++ b/crates/gossip/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{Message, MOST};
 use crate::{keeper, short};
-use marbledeck::{Micros, WorkerId};
+use marbledeck_dispatcher::{Micros, WorkerId};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// How often a node says again what it has out. A keeper that has just started has heard all after this.
--- a/peers/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -14,7 +14,7 @@
 pub use ledger::{Asked, Peers, Told, EXPIRES, MOST_WORKERS, REFRESH};
 pub use questions::Questions;
 
-use marbledeck::WorkerId;
+use marbledeck_dispatcher::WorkerId;
 
 /// The short name of a worker in messages. Two workers of one short name would share a count.
 pub fn short(worker: WorkerId) -> u32 {
--- a/peers/src/questions.rs
+++ b/crates/gossip/src/questions.rs
@@ -1,7 +1,7 @@
 //! The questions that a node has open with keepers.
 
 use crate::short;
-use marbledeck::{Micros, WorkerId};
+use marbledeck_dispatcher::{Micros, WorkerId};
 use std::collections::HashMap;
 
 /// Each worker that is asked about comes out again exactly once: answered, displaced or overdue.
--- a/peers/tests/cases.rs
+++ b/crates/gossip/tests/cases.rs
@@ -1,8 +1,8 @@
 //! The counts among many nodes, in virtual time, while datagrams are lost, late, repeated or made up.
 
-use marbledeck::{Micros, WorkerId};
-use marbledeck_peers::message::{Message, LONGEST};
-use marbledeck_peers::{
+use marbledeck_dispatcher::{Micros, WorkerId};
+use marbledeck_gossip::message::{Message, LONGEST};
+use marbledeck_gossip::{
     keeper, short, Asked, Peers, Questions, Told, EXPIRES, MOST_WORKERS, REFRESH,
 };
 use proptest::prelude::*;
--- a/peers/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Pins the datagrams between nodes, byte by byte.
 
-use marbledeck::{Micros, WorkerId};
-use marbledeck_peers::message::Message;
-use marbledeck_peers::{keeper, short, Peers};
+use marbledeck_dispatcher::{Micros, WorkerId};
+use marbledeck_gossip::message::Message;
+use marbledeck_gossip::{keeper, short, Peers};
 use std::fmt::Write;
 
 const NODES: usize = 5;
--- a/seats/benches/grant.rs
+++ b/crates/licensing/benches/grant.rs
@@ -1,8 +1,8 @@
 //! What a grant costs a job: a seat of one licence, and of three, taken and given back.
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use marbledeck::Micros;
-use marbledeck_seats::{Desk, Licence, Part, Reading};
+use marbledeck_dispatcher::Micros;
+use marbledeck_licensing::{Desk, Licence, Part, Reading};
 use std::hint::black_box;
 
 fn grant(c: &mut Criterion) {
--- a/seats/src/desk.rs
+++ b/crates/licensing/src/desk.rs
@@ -1,7 +1,7 @@
 //! What one node grants of its own part. A grant is a look at a few numbers: no message, no allocation.
 
 use crate::ledger::Move;
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/seats/tests/seats.rs
+++ b/crates/licensing/tests/seats.rs
@@ -1,7 +1,7 @@
 //! Who holds which seats, and what a node grants of its own.
 
-use marbledeck::Micros;
-use marbledeck_seats::{Desk, Ledger, Licence, Move, NoSeat, Part, Pool, Reading};
+use marbledeck_dispatcher::Micros;
+use marbledeck_licensing::{Desk, Ledger, Licence, Move, NoSeat, Part, Pool, Reading};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/membership/examples/bad_days.rs
+++ b/crates/membership/examples/bad_days.rs
@@ -1,8 +1,8 @@
 //! What a registry's bad days cost, with the guard and without it, in virtual time: 100 workers, of which ten die at
 //! different moments of ten minutes. Prints Markdown; the same figures at every run.
 
-use marbledeck::{Micros, State};
-use marbledeck_facts::worker_id;
+use marbledeck_dispatcher::{Micros, State};
+use marbledeck_platform_settings::worker_id;
 use marbledeck_membership::{Guard, Membership, Sign, Status, Word};
 use std::collections::HashMap;
 
--- a/membership/src/guard.rs
+++ b/crates/membership/src/guard.rs
@@ -2,8 +2,8 @@
 //! shows that it is gone, or a long time has passed.
 
 use crate::{Membership, SourceId, Told};
-use marbledeck::{Micros, WorkerId};
-use marbledeck_facts::worker_id;
+use marbledeck_dispatcher::{Micros, WorkerId};
+use marbledeck_platform_settings::worker_id;
 
 /// How far a source's silence on a worker is distrusted.
 #[derive(Clone, Debug, PartialEq)]
--- a/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -3,7 +3,7 @@
 //! guarantee.
 //!
 //! ```
-//! use marbledeck::{Micros, State};
+//! use marbledeck_dispatcher::{Micros, State};
 //! use marbledeck_membership::{Guard, Membership, Status, Word};
 //!
 //! let mut membership = Membership::new(vec!["east".into()], vec!["std".into()]);
@@ -27,8 +27,8 @@
 pub use word::{Status, Word};
 
 use guard::Doubt;
-use marbledeck::{Entry, KindId, Micros, State, WorkerId, ZoneId};
-use marbledeck_facts::worker_id;
+use marbledeck_dispatcher::{Entry, KindId, Micros, State, WorkerId, ZoneId};
+use marbledeck_platform_settings::worker_id;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
--- a/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,7 +1,7 @@
 //! The precedence: one place says which of several words on a worker counts.
 
 use crate::{Heard, Membership, SourceId, Status, View};
-use marbledeck::{CellId, Micros, State};
+use marbledeck_dispatcher::{CellId, Micros, State};
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
--- a/membership/src/word.rs
+++ b/crates/membership/src/word.rs
@@ -1,6 +1,6 @@
 //! What a source says of a worker.
 
-use marbledeck::{CellId, Micros};
+use marbledeck_dispatcher::{CellId, Micros};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
--- a/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -1,7 +1,7 @@
 //! The precedence and the guard, case by case.
 
-use marbledeck::{Entry, Micros, State};
-use marbledeck_facts::worker_id;
+use marbledeck_dispatcher::{Entry, Micros, State};
+use marbledeck_platform_settings::worker_id;
 use marbledeck_membership::{Guard, Membership, Sign, SourceId, Status, Told, Word};
 
 fn secs(s: u64) -> Micros {
--- a/membership/tests/search.rs
+++ b/crates/membership/tests/search.rs
@@ -1,8 +1,8 @@
 //! An exhaustive search: every sequence of so many steps of two sources, an operator and signs, for three workers, is
 //! played against the membership, and each step is held against what it must not do.
 
-use marbledeck::{Micros, State};
-use marbledeck_facts::worker_id;
+use marbledeck_dispatcher::{Micros, State};
+use marbledeck_platform_settings::worker_id;
 use marbledeck_membership::{Guard, Membership, Sign, SourceId, Status, Word};
 use std::collections::BTreeMap;
 
--- a/node/src/agreement/mod.rs
+++ b/crates/node/src/agreement/mod.rs
@@ -1,4 +1,4 @@
-//! The link of this node to the voters, or between them: a party that carries the frames of `marbledeck-agreement`, hands
+//! The link of this node to the voters, or between them: a party that carries the frames of `marbledeck-consensus`, hands
 //! what is to be durable to the disk's thread, and tells the node what the fleet has agreed on.
 
 mod apply;
@@ -9,9 +9,9 @@
 use crate::net::{Net, Peer, Ready, Token};
 use crate::ops;
 use crate::party::{Hub, Party};
-use marbledeck::Micros;
-use marbledeck_agreement::wire::{self, Answer, Frame, Said, MOST_COMMANDS};
-use marbledeck_agreement::{Change, Command, Outcome, Reader, What};
+use marbledeck_dispatcher::Micros;
+use marbledeck_consensus::wire::{self, Answer, Frame, Said, MOST_COMMANDS};
+use marbledeck_consensus::{Change, Command, Outcome, Reader, What};
 use std::collections::{HashMap, VecDeque};
 use std::fmt::Write as _;
 use std::io;
@@ -555,7 +555,7 @@
             return text;
         };
         for name in reader.names() {
-            use marbledeck_agreement::Acting;
+            use marbledeck_consensus::Acting;
             let (state, record) = match reader.acting(now, name) {
                 Acting::On(record) => ("in force", Some(record)),
                 Acting::Between => ("not yet in force", None),
--- a/node/src/agreement/voting.rs
+++ b/crates/node/src/agreement/voting.rs
@@ -1,12 +1,12 @@
-//! This node as a voter: its store, the voter of `marbledeck-agreement`, and the questions of nodes.
+//! This node as a voter: its store, the voter of `marbledeck-consensus`, and the questions of nodes.
 
 use crate::clock::millis;
 use crate::config::AgreementConfig;
 use crate::net::{Net, Peer, Token};
-use marbledeck::Micros;
-use marbledeck_agreement::wire::{Answer, Frame, Said};
-use marbledeck_agreement::{AgreementError, Command, Durable, Save, Terms, Voter, Warden};
-use marbledeck_store::{Done, Loaded, Store, StoreError, Write};
+use marbledeck_dispatcher::Micros;
+use marbledeck_consensus::wire::{Answer, Frame, Said};
+use marbledeck_consensus::{AgreementError, Command, Durable, Save, Terms, Voter, Warden};
+use marbledeck_storage::{Done, Loaded, Store, StoreError, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::Read;
 use std::os::unix::net::UnixStream;
--- a/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,6 +1,6 @@
 //! The node's one clock: it never goes backwards, and Unix times are converted here.
 
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Counts from the Unix time at the start, and from then on as the monotonic clock does. A step of the system's
--- a/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,10 +3,10 @@
 
 use crate::core::Catalogue;
 use crate::directory::Listing;
-use marbledeck::{CellId, Micros, Settings};
-use marbledeck_agreement::Terms;
+use marbledeck_dispatcher::{CellId, Micros, Settings};
+use marbledeck_consensus::Terms;
 use marbledeck_eureka::{Form, Keys};
-use marbledeck_facts::{Facts, Reads};
+use marbledeck_platform_settings::{Facts, Reads};
 use marbledeck_membership::{Guard, Status, Word};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -219,7 +219,7 @@
             peers,
             catalogue: Catalogue::new(&facts, &settings),
             reads: facts.reads(),
-            reports: settings.reporting != marbledeck::Reporting::Never,
+            reports: settings.reporting != marbledeck_dispatcher::Reporting::Never,
             settings,
             idle: facts.bounds.conn_idle_us.map_or(IDLE, Micros),
             drain_grace: facts.rules.drain_grace_us.map_or(GRACE, Micros),
--- a/node/src/consumers/intake.rs
+++ b/crates/node/src/consumers/intake.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{Order, Work};
 use crate::net::http::{Fault, RequestHead};
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 
 /// The longest that a consumer may say it waits.
 const LONGEST_MS: u64 = 24 * 3600 * 1000;
--- a/node/src/consumers/mod.rs
+++ b/crates/node/src/consumers/mod.rs
@@ -7,7 +7,7 @@
 use crate::net::http::{self, Body, RequestHead};
 use crate::net::{Net, Peer, Token};
 use intake::Notice;
-use marbledeck::{Micros, RequestId};
+use marbledeck_dispatcher::{Micros, RequestId};
 use rustix::fd::OwnedFd;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
--- a/node/src/core/admit.rs
+++ b/crates/node/src/core/admit.rs
@@ -2,7 +2,7 @@
 //! neither overrides nor delays it.
 
 use super::{Core, Verdict};
-use marbledeck::{Event, ListKind, Micros, RequestId};
+use marbledeck_dispatcher::{Event, ListKind, Micros, RequestId};
 
 impl Core {
     pub(super) fn reject(&mut self, id: RequestId, come_back: Option<Micros>) {
--- a/node/src/core/book.rs
+++ b/crates/node/src/core/book.rs
@@ -1,7 +1,7 @@
 //! Stage 6, book: the final answer, given once, and the counts.
 
 use super::{Command, Core, Verdict};
-use marbledeck::{ClassId, Outcome, RequestId};
+use marbledeck_dispatcher::{ClassId, Outcome, RequestId};
 use std::fmt;
 
 /// Totals of one class since the start.
--- a/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -17,7 +17,7 @@
 pub use book::{ClassCounts, Counts};
 pub use take_in::{Catalogue, Malformed, Order};
 
-use marbledeck::{
+use marbledeck_dispatcher::{
     Action, Dispatcher, Entry, Event, ListKind, Micros, Outcome, Report, RequestId, Settings,
     SettingsError, WorkerId,
 };
--- a/node/src/core/relay.rs
+++ b/crates/node/src/core/relay.rs
@@ -1,7 +1,7 @@
 //! Stage 5, relay: what comes back from the workers goes to the dispatcher, and a result to the consumer.
 
 use super::{Command, Core, Verdict};
-use marbledeck::{Ended, Event, Micros, Outcome, Report, RequestId};
+use marbledeck_dispatcher::{Ended, Event, Micros, Outcome, Report, RequestId};
 use std::fmt;
 
 /// What a report tells of free slots, for the log.
--- a/node/src/core/route.rs
+++ b/crates/node/src/core/route.rs
@@ -2,7 +2,7 @@
 
 use super::table::Call;
 use super::Core;
-use marbledeck::{Ended, Event, Micros, Outcome, RequestId, WorkerId};
+use marbledeck_dispatcher::{Ended, Event, Micros, Outcome, RequestId, WorkerId};
 
 impl Core {
     /// A send that can no longer be made is moot, and told so: each send gets exactly one end.
--- a/node/src/core/seating.rs
+++ b/crates/node/src/core/seating.rs
@@ -4,8 +4,8 @@
 
 use super::{Catalogue, Core, Malformed};
 use crate::config::SeatsConfig;
-use marbledeck::{ClassId, Micros, Outcome, RequestId};
-use marbledeck_seats::{Desk, Licence};
+use marbledeck_dispatcher::{ClassId, Micros, Outcome, RequestId};
+use marbledeck_licensing::{Desk, Licence};
 use std::rc::Rc;
 
 /// The seats of this node.
--- a/node/src/core/send.rs
+++ b/crates/node/src/core/send.rs
@@ -2,7 +2,7 @@
 
 use super::timers::Due;
 use super::{Command, Core, InvokerCall};
-use marbledeck::{Micros, Outcome, RequestId};
+use marbledeck_dispatcher::{Micros, Outcome, RequestId};
 
 impl Core {
     pub(super) fn send(&mut self, id: RequestId, attempt: u32, latest: Option<Micros>) {
--- a/node/src/core/table.rs
+++ b/crates/node/src/core/table.rs
@@ -2,7 +2,7 @@
 
 use super::seating::Needs;
 use super::Work;
-use marbledeck::{ClassId, Micros, RequestId, WorkerId};
+use marbledeck_dispatcher::{ClassId, Micros, RequestId, WorkerId};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
--- a/node/src/core/take_in.rs
+++ b/crates/node/src/core/take_in.rs
@@ -3,9 +3,9 @@
 use super::timers::Due;
 use super::{Core, Work};
 use crate::clock::millis;
-use marbledeck::{Class, ClassId, Effect, Event, Job, Micros, RequestId, Settings, TenantId};
-use marbledeck_facts::Facts;
-use marbledeck_seats::NoSeat;
+use marbledeck_dispatcher::{Class, ClassId, Effect, Event, Job, Micros, RequestId, Settings, TenantId};
+use marbledeck_platform_settings::Facts;
+use marbledeck_licensing::NoSeat;
 use std::fmt;
 
 /// How long after its deadline an invocation without an answer is failed: well within the time still accepted.
--- a/node/src/core/timers.rs
+++ b/crates/node/src/core/timers.rs
@@ -1,6 +1,6 @@
 //! Timers, earliest first. They are not withdrawn: one that no longer matters is ignored when it is due.
 
-use marbledeck::{Micros, RequestId};
+use marbledeck_dispatcher::{Micros, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/node/src/directory/clocks.rs
+++ b/crates/node/src/directory/clocks.rs
@@ -5,7 +5,7 @@
 //! reached. So after each call that was not answered there is a moment since when something may have been missed, and
 //! the list is trusted for no longer than that, the rule's span and the drain's grace. `docs/fleet.md` has the table.
 
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 
 /// The rule's clocks (protocol page, Figures; standing test): a change counts as told so long after the directory had it
 /// and could be reached.
--- a/node/src/directory/mod.rs
+++ b/crates/node/src/directory/mod.rs
@@ -9,7 +9,7 @@
 use crate::fleet::Fleet;
 use crate::net::http::{self, Body};
 use crate::net::{Net, Peer, Token};
-use marbledeck::{CellId, ListKind, Micros};
+use marbledeck_dispatcher::{CellId, ListKind, Micros};
 use marbledeck_membership::{Membership, SourceId, Status, Told, Word};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -6,7 +6,7 @@
 use crate::net::http::{self, Body, ResponseHead};
 use crate::net::{Net, Peer, Ready, Token};
 use crate::party::{Hub, Party};
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use marbledeck_eureka::{Change, Encoding, Form, Lease, LeaseAsk, LeaseSettings, Poll, Settings};
 use marbledeck_membership::{SourceId, Told};
 use std::collections::VecDeque;
--- a/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use crate::net::Net;
 use crate::workers::Workers;
-use marbledeck::{Entry, ListKind, Micros, State, WorkerId};
+use marbledeck_dispatcher::{Entry, ListKind, Micros, State, WorkerId};
 use marbledeck_membership::{Membership, Place, Told};
 use std::net::SocketAddr;
 
--- a/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::millis;
 use conn::{Connection, State};
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
 use rustix::event::{PollFd, PollFlags, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
--- a/node/src/ops/figures.rs
+++ b/crates/node/src/ops/figures.rs
@@ -2,7 +2,7 @@
 //! where they end and calls where they are written.
 
 use crate::core::Core;
-use marbledeck::State;
+use marbledeck_dispatcher::State;
 use marbledeck_membership::View;
 use std::fmt::Write;
 
--- a/node/src/ops/mod.rs
+++ b/crates/node/src/ops/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::millis;
 use crate::net::{Net, Peer, Token};
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
--- a/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,11 +1,11 @@
-//! The link to the other nodes of the tier: a party that carries the datagrams of `marbledeck-peers`.
+//! The link to the other nodes of the tier: a party that carries the datagrams of `marbledeck-gossip`.
 
 use crate::clock::millis;
 use crate::config::PeersConfig;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::party::{Hub, Party};
-use marbledeck::{Micros, WorkerId};
-use marbledeck_peers::{message, Asked, Peers, Questions};
+use marbledeck_dispatcher::{Micros, WorkerId};
+use marbledeck_gossip::{message, Asked, Peers, Questions};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/node/src/sites.rs
+++ b/crates/node/src/sites.rs
@@ -1,13 +1,13 @@
 //! Jobs that another site is to run: a party that hands them to that site's submission front, one site at a time, and asks
-//! it how they end. Which site is `marbledeck-manifest`'s to say; the catalogs are records that the fleet has agreed on.
+//! it how they end. Which site is `marbledeck-federation`'s to say; the catalogs are records that the fleet has agreed on.
 
 use crate::clock::millis;
 use crate::core::Verdict;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::party::{Agreed, Hub, Party};
-use marbledeck::{Micros, RequestId};
-use marbledeck_agreement::{Acting, Body, Record};
-use marbledeck_manifest::{check, Catalog, Errand, Fit, Heard, Known, Manifest, Step};
+use marbledeck_dispatcher::{Micros, RequestId};
+use marbledeck_consensus::{Acting, Body, Record};
+use marbledeck_federation::{check, Catalog, Errand, Fit, Heard, Known, Manifest, Step};
 use marbledeck_submission::frame;
 use marbledeck_submission::message::{ErrorId, JobInfo, Op, Problem, Request, Submitted};
 use marbledeck_submission::template::Forwarded;
--- a/node/src/submission/desk.rs
+++ b/crates/node/src/submission/desk.rs
@@ -3,8 +3,8 @@
 use crate::core::{Malformed, Order as CoreOrder, Work};
 use crate::party::Hub;
 use crate::sites::Where;
-use marbledeck::{Effect, Micros, RequestId, State};
-use marbledeck_facts::worker_id;
+use marbledeck_dispatcher::{Effect, Micros, RequestId, State};
+use marbledeck_platform_settings::worker_id;
 use marbledeck_submission::message::{ErrorId, Machine, Problem, Queue};
 use marbledeck_submission::{ClassFacts, Desk, Order, Template, Whereabouts};
 
--- a/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -10,7 +10,7 @@
 use crate::net::{Net, Peer, Ready, Token};
 use crate::party::{Hub, Party};
 use desk::NodeDesk;
-use marbledeck::{Micros, RequestId, WorkerId};
+use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use marbledeck_submission::frame::{self, TooLong};
 use marbledeck_submission::message::Problem;
 use marbledeck_submission::{Limits, Server, Side, Transfer};
--- a/node/src/workers/outcomes.rs
+++ b/crates/node/src/workers/outcomes.rs
@@ -4,8 +4,8 @@
 use crate::core::Work;
 use crate::net::conn::Connection;
 use crate::net::http::{self, Body, Fault, ResponseHead, MAX_BODY};
-use marbledeck::{Micros, Outcome, Report};
-use marbledeck_facts::Reads;
+use marbledeck_dispatcher::{Micros, Outcome, Report};
+use marbledeck_platform_settings::Reads;
 use serde_json::Value;
 
 /// How a call has ended.
--- a/node/src/workers/report.rs
+++ b/crates/node/src/workers/report.rs
@@ -1,7 +1,7 @@
 //! Load reports: in a field of the answer, in an object that ends a call, or as the body of a probe's answer.
 
-use marbledeck::Report;
-use marbledeck_facts::{Feedback, Reads};
+use marbledeck_dispatcher::Report;
+use marbledeck_platform_settings::{Feedback, Reads};
 use serde_json::Value;
 
 /// Reads a report from text; one that makes no sense is none.
--- a/node/src/workers/submitted.rs
+++ b/crates/node/src/workers/submitted.rs
@@ -6,8 +6,8 @@
 use crate::core::Work;
 use crate::net::conn::Connection;
 use base64::prelude::{Engine, BASE64_STANDARD};
-use marbledeck::{Micros, Outcome};
-use marbledeck_facts::Reads;
+use marbledeck_dispatcher::{Micros, Outcome};
+use marbledeck_platform_settings::Reads;
 use marbledeck_submission::frame;
 use serde_json::{json, Value};
 
--- a/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -1,6 +1,6 @@
 //! The command line, against a node between stand-ins and against nothing.
 
-use marbledeck_lab::{Act, Lab, Options};
+use marbledeck_test_support::{Act, Lab, Options};
 use rstest::rstest;
 use serde_json::Value;
 use std::process::{Command, Output};
--- a/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -92,7 +92,7 @@
 /// The file of the repository holds the defaults, as it says.
 #[test]
 fn the_front_of_the_repository() {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/submission.toml");
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/submission.toml");
     let short = written("short", "listen = \"127.0.0.1:7100\"");
     let defaults = SubmissionConfig::read(&short);
     fs::remove_file(&short).unwrap();
@@ -207,7 +207,7 @@
 /// that it shows.
 #[test]
 fn the_site_of_the_repository() {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/site.toml");
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/site.toml");
     let site = SiteConfig::read(&path).unwrap();
     assert!(site.submission.is_none() && site.eureka.is_none() && site.statics.is_empty());
     assert!(site.agreement.is_none() && site.seats.is_none() && site.site.is_none());
--- a/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -1,7 +1,7 @@
 //! Scripts of events for the core, without any socket. `core/README` tells how they are written.
 
-use marbledeck::{Entry, ListKind, Micros, Outcome, RequestId, WorkerId, ZoneId};
-use marbledeck_facts::{worker_id, Facts};
+use marbledeck_dispatcher::{Entry, ListKind, Micros, Outcome, RequestId, WorkerId, ZoneId};
+use marbledeck_platform_settings::{worker_id, Facts};
 use marbledeck_node::core::{Catalogue, Command, Core, InvokerCall, Order, Verdict, Work};
 use rstest::rstest;
 use std::fs;
--- a/node/tests/directory.rs
+++ b/crates/node/tests/directory.rs
@@ -1,7 +1,7 @@
 //! The list of workers at 300 nodes before one directory that works its calls off one after another, in virtual time. The
 //! rule's clocks are counted here anew, from the protocol page: no node may hold a drained worker as usable past them.
 
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use marbledeck_node::directory::{Ask, Clocks, Fault};
 use std::collections::VecDeque;
 
--- a/node/tests/eureka.rs
+++ b/crates/node/tests/eureka.rs
@@ -1,6 +1,6 @@
 //! A node that learns of its workers from a Eureka registry, a stand-in of our own, while that has its bad days.
 
-use marbledeck_lab::{Lab, Mood, Options, Registry};
+use marbledeck_test_support::{Lab, Mood, Options, Registry};
 use std::process::Command;
 use std::time::{Duration, Instant};
 
@@ -197,7 +197,7 @@
 #[test]
 fn several_sources() {
     let registry = Registry::start();
-    let spare = marbledeck_lab::Worker::start("spare", 4);
+    let spare = marbledeck_test_support::Worker::start("spare", 4);
     let statics = format!("[[static]]\nid = \"spare\"\naddress = \"{}\"\n", spare.addr);
     let lab = lab(&[&registry], &statics);
     lab.until_member("spare", is_in);
--- a/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program that agree on records and share licence seats, while processes die or stand still,
 //! cables break and disks fill up. No verdict hangs on how fast the machine is.
 
-use marbledeck_lab::{Act, Fleet, FleetOptions, Way};
+use marbledeck_test_support::{Act, Fleet, FleetOptions, Way};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/node/tests/net.rs
+++ b/crates/node/tests/net.rs
@@ -1,6 +1,6 @@
 //! The loop's sockets, without a node.
 
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use marbledeck_node::net::{Net, Peer};
 use std::io::Write;
 use std::os::unix::net::UnixStream;
--- a/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -1,11 +1,11 @@
 //! A node among the others of its tier: what it says to them, and what it makes of what they say.
 
-use marbledeck::{Entry, ListKind, Micros, Outcome, Report, WorkerId};
-use marbledeck_facts::{worker_id, Facts};
-use marbledeck_lab::{Lab, Options};
+use marbledeck_dispatcher::{Entry, ListKind, Micros, Outcome, Report, WorkerId};
+use marbledeck_platform_settings::{worker_id, Facts};
+use marbledeck_test_support::{Lab, Options};
 use marbledeck_node::core::{Catalogue, Command, Core, Order, Work};
-use marbledeck_peers::message::Message;
-use marbledeck_peers::{keeper, short};
+use marbledeck_gossip::message::Message;
+use marbledeck_gossip::{keeper, short};
 use std::io::{Read, Write};
 use std::net::{TcpStream, UdpSocket};
 use std::time::Duration;
--- a/node/tests/seats.rs
+++ b/crates/node/tests/seats.rs
@@ -1,13 +1,13 @@
 //! Seats as the core takes them for calls, without any socket.
 
-use marbledeck::{Entry, ListKind, Micros, Outcome, WorkerId};
-use marbledeck_facts::Facts;
+use marbledeck_dispatcher::{Entry, ListKind, Micros, Outcome, WorkerId};
+use marbledeck_platform_settings::Facts;
 use marbledeck_node::config::SeatsConfig;
 use marbledeck_node::core::seating::Seating;
 use marbledeck_node::core::{
     Catalogue, Command, Core, InvokerCall, Malformed, Order, Verdict, Work,
 };
-use marbledeck_seats::{Part, Reading};
+use marbledeck_licensing::{Part, Reading};
 use rstest::rstest;
 
 const RUN: Micros = Micros(2_000_000);
--- a/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -1,7 +1,7 @@
 //! Two sites of several nodes each, and jobs that only the other one can run: whatever becomes of the cable between them
 //! and of the catalogs, one manifest is one accepted job and has one final state.
 
-use marbledeck_lab::{Act, Cable, Fleet, FleetOptions, Way};
+use marbledeck_test_support::{Act, Cable, Fleet, FleetOptions, Way};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
--- a/facts/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! adapter and the node read the same object through this one place.
 #![forbid(unsafe_code)]
 
-use marbledeck::*;
+use marbledeck_dispatcher::*;
 use serde::Deserialize;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
--- a/wirehost/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
 //! Hosts many independent instances: the wire's ids to the library's and back.
 
 use crate::wire::{Batch, Line, Msg};
-use marbledeck::*;
-use marbledeck_facts::{worker_id, Facts, Reads};
+use marbledeck_dispatcher::*;
+use marbledeck_platform_settings::{worker_id, Facts, Reads};
 use std::collections::HashMap;
 
 /// The workers' words by their ids.
--- a/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("marbledeck-wirehost: {what}");
+            eprintln!("marbledeck-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/wirehost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The simulator's messages as types: batches in, replies out. Nothing is decided here.
 
-use marbledeck_facts::{Facts, Feedback};
+use marbledeck_platform_settings::{Facts, Feedback};
 use serde::de::{Error, IgnoredAny, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::borrow::Cow;
--- a/wirehost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_marbledeck-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_marbledeck-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/store/tests/mailbox.rs
+++ b/crates/storage/tests/mailbox.rs
@@ -1,8 +1,8 @@
 //! All interleavings of the mailbox between the loop and the disk thread: `RUSTFLAGS="--cfg loom" cargo test -p
-//! marbledeck-store --test mailbox --release`.
+//! marbledeck-storage --test mailbox --release`.
 #![cfg(loom)]
 
-use marbledeck_store::{mailbox, Closed};
+use marbledeck_storage::{mailbox, Closed};
 
 /// Nothing that was taken is lost, and the receiver ends when the sender does: a lost wake-up would be a deadlock, which
 /// the model finds.
--- a/store/tests/store.rs
+++ b/crates/storage/tests/store.rs
@@ -1,6 +1,6 @@
 //! The store: what was told to be durable is there, and nothing else ever is.
 
-use marbledeck_store::{Disk, Done, Store, StoreError, Write};
+use marbledeck_storage::{Disk, Done, Store, StoreError, Write};
 use std::io::Read;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 impl Folder {
     fn new(name: &str) -> Self {
         let path =
-            std::env::temp_dir().join(format!("marbledeck-store-{name}-{}", std::process::id()));
+            std::env::temp_dir().join(format!("marbledeck-storage-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         Folder(path)
     }
--- a/client/src/lib.rs
+++ b/crates/submission-client/src/lib.rs
@@ -3,7 +3,7 @@
 //! lost reply joins the first one, and comes back when the node asks it to, with some jitter.
 //!
 //! ```no_run
-//! use marbledeck_client::{Client, Settings, Template};
+//! use marbledeck_submission_client::{Client, Settings, Template};
 //!
 //! let client = Client::new(Settings::at("127.0.0.1:7100"));
 //! let template = Template {
@@ -15,7 +15,7 @@
 //! let job = client.run(template, None)?;
 //! let info = client.wait_terminated(&job.job_id, None)?;
 //! println!("{}: {}", info.job_id, info.job_state);
-//! # Ok::<(), marbledeck_client::Error>(())
+//! # Ok::<(), marbledeck_submission_client::Error>(())
 //! ```
 #![forbid(unsafe_code)]
 
--- a/client/tests/losses.rs
+++ b/crates/submission-client/tests/losses.rs
@@ -1,9 +1,9 @@
 //! The client against a node between stand-ins, while answers are lost, nodes die and others take over.
 
-use marbledeck_client::{
+use marbledeck_submission_client::{
     Client, ErrorId, Event, Filter, JobState, Op, Settings, Targets, Template,
 };
-use marbledeck_lab::{Act, Lab, Options, Proxy};
+use marbledeck_test_support::{Act, Lab, Options, Proxy};
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
--- a/submission/src/jobs.rs
+++ b/crates/submission/src/jobs.rs
@@ -8,7 +8,7 @@
 use crate::template::Template;
 use crate::transfer::Side;
 use base64::prelude::{Engine, BASE64_STANDARD};
-use marbledeck::{Micros, RequestId};
+use marbledeck_dispatcher::{Micros, RequestId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
--- a/submission/src/server.rs
+++ b/crates/submission/src/server.rs
@@ -14,7 +14,7 @@
 use crate::sessions::{Next, Record, SessionKey, Sessions};
 use crate::state::{Change, JobState};
 use crate::template::{Template, SUPPORTED, UNSUPPORTED};
-use marbledeck::{Micros, RequestId};
+use marbledeck_dispatcher::{Micros, RequestId};
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
--- a/submission/src/sessions.rs
+++ b/crates/submission/src/sessions.rs
@@ -3,7 +3,7 @@
 use crate::ids::Key;
 use crate::message::Problem;
 use crate::state::JobState;
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// The longest name of a session, in bytes.
--- a/submission/src/state.rs
+++ b/crates/submission/src/state.rs
@@ -150,7 +150,7 @@
     /// The operators' table is this one.
     #[test]
     fn the_documented_table() {
-        let page = include_str!("../../docs/submission.md");
+        let page = include_str!("../../../docs/submission.md");
         for state in JobState::ALL {
             for change in Change::ALL {
                 let Some(next) = state.after(change) else {
--- a/submission/src/template.rs
+++ b/crates/submission/src/template.rs
@@ -3,7 +3,7 @@
 
 use crate::message::{ErrorId, Problem};
 use base64::prelude::{Engine, BASE64_STANDARD};
-use marbledeck_manifest::Manifest;
+use marbledeck_federation::Manifest;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
--- a/submission/src/transfer.rs
+++ b/crates/submission/src/transfer.rs
@@ -16,7 +16,7 @@
 use crate::state::{Change, JobState};
 use crate::template::Template;
 use base64::prelude::{Engine, BASE64_STANDARD};
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/submission/tests/cases.rs
+++ b/crates/submission/tests/cases.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{limits, Bench};
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use marbledeck_submission::{Limits, Side, Verdict};
 use serde_json::{json, Value};
 
--- a/submission/tests/common/mod.rs
+++ b/crates/submission/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A server with a scripted desk, in virtual time.
 #![allow(dead_code)]
 
-use marbledeck::{Micros, RequestId};
+use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_submission::message::{Machine, Problem, Queue};
 use marbledeck_submission::server::Peer;
 use marbledeck_submission::{ClassFacts, Desk, Limits, Order, Server, Verdict};
--- a/submission/tests/model.rs
+++ b/crates/submission/tests/model.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{limits, Bench, WINDOW};
-use marbledeck::Micros;
+use marbledeck_dispatcher::Micros;
 use marbledeck_submission::{Change, JobState, Side, Verdict};
 use proptest::prelude::*;
 use serde_json::{json, Value};
@@ -391,7 +391,7 @@
     }
 
     /// The order of a job that is with the decisions of some process.
-    fn out(&self, at: usize) -> Option<(usize, usize, marbledeck::RequestId)> {
+    fn out(&self, at: usize) -> Option<(usize, usize, marbledeck_dispatcher::RequestId)> {
         let id = self.known[at].id.as_str().unwrap();
         let of = |bench: &Bench| {
             let mut open = bench.desk.open.iter();
--- a/lab/src/bin/demo.rs
+++ b/crates/test-support/src/bin/demo.rs
@@ -1,7 +1,7 @@
 //! A first look: a node between stand-ins on loopback, a bulk of jobs handed in on the command line, and what the node
 //! tells of itself. Everything ends with it.
 
-use marbledeck_lab::{binary, Act, Lab, Options};
+use marbledeck_test_support::{binary, Act, Lab, Options};
 use std::process::{Command, ExitCode};
 use std::time::Duration;
 
--- a/lab/src/bin/eureka-bench.rs
+++ b/crates/test-support/src/bin/eureka-bench.rs
@@ -2,7 +2,7 @@
 //! and how long the node's loop stands still while it takes whole lists and deltas of many instances. Prints Markdown.
 
 use hdrhistogram::Histogram;
-use marbledeck_lab::{Act, Lab, Options, Registry};
+use marbledeck_test_support::{Act, Lab, Options, Registry};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/lab/src/bin/fleet-bench.rs
+++ b/crates/test-support/src/bin/fleet-bench.rs
@@ -1,7 +1,7 @@
 //! Measures the agreement and the seats over seven processes on loopback; `docs/benchmarks.md` has the figures.
 
 use hdrhistogram::Histogram;
-use marbledeck_lab::{Act, Fleet, FleetOptions};
+use marbledeck_test_support::{Act, Fleet, FleetOptions};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -95,7 +95,7 @@
 }
 
 fn main() -> std::io::Result<()> {
-    let instant = |_: &marbledeck_lab::Job| Act::Serve(Duration::ZERO, "done".to_owned());
+    let instant = |_: &marbledeck_test_support::Job| Act::Serve(Duration::ZERO, "done".to_owned());
 
     // From a change to the last of seven processes.
     let fleet = Fleet::start(options(true));
@@ -204,7 +204,7 @@
     }
 
     // The same path with all of it off.
-    let lab = marbledeck_lab::Lab::start(marbledeck_lab::Options {
+    let lab = marbledeck_test_support::Lab::start(marbledeck_test_support::Options {
         workers: 1,
         ..Default::default()
     });
--- a/lab/src/bin/submission-bench.rs
+++ b/crates/test-support/src/bin/submission-bench.rs
@@ -3,7 +3,7 @@
 //! back. Prints Markdown; `docs/benchmarks.md` is such a print with its machine.
 
 use hdrhistogram::Histogram;
-use marbledeck_lab::{Act, Lab, Options};
+use marbledeck_test_support::{Act, Lab, Options};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Barrier};
--- a/lab/src/node.rs
+++ b/crates/test-support/src/node.rs
@@ -83,7 +83,7 @@
     pub fn start(options: Options) -> Self {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let number = COUNT.fetch_add(1, Ordering::SeqCst);
-        let name = format!("marbledeck-lab-{}-{number}", std::process::id());
+        let name = format!("marbledeck-test-support-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(&folder).expect("a folder for temporary files");
         let directory = Directory::start();
