--- a/crates/conformance/src/v2.rs
+++ b/crates/conformance/src/v2.rs
@@ -658,7 +658,9 @@
                             t if t.starts_with("/slow") => {
                                 marbledeck_test_support::Act::Serve(ms(4000), "late".to_owned())
                             }
-                            t if t.starts_with("/fail") => marbledeck_test_support::Act::Fail(ms(5)),
+                            t if t.starts_with("/fail") => {
+                                marbledeck_test_support::Act::Fail(ms(5))
+                            }
                             t => marbledeck_test_support::Act::Serve(ms(5), format!("made {t}")),
                         }
                     });
--- a/crates/consensus/src/reader.rs
+++ b/crates/consensus/src/reader.rs
@@ -17,12 +17,12 @@
 impl Terms {
     /// `T`: from the first act of any node on a version to the last one of any node on an earlier one.
     pub fn overlap(&self) -> Micros {
-        Micros::from_secs(self.lease.secs() * (1.0 + self.drift))
+        Micros::from_secs_f64(self.lease.as_secs_f64() * (1.0 + self.drift))
     }
 
     /// After so long by its own clock, a node that has heard of a change knows that nobody acts on what was before.
     pub fn quiet(&self) -> Micros {
-        Micros::from_secs(self.lease.secs() * (1.0 + self.drift) * (1.0 + self.drift))
+        Micros::from_secs_f64(self.lease.as_secs_f64() * (1.0 + self.drift) * (1.0 + self.drift))
     }
 }
 
--- a/crates/consensus/src/warden.rs
+++ b/crates/consensus/src/warden.rs
@@ -54,8 +54,9 @@
             let since = seen.remove(&key).unwrap_or(now);
             self.seen.insert(key, since);
             // Its holder's last reading is over, and the last call that it began then.
-            let run =
-                Micros::from_secs(what.longest_run_ms as f64 / 1000.0 * (1.0 + self.terms.drift));
+            let run = Micros::from_secs_f64(
+                what.longest_run_ms as f64 / 1000.0 * (1.0 + self.terms.drift),
+            );
             if now - since > self.terms.quiet() + run {
                 due.push(What::Seats(Move::Free {
                     pool: pool.to_owned(),
--- a/crates/consensus/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! A fleet in virtual time: voters that are killed, cut off, and run out of disk; nodes that are stopped, restarted and
 //! whose clocks run at different rates. One checker looks at every node at every step. A failure prints its seed.
 
-use marbledeck_dispatcher::Micros;
 use marbledeck_consensus::wire::{Answer, MOST_COMMANDS};
 use marbledeck_consensus::{
     Acting, Body, Book, Change, Command, Durable, Outcome, Rates, Reader, Record, Save, Terms,
     Voter, Warden, What,
 };
+use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::{Desk, Licence, Pool, Reading};
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -2,11 +2,11 @@
 //! record. Questions and commands are lost, repeated and late; nodes crash and start anew; the leader changes; a node that
 //! does nothing for a while stands still. The book, the reader, the desk and the warden are the real ones.
 
-use marbledeck_dispatcher::Micros;
 use marbledeck_consensus::wire::Answer;
 use marbledeck_consensus::{
     Acting, Body, Book, Change, Command, Reader, Record, Terms, Warden, What,
 };
+use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::{Desk, Licence, Move, Pool, Reading};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,7 +1,9 @@
-//! The decisions of a dispatcher that pushes jobs to workers.
+//! The decisions of a dispatcher that pushes jobs to workers: rate limiting, admission, worker
+//! selection, retries, slow start and probing.
 //!
 //! A [`Dispatcher`] does no input or output: the caller hands it events with the time at which they
-//! happened and carries out the actions it answers with.
+//! happened and carries out the actions it answers with. Random numbers come from the seed alone,
+//! so the same events give the same actions.
 //!
 //! ```
 //! use marbledeck_dispatcher::*;
@@ -9,19 +11,37 @@
 //! let settings = Settings { dispatchers: 1, classes: vec![Class::default()], ..Settings::default() };
 //! let mut dispatcher = Dispatcher::new(settings, 42, Micros(0)).expect("sound settings");
 //! let mut actions = Vec::new();
-//! let worker = Entry { worker: WorkerId(7), ..Entry::default() };
-//! dispatcher.handle(Micros(0), Event::List(ListKind::Full, vec![worker]), &mut actions);
+//! let worker = WorkerEntry { worker: WorkerId(7), ..WorkerEntry::default() };
+//! let workers = vec![worker];
+//! dispatcher.handle(Micros(0), Event::WorkerList { kind: WorkerListKind::Full, workers }, &mut actions);
 //! actions.clear();
 //! let job = Job { id: RequestId(1), time_left: Micros(1_000_000), ..Job::default() };
-//! dispatcher.handle(Micros(5_000), Event::Job(job), &mut actions);
-//! assert!(matches!(actions[0], Action::Send(_, WorkerId(7), _)));
+//! dispatcher.handle(Micros(5_000), Event::JobReceived(job), &mut actions);
+//! assert!(matches!(actions[0], Action::Send { worker: WorkerId(7), .. }));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod api;
-mod decide;
-mod state;
+mod action;
+mod dispatcher;
+mod estimates;
+mod event;
+mod fleet;
+mod ids;
+mod policy;
+mod request;
+mod settings;
+mod time;
+mod token_bucket;
+mod worker;
+mod worker_list;
 
-pub use api::*;
-pub use decide::Dispatcher;
+pub use action::Action;
+pub use dispatcher::Dispatcher;
+pub use event::{AttemptEnded, Event, Job, LoadReport, Outcome};
+pub use ids::{CellId, ClassId, KindId, RequestId, TenantId, TimerId, WorkerId, ZoneId};
+pub use settings::{
+    Class, DeduplicationScope, Idempotency, Limits, LoadReporting, Rules, Settings, SettingsError,
+    Tenant,
+};
+pub use time::Micros;
+pub use worker_list::{WorkerEntry, WorkerListKind, WorkerState};
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -6,19 +6,19 @@
 pub const SECOND: u64 = 1_000_000;
 
 /// Settings with one class of this effect, free-slot reports by probe, and starts told.
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(effect: Idempotency) -> Settings {
     let class = Class {
-        effect,
-        aim: Micros(SECOND),
-        stretch: 2.0,
+        idempotency: effect,
+        latency_objective: Micros(SECOND),
+        objective_stretch: 2.0,
         deadline: Micros(10 * SECOND),
         ..Class::default()
     };
     Settings {
         dispatchers: 1,
         classes: vec![class],
-        reporting: Reporting::Probed,
-        tells_start: true,
+        load_reporting: LoadReporting::Probed,
+        reports_starts: true,
         ..Settings::default()
     }
 }
@@ -33,12 +33,12 @@
     settings
 }
 
-pub fn worker(id: u32) -> Entry {
-    Entry {
+pub fn worker(id: u32) -> WorkerEntry {
+    WorkerEntry {
         worker: WorkerId(id.into()),
         cell: Some(CellId(id / 2)),
         zone: ZoneId(id / 4),
-        ..Entry::default()
+        ..WorkerEntry::default()
     }
 }
 
@@ -69,7 +69,10 @@
         };
         rig.at(
             0,
-            Event::List(ListKind::Cached, (0..workers).map(worker).collect()),
+            Event::WorkerList {
+                kind: WorkerListKind::Cached,
+                workers: (0..workers).map(worker).collect(),
+            },
         );
         rig
     }
@@ -78,7 +81,7 @@
     pub fn at(&mut self, now: u64, event: Event) -> Vec<Action> {
         self.out.clear();
         self.dispatcher.handle(Micros(now), event, &mut self.out);
-        let kept = |a: &&Action| !matches!(a, Action::Timer(..) | Action::Probe(_));
+        let kept = |a: &&Action| !matches!(a, Action::SetTimer { .. } | Action::Probe(_));
         self.out.iter().filter(kept).cloned().collect()
     }
 
@@ -87,20 +90,25 @@
         self.probed(now, worker, free, None);
     }
 
-    /// A worker tells that all of nine slots are free; all dispatchers together have so many calls out there.
+    /// A worker tells that all of nine slots are free; all dispatchers together have so many calls
+    /// out there.
     pub fn counted(&mut self, now: u64, worker: u32, held: f64) {
         self.probed(now, worker, 9.0, Some(held));
     }
 
     fn probed(&mut self, now: u64, worker: u32, free: f64, held: Option<f64>) {
-        let report = Report {
+        let report = LoadReport {
             free_slots: Some(free),
-            held,
-            ..Report::default()
+            in_flight: held,
+            ..LoadReport::default()
         };
         self.at(
             now,
-            Event::Probed(WorkerId(worker.into()), Outcome::Ok, Some(report)),
+            Event::ProbeEnded {
+                worker: WorkerId(worker.into()),
+                outcome: Outcome::Served,
+                report: Some(report),
+            },
         );
     }
 
@@ -112,33 +120,33 @@
         to: WorkerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        let ended = Ended {
-            id: RequestId(id),
+        let ended = AttemptEnded {
+            request: RequestId(id),
             attempt: go,
             worker: to,
             outcome,
-            closed: outcome == Outcome::Ok,
+            request_closed: outcome == Outcome::Served,
             latency: Micros(1000),
             report: None,
         };
-        self.at(now, Event::Ended(ended))
+        self.at(now, Event::AttemptEnded(ended))
     }
 
     /// Sends a job, and tells where it went.
     pub fn place_or_none(&mut self, now: u64, id: u64) -> Option<WorkerId> {
-        sent(&self.at(now, Event::Job(job(id))))
+        sent(&self.at(now, Event::JobReceived(job(id))))
     }
 
     /// Sends a job that must be placed, and tells where.
     pub fn place(&mut self, now: u64, id: u64) -> WorkerId {
-        sent(&self.at(now, Event::Job(job(id)))).expect("placed")
+        sent(&self.at(now, Event::JobReceived(job(id)))).expect("placed")
     }
 }
 
 /// The worker of the first send.
 pub fn sent(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
-        Action::Send(_, to, _) => Some(*to),
+        Action::Send { worker: to, .. } => Some(*to),
         _ => None,
     })
 }
--- a/crates/dispatcher/tests/decision_digest.rs
+++ b/crates/dispatcher/tests/decision_digest.rs
@@ -1,6 +1,6 @@
-//! Pins every decision of a dispatcher over seeded event histories: one changed random draw, timer or
-//! rejection changes a digest. The expected digests are written in `tests/snapshots/` and never edited by
-//! hand.
+//! Pins every decision of a dispatcher over seeded event histories: one changed random draw, timer
+//! or rejection changes a digest. The expected digests are written in `tests/snapshots/` and never
+//! edited by hand.
 
 use marbledeck_dispatcher::*;
 use std::collections::VecDeque;
@@ -35,7 +35,8 @@
     sent: u64,
 }
 
-/// Plays random events against one dispatcher and answers its actions like workers, clients and a list would.
+/// Plays random events against one dispatcher and answers its actions like workers, clients and a
+/// list would.
 struct History {
     dispatcher: Dispatcher,
     random: oorandom::Rand64,
@@ -75,7 +76,10 @@
 
     fn run(mut self) -> String {
         let everything = (0..WORKERS).map(|id| self.entry(id)).collect();
-        self.handle(Event::List(ListKind::Cached, everything));
+        self.handle(Event::WorkerList {
+            kind: WorkerListKind::Cached,
+            workers: everything,
+        });
         for _ in 0..STEPS {
             self.now += self.below(40 * MILLISECOND);
             self.fire_timers();
@@ -104,11 +108,11 @@
             class: ClassId(self.below(self.classes) as u32),
             tenant: TenantId(self.below(self.tenants) as u32),
             time_left: Micros(200 * MILLISECOND + self.below(6 * SECOND)),
-            cost_hint: (hint > 300 * MILLISECOND).then_some(Micros(hint)),
+            expected_work: (hint > 300 * MILLISECOND).then_some(Micros(hint)),
             slots: self.below(4) as f64,
             memory: self.below(3) as f64,
         };
-        self.handle(Event::Job(job));
+        self.handle(Event::JobReceived(job));
     }
 
     fn answer_probe(&mut self) {
@@ -118,25 +122,29 @@
         let outcome = match self.below(12) {
             0 => Outcome::TimedOut,
             1 => Outcome::ConnectFailed,
-            _ => Outcome::Ok,
+            _ => Outcome::Served,
         };
         let report = self.report();
-        self.handle(Event::Probed(worker, outcome, report));
+        self.handle(Event::ProbeEnded {
+            worker,
+            outcome,
+            report,
+        });
     }
 
-    fn report(&mut self) -> Option<Report> {
+    fn report(&mut self) -> Option<LoadReport> {
         let (slots, memory, held) = (self.below(10), self.below(8), self.below(9));
         match self.below(4) {
             0 => None,
-            1 => Some(Report {
+            1 => Some(LoadReport {
                 free_slots: Some(9.0),
                 free_memory: None,
-                held: Some(held as f64),
+                in_flight: Some(held as f64),
             }),
-            _ => Some(Report {
+            _ => Some(LoadReport {
                 free_slots: Some(slots as f64 + 0.2),
                 free_memory: Some(memory as f64),
-                held: None,
+                in_flight: None,
             }),
         }
     }
@@ -153,8 +161,14 @@
             } = self.open[i];
             let streaming = self.below(5) == 0;
             self.handle(match streaming {
-                true => Event::Streaming(request, number),
-                false => Event::Started(request, number),
+                true => Event::ResponseStarted {
+                    request,
+                    attempt: number,
+                },
+                false => Event::AttemptStarted {
+                    request,
+                    attempt: number,
+                },
             });
         }
     }
@@ -163,56 +177,65 @@
         let Some(i) = self.pick_open() else { return };
         let attempt = self.open.swap_remove(i);
         let outcome = match self.below(14) {
-            0 => Outcome::Error,
-            1 => Outcome::Full,
+            0 => Outcome::Failed,
+            1 => Outcome::Rejected,
             2 => Outcome::TimedOut,
             3 => Outcome::ConnectFailed,
             4 => Outcome::Reset,
             5 => Outcome::Cancelled,
-            6 => Outcome::Moot,
-            _ => Outcome::Ok,
+            6 => Outcome::NotSent,
+            _ => Outcome::Served,
         };
         let report = self.report();
-        self.handle(Event::Ended(Ended {
-            id: attempt.request,
+        self.handle(Event::AttemptEnded(AttemptEnded {
+            request: attempt.request,
             attempt: attempt.number,
             worker: attempt.worker,
             outcome,
-            closed: outcome == Outcome::Ok,
+            request_closed: outcome == Outcome::Served,
             latency: Micros(self.now - attempt.sent),
             report,
         }));
     }
 
-    fn entry(&mut self, id: u64) -> Entry {
+    fn entry(&mut self, id: u64) -> WorkerEntry {
         let state = match self.below(10) {
-            0 => State::Draining,
-            1 => State::Gone,
-            _ => State::Ready,
+            0 => WorkerState::Draining,
+            1 => WorkerState::Removed,
+            _ => WorkerState::Ready,
         };
         let started = self.below(self.now + 2 * SECOND);
-        Entry {
+        WorkerEntry {
             worker: WorkerId(id * 7_919),
             state,
             zone: ZoneId((id % 2) as u32),
             kind: KindId((id % 3) as u32),
             cell: (id % 5 != 0).then_some(CellId((id / 4) as u32)),
-            started: (id % 4 == 0).then_some(Micros(started.min(self.now))),
+            started_at: (id % 4 == 0).then_some(Micros(started.min(self.now))),
         }
     }
 
     fn change_list(&mut self) {
         let changed = 1 + self.below(4);
         let event = match self.below(8) {
-            0 => Event::List(ListKind::Failed, Vec::new()),
+            0 => Event::WorkerList {
+                kind: WorkerListKind::Failed,
+                workers: Vec::new(),
+            },
             1 => {
                 let all = (0..WORKERS).map(|id| self.entry(id)).collect();
-                Event::List(ListKind::Full, all)
+                Event::WorkerList {
+                    kind: WorkerListKind::Full,
+                    workers: all,
+                }
             }
             _ => {
                 let ids: Vec<u64> = (0..changed).map(|_| self.below(WORKERS)).collect();
                 let entries = ids.into_iter().map(|id| self.entry(id)).collect();
-                Event::List(ListKind::Delta, entries)
+                Event::WorkerList {
+                    kind: WorkerListKind::Delta,
+                    workers: entries,
+                }
             }
         };
         self.handle(event);
@@ -221,14 +244,14 @@
     fn client_leaves(&mut self) {
         if self.next_request > 0 {
             let back = self.below(12).min(self.next_request - 1);
-            self.handle(Event::Gone(RequestId(self.next_request - back)));
+            self.handle(Event::ClientLeft(RequestId(self.next_request - back)));
         }
     }
 
     fn fire_timers(&mut self) {
         while let Some(i) = self.timers.iter().position(|(at, _)| *at <= self.now) {
             let (_, id) = self.timers.remove(i);
-            self.handle(Event::Timer(id));
+            self.handle(Event::TimerExpired(TimerId(id)));
         }
     }
 
@@ -249,24 +272,37 @@
         let mut text = String::new();
         let micros = |moment: Option<Micros>| moment.map_or("-".to_owned(), |m| m.0.to_string());
         match action {
-            Action::Send(id, worker, latest) => {
+            Action::Send {
+                request: id,
+                worker,
+                send_before: latest,
+            } => {
                 self.open_attempt(id, worker);
                 write!(text, "send {} {} {}", id.0, worker.0, micros(latest))
             }
-            Action::Refuse(id, retry_after) => {
+            Action::Reject {
+                request: id,
+                retry_after,
+            } => {
                 write!(text, "refuse {} {}", id.0, micros(retry_after))
             }
             Action::Fail(id) => write!(text, "fail {}", id.0),
-            Action::Cancel(id, number) => write!(text, "cancel {} {number}", id.0),
+            Action::Cancel {
+                request: id,
+                attempt: number,
+            } => write!(text, "cancel {} {number}", id.0),
             Action::Probe(worker) => {
                 self.probes.push_back(worker);
                 write!(text, "probe {}", worker.0)
             }
-            Action::Timer(at, id) => {
+            Action::SetTimer {
+                at,
+                timer: TimerId(id),
+            } => {
                 self.timers.push((at.0, id));
                 write!(text, "timer {} {id}", at.0)
             }
-            Action::Watch => write!(text, "watch"),
+            Action::WatchWorkers => write!(text, "watch"),
         }
         .expect("a string takes it");
         text
@@ -293,12 +329,12 @@
     }
 }
 
-fn class(effect: Effect, aim: u64, kind: Option<u32>) -> Class {
+fn class(effect: Idempotency, aim: u64, kind: Option<u32>) -> Class {
     Class {
-        effect,
+        idempotency: effect,
         kind: kind.map(KindId),
-        aim: Micros(aim),
-        stretch: 1.5,
+        latency_objective: Micros(aim),
+        objective_stretch: 1.5,
         deadline: Micros(6 * SECOND),
     }
 }
@@ -306,11 +342,32 @@
 fn classes() -> Vec<Class> {
     let window = Micros(2 * SECOND);
     vec![
-        class(Effect::Safe, 400 * MILLISECOND, None),
-        class(Effect::Keyed(Group::All, window), 700 * MILLISECOND, None),
-        class(Effect::Keyed(Group::Zone, window), SECOND, None),
-        class(Effect::Keyed(Group::Cell, window), SECOND, Some(1)),
-        class(Effect::Unsafe, 2 * SECOND, None),
+        class(Idempotency::Idempotent, 400 * MILLISECOND, None),
+        class(
+            Idempotency::Keyed {
+                scope: DeduplicationScope::All,
+                window,
+            },
+            700 * MILLISECOND,
+            None,
+        ),
+        class(
+            Idempotency::Keyed {
+                scope: DeduplicationScope::Zone,
+                window,
+            },
+            SECOND,
+            None,
+        ),
+        class(
+            Idempotency::Keyed {
+                scope: DeduplicationScope::Cell,
+                window,
+            },
+            SECOND,
+            Some(1),
+        ),
+        class(Idempotency::NotIdempotent, 2 * SECOND, None),
     ]
 }
 
@@ -328,8 +385,8 @@
         dispatchers,
         index: dispatchers / 2,
         classes: classes(),
-        reporting: Reporting::Carried,
-        tells_start: true,
+        load_reporting: LoadReporting::Piggybacked,
+        reports_starts: true,
         ..Settings::default()
     }
 }
@@ -340,18 +397,18 @@
     for (name, dispatchers) in [("3 dispatchers", 3), ("300 dispatchers", 300)] {
         let plain = base(dispatchers);
         let mut probing = plain.clone();
-        probing.reporting = Reporting::Probed;
+        probing.load_reporting = LoadReporting::Probed;
         probing.limits.probes = true;
         let mut polled = probing.clone();
-        polled.ask_list = true;
+        polled.polls_worker_list = true;
         polled.tenants = tenants();
         let mut hedged = polled.clone();
-        hedged.limits.second_copies = true;
-        hedged.limits.cancel = true;
+        hedged.limits.hedging = true;
+        hedged.limits.cancellation = true;
         hedged.zone = ZoneId(1);
         let mut silent = plain.clone();
-        silent.reporting = Reporting::Never;
-        silent.tells_start = false;
+        silent.load_reporting = LoadReporting::Never;
+        silent.reports_starts = false;
         silent.tenants = tenants();
         silent.limits.max_retry_after = None;
         variants.extend([
@@ -390,7 +447,7 @@
         settings.tenants = tenants();
         settings.limits.probes = true;
         let mut history = History::new(&settings, seed);
-        history.dispatcher.share(Micros(0), 2);
+        history.dispatcher.set_processes(Micros(0), 2);
         let quotas = [Some(3.0), None, Some(20.0)];
         history.dispatcher.set_quotas(Micros(0), &quotas);
         writeln!(digests, "seed {seed}: {}", history.run()).expect("a string takes it");
--- a/crates/dispatcher/tests/size.rs
+++ b/crates/dispatcher/tests/size.rs
@@ -4,13 +4,14 @@
 use common::*;
 use marbledeck_dispatcher::*;
 
-/// Settings as at full size: far more dispatchers than one hears of workers, probes and copies allowed.
-fn large(effect: Effect, dispatchers: u32) -> Settings {
+/// Settings as at full size: far more dispatchers than one hears of workers, probes and copies
+/// allowed.
+fn large(effect: Idempotency, dispatchers: u32) -> Settings {
     let mut s = tenants(settings(effect), &[300.0, 300.0]);
     s.dispatchers = dispatchers;
     s.limits.probes = true;
-    s.limits.cancel = true;
-    s.limits.second_copies = true;
+    s.limits.cancellation = true;
+    s.limits.hedging = true;
     s
 }
 
@@ -25,24 +26,24 @@
 /// When the dispatcher wants to be woken, and the number to wake it with.
 fn timer(out: &[Action]) -> Option<(u64, u64)> {
     out.iter().find_map(|action| match action {
-        Action::Timer(at, n) => Some((at.0, *n)),
+        Action::SetTimer { at, timer } => Some((at.0, timer.0)),
         _ => None,
     })
 }
 
 fn job_of(id: u64, tenant: u32) -> Event {
-    Event::Job(Job {
+    Event::JobReceived(Job {
         tenant: TenantId(tenant),
         ..job(id)
     })
 }
 
-/// Guards the price of probes: 500 workers are no reason for more of them than the jobs bring, and without
-/// jobs there are none, nor timers.
+/// Guards the price of probes: 500 workers are no reason for more of them than the jobs bring, and
+/// without jobs there are none, nor timers.
 #[test]
 fn probes_and_timers_go_with_the_jobs_and_not_with_the_fleet() {
     let count = |workers: u32| {
-        let mut rig = Rig::new(large(Effect::Safe, 600), workers);
+        let mut rig = Rig::new(large(Idempotency::Idempotent, 600), workers);
         assert!(rig.out.is_empty(), "a list alone brings nothing");
         let (mut asked, mut timers) = (0, 0);
         for id in 0..200u64 {
@@ -52,17 +53,23 @@
             timers += rig
                 .out
                 .iter()
-                .filter(|a| matches!(a, Action::Timer(..)))
+                .filter(|a| matches!(a, Action::SetTimer { .. }))
                 .count();
             for w in probes(&rig.out.clone()) {
                 rig.report(now + 5000, w.0 as u32, 4.0);
                 timers += rig
                     .out
                     .iter()
-                    .filter(|a| matches!(a, Action::Timer(..)))
+                    .filter(|a| matches!(a, Action::SetTimer { .. }))
                     .count();
             }
-            rig.at(now + 6000, Event::Started(RequestId(id), 0));
+            rig.at(
+                now + 6000,
+                Event::AttemptStarted {
+                    request: RequestId(id),
+                    attempt: 0,
+                },
+            );
         }
         (asked, timers)
     };
@@ -79,11 +86,11 @@
     }
 }
 
-/// Guards against a blind draw: a job waits for all the answers and goes where there is most room. Half of the jobs
-/// sent on a single free slot wait there, since others are sent on it too.
+/// Guards against a blind draw: a job waits for all the answers and goes where there is most room.
+/// Half of the jobs sent on a single free slot wait there, since others are sent on it too.
 #[test]
 fn a_job_hears_all_that_it_asked() {
-    let mut rig = Rig::new(large(Effect::Safe, 600), 300);
+    let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
     assert_eq!(rig.at(0, job_of(1, 0)), [], "held");
     let asked = probes(&rig.out);
     assert_eq!(asked.len(), 4, "{asked:?}");
@@ -96,12 +103,13 @@
     assert_eq!(sent(&rig.out), Some(asked[2]));
 }
 
-/// What all dispatchers count together is known to those few only that ask in the same milliseconds: the job goes to the
-/// freest of those counted, not to it in proportion, and not to one that told of more room itself.
+/// What all dispatchers count together is known to those few only that ask in the same
+/// milliseconds: the job goes to the freest of those counted, not to it in proportion, and not to
+/// one that told of more room itself.
 #[test]
 fn a_job_goes_to_the_freest_that_was_counted() {
     for seed in 0..60 {
-        let mut rig = Rig::seeded(large(Effect::Safe, 600), 300, seed);
+        let mut rig = Rig::seeded(large(Idempotency::Idempotent, 600), 300, seed);
         // Known since a moment ago, by its own report.
         rig.report(0, 299, 9.0);
         rig.at(1000, job_of(1, 0));
@@ -116,7 +124,7 @@
 /// A slot of the own zone weighs two of another, whose crossing would have its price.
 #[test]
 fn the_freest_is_sought_in_the_own_zone_first() {
-    let mut s = large(Effect::Safe, 600);
+    let mut s = large(Idempotency::Idempotent, 600);
     s.zone = ZoneId(3);
     for (held, to) in [(5.0, 12), (7.0, 10)] {
         // The walk of the probes begins after the seed; the own zone has 12 to 15.
@@ -129,12 +137,13 @@
     }
 }
 
-/// What was counted a while ago is no room: at 300 dispatchers half of all jobs went to full workers while the fleet was
-/// too small, by what their nodes remembered of them. The job asks anew, also where most of the fleet was heard of.
+/// What was counted a while ago is no room: at 300 dispatchers half of all jobs went to full
+/// workers while the fleet was too small, by what their nodes remembered of them. The job asks
+/// anew, also where most of the fleet was heard of.
 #[test]
 fn what_was_counted_a_while_ago_is_asked_for_anew() {
     for heard in [20, 300] {
-        let mut rig = Rig::new(large(Effect::Safe, 600), 300);
+        let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
         (0..heard).for_each(|w| rig.counted(0, w, 3.0));
         let mut now = SECOND / 5;
         rig.at(now, job_of(1, 0));
@@ -153,7 +162,7 @@
             }
             let (at, n) = wake.expect("asks on");
             now = at;
-            rig.at(now, Event::Timer(n));
+            rig.at(now, Event::TimerExpired(TimerId(n)));
         }
         let asked = probes(&rig.out);
         for (n, worker) in asked.iter().enumerate() {
@@ -164,11 +173,12 @@
     }
 }
 
-/// Where no worker has room every job asks, for nothing, and that is a load as well: each round comes at twice the time
-/// since the first, so that a job that finds none asks four times, not six, and is given up after four tenths of what it can spare.
+/// Where no worker has room every job asks, for nothing, and that is a load as well: each round
+/// comes at twice the time since the first, so that a job that finds none asks four times, not six,
+/// and is given up after four tenths of what it can spare.
 #[test]
 fn a_job_that_finds_no_room_asks_less_and_less_often() {
-    let mut rig = Rig::new(large(Effect::Safe, 600), 300);
+    let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
     rig.at(0, job_of(1, 0));
     let mut asked = vec![];
     loop {
@@ -181,19 +191,23 @@
         for worker in probes(&rig.out.clone()) {
             rig.counted(now + 5000, worker.0 as u32, 12.0);
         }
-        rig.at(at, Event::Timer(n));
+        rig.at(at, Event::TimerExpired(TimerId(n)));
     }
     let first = asked[0].1;
     let at: Vec<u64> = asked.iter().map(|(_, at)| at / first).collect();
     assert_eq!(at, [1, 2, 4, 8]);
     assert!(asked.iter().all(|(probes, _)| *probes == 4), "{asked:?}");
-    assert!(matches!(rig.out[..], [Action::Refuse(..)]), "{:?}", rig.out);
+    assert!(
+        matches!(rig.out[..], [Action::Reject { .. }]),
+        "{:?}",
+        rig.out
+    );
 }
 
 /// Where none of them has room, the job goes to the first that shows some.
 #[test]
 fn a_held_job_goes_when_any_worker_has_room() {
-    let mut rig = Rig::new(large(Effect::Safe, 600), 300);
+    let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
     rig.at(0, job_of(1, 0));
     for w in probes(&rig.out.clone()) {
         rig.report(5000, w.0 as u32, 0.0);
@@ -203,16 +217,17 @@
     assert_eq!(sent(&rig.out), Some(WorkerId(299)));
 }
 
-/// A job asks others while none has room, and is given up well before it is late: in a worker's queue it would be in the
-/// way of jobs that can still be in time. It says when to come back, and asks no longer than its client waits.
+/// A job asks others while none has room, and is given up well before it is late: in a worker's
+/// queue it would be in the way of jobs that can still be in time. It says when to come back, and
+/// asks no longer than its client waits.
 #[test]
 fn a_held_job_asks_on_and_is_given_up_in_good_time() {
     for (left, latest) in [(10 * SECOND, SECOND), (SECOND / 5, SECOND / 5), (1, 1)] {
-        let mut rig = Rig::new(large(Effect::Safe, 600), 300);
+        let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
         let time_left = Micros(left);
         rig.at(
             0,
-            Event::Job(Job {
+            Event::JobReceived(Job {
                 time_left,
                 ..job(1)
             }),
@@ -229,73 +244,103 @@
             let (at, n) = wake.expect("asks on");
             (now, rounds) = (at, rounds + 1);
             assert!(rounds < 50, "without end");
-            if let Some(last) = rig.at(at, Event::Timer(n)).first() {
+            if let Some(last) = rig.at(at, Event::TimerExpired(TimerId(n))).first() {
                 break last.clone();
             }
         };
-        assert!(matches!(answer, Action::Refuse(_, Some(_))), "{answer:?}");
+        assert!(
+            matches!(
+                answer,
+                Action::Reject {
+                    retry_after: Some(_),
+                    ..
+                }
+            ),
+            "{answer:?}"
+        );
         assert!(now <= latest, "{now}");
         assert!(rounds > 2 || left < SECOND, "{rounds} rounds");
     }
 }
 
-/// Guards against waiting at a worker that has failed: a job that has not started goes to one with room and the first
-/// attempt is cancelled; only where a copy is allowed, and only there. A copy does not take the first one back: where
-/// every job that waits is copied, the copies of 100 dispatchers make the next jobs wait.
+/// Guards against waiting at a worker that has failed: a job that has not started goes to one with
+/// room and the first attempt is cancelled; only where a copy is allowed, and only there. A copy
+/// does not take the first one back: where every job that waits is copied, the copies of 100
+/// dispatchers make the next jobs wait.
 #[test]
 fn a_waiting_job_leaves_a_failed_worker_where_copies_are_allowed() {
-    let group = Effect::Keyed(Group::Cell, Micros(9 * SECOND));
+    let group = Idempotency::Keyed {
+        scope: DeduplicationScope::Cell,
+        window: Micros(9 * SECOND),
+    };
     for (effect, copies, fails, moves) in [
-        (Effect::Safe, true, true, true),
+        (Idempotency::Idempotent, true, true, true),
         (group, true, true, true),
-        (Effect::Safe, true, false, false),
-        (Effect::Safe, false, true, false),
-        (Effect::Unsafe, true, true, false),
+        (Idempotency::Idempotent, true, false, false),
+        (Idempotency::Idempotent, false, true, false),
+        (Idempotency::NotIdempotent, true, true, false),
     ] {
         let mut s = large(effect, 600);
-        s.limits.second_copies = copies;
+        s.limits.hedging = copies;
         let mut rig = Rig::new(s, 4);
         (0..4).for_each(|w| rig.report(0, w, 1.0));
         let first = rig.place(0, 1);
         if fails {
-            rig.at(SECOND / 4, Event::Probed(first, Outcome::TimedOut, None));
+            rig.at(
+                SECOND / 4,
+                Event::ProbeEnded {
+                    worker: first,
+                    outcome: Outcome::TimedOut,
+                    report: None,
+                },
+            );
         }
-        rig.at(SECOND / 2, Event::Timer(1));
+        rig.at(SECOND / 2, Event::TimerExpired(TimerId(1)));
         let mut moved = None;
         for w in (0..4).filter(|w| u64::from(*w) != first.0) {
             rig.report(SECOND / 2 + 5000, w, 1.0);
             if let Some(to) = sent(&rig.out) {
                 moved = Some(to);
-                assert!(rig.out.contains(&Action::Cancel(RequestId(1), 0)));
+                assert!(rig.out.contains(&Action::Cancel {
+                    request: RequestId(1),
+                    attempt: 0
+                }));
             }
         }
         assert_eq!(moved.is_some(), moves, "{effect:?} {copies} {fails}");
-        if let (Effect::Keyed(..), Some(to)) = (effect, moved) {
+        if let (Idempotency::Keyed { .. }, Some(to)) = (effect, moved) {
             assert_eq!(to.0 / 2, first.0 / 2, "within its cell");
         }
     }
 }
 
-/// Guards the fourth rule at size: a part of a cold worker's budget is below one job, so some of 200 dispatchers may
-/// send a whole one and the sum stays within the budget. They are others in each window: a worker that has to wait for
-/// the same few finds them without a job, and stays idle while it warms up.
+/// Guards the fourth rule at size: a part of a cold worker's budget is below one job, so some of
+/// 200 dispatchers may send a whole one and the sum stays within the budget. They are others in
+/// each window: a worker that has to wait for the same few finds them without a job, and stays idle
+/// while it warms up.
 #[test]
 fn the_parts_of_all_dispatchers_keep_a_cold_workers_budget_and_use_it() {
     for id in [0, 7, 123] {
-        let mut s = large(Effect::Safe, 200);
+        let mut s = large(Idempotency::Idempotent, 200);
         s.limits.probes = false;
-        s.classes[0].aim = Micros(SECOND / 2); // the first guess of a job's length
-        s.rules.cold_from = 0.25;
+        s.classes[0].latency_objective = Micros(SECOND / 2); // the first guess of a job's length
+        s.rules.initial_capacity = 0.25;
         s.rules.warm_up = Micros(800 * SECOND);
         let start = 100 * SECOND;
         let mut rigs: Vec<Rig> = (0..200)
             .map(|index| {
                 let mut rig = Rig::new(Settings { index, ..s.clone() }, 0);
-                let cold = Entry {
-                    started: Some(Micros(start)),
+                let cold = WorkerEntry {
+                    started_at: Some(Micros(start)),
                     ..worker(id)
                 };
-                rig.at(start, Event::List(ListKind::Full, vec![cold]));
+                rig.at(
+                    start,
+                    Event::WorkerList {
+                        kind: WorkerListKind::Full,
+                        workers: vec![cold],
+                    },
+                );
                 rig
             })
             .collect();
@@ -308,7 +353,7 @@
                 for n in 0..4 {
                     let n = 10 * window + n;
                     if sent(&rig.at(now, job_of(n, n as u32 % 2))).is_some() {
-                        rig.end(now, n, 0, WorkerId(id.into()), Outcome::Ok);
+                        rig.end(now, n, 0, WorkerId(id.into()), Outcome::Served);
                         sum += 1;
                         senders.insert(index);
                     }
@@ -321,28 +366,35 @@
     }
 }
 
-/// However many dispatchers there are, and wherever a window begins: all of them together send a cold worker no more than
-/// its budget of calls and what the rule puts down to chance, though each has a job for it at all times.
+/// However many dispatchers there are, and wherever a window begins: all of them together send a
+/// cold worker no more than its budget of calls and what the rule puts down to chance, though each
+/// has a job for it at all times.
 #[test]
 fn no_window_of_a_cold_worker_holds_more_than_its_budget_and_chance() {
     const STEP: u64 = SECOND / 40;
     for dispatchers in [3, 20, 30, 300] {
         for budget in [1, 2, 4, 8, 15, 20, 25, 29, 40, 60, 150] {
-            let mut s = large(Effect::Safe, dispatchers);
+            let mut s = large(Idempotency::Idempotent, dispatchers);
             s.limits.probes = false;
             // Factor 2, a quarter of 4 slots, one second: two slot-seconds, in so many jobs.
-            s.classes[0].aim = Micros(2 * SECOND / budget);
-            s.rules.cold_from = 0.25;
+            s.classes[0].latency_objective = Micros(2 * SECOND / budget);
+            s.rules.initial_capacity = 0.25;
             s.rules.warm_up = Micros(8000 * SECOND);
             let start = 100 * SECOND;
             let mut rigs: Vec<Rig> = (0..dispatchers)
                 .map(|index| {
                     let mut rig = Rig::new(Settings { index, ..s.clone() }, 0);
-                    let cold = Entry {
-                        started: Some(Micros(start)),
+                    let cold = WorkerEntry {
+                        started_at: Some(Micros(start)),
                         ..worker(7)
                     };
-                    rig.at(start, Event::List(ListKind::Full, vec![cold]));
+                    rig.at(
+                        start,
+                        Event::WorkerList {
+                            kind: WorkerListKind::Full,
+                            workers: vec![cold],
+                        },
+                    );
                     rig
                 })
                 .collect();
@@ -381,21 +433,22 @@
     }
 }
 
-/// A dispatcher that has just started has forgotten what it sent to a cold worker, so it waits a window.
+/// A dispatcher that has just started has forgotten what it sent to a cold worker, so it waits a
+/// window.
 #[test]
 fn a_restarted_dispatcher_sends_a_cold_worker_nothing_at_first() {
-    let mut s = large(Effect::Safe, 1);
+    let mut s = large(Idempotency::Idempotent, 1);
     s.limits.probes = false;
     let mut rig = Rig::new(s, 0);
     let cold = |now| {
         let started = Some(Micros(now));
-        Event::List(
-            ListKind::Full,
-            vec![Entry {
-                started,
+        Event::WorkerList {
+            kind: WorkerListKind::Full,
+            workers: vec![WorkerEntry {
+                started_at: started,
                 ..worker(0)
             }],
-        )
+        }
     };
     rig.at(0, cold(0));
     rig.report(0, 0, 40.0);
@@ -404,11 +457,11 @@
     assert!(sent(&rig.at(2 * SECOND, job_of(2, 0))).is_some());
 }
 
-/// Guards against old reports that open every dispatcher's gate at once: a flooding tenant's uncharged jobs
-/// take turns, and those of another tenant do not wait for them.
+/// Guards against old reports that open every dispatcher's gate at once: a flooding tenant's
+/// uncharged jobs take turns, and those of another tenant do not wait for them.
 #[test]
 fn uncharged_jobs_of_a_tenant_take_turns() {
-    let mut s = tenants(settings(Effect::Safe), &[0.01, 0.01]);
+    let mut s = tenants(settings(Idempotency::Idempotent), &[0.01, 0.01]);
     s.dispatchers = 100;
     let mut rig = Rig::new(s, 40);
     for w in 0..40 {
@@ -421,18 +474,24 @@
         if let Some(to) = sent(&rig.at(now, job_of(id, tenant as u32))) {
             passed[tenant] += 1;
             assert!(to.0 < 40);
-            rig.at(now, Event::Started(RequestId(id), 0));
+            rig.at(
+                now,
+                Event::AttemptStarted {
+                    request: RequestId(id),
+                    attempt: 0,
+                },
+            );
         }
     }
     // One token at the start for the first, then one turn each.
     assert_eq!(passed, [2, 1]);
 }
 
-/// A jam is told by the few workers where own attempts were; one that has only just been sent to is no
-/// evidence of the contrary, and one that shows room is.
+/// A jam is told by the few workers where own attempts were; one that has only just been sent to is
+/// no evidence of the contrary, and one that shows room is.
 #[test]
 fn a_jam_is_told_from_a_thin_view() {
-    let mut s = large(Effect::Unsafe, 600);
+    let mut s = large(Idempotency::NotIdempotent, 600);
     s.limits.probes = false;
     let mut rig = Rig::new(s, 300);
     for id in 0..12 {
@@ -447,7 +506,7 @@
 /// No report shows any room: nothing passes uncharged, however few slots are known.
 #[test]
 fn no_room_at_all_keeps_the_gate_shut() {
-    let mut s = tenants(settings(Effect::Safe), &[0.01]);
+    let mut s = tenants(settings(Idempotency::Idempotent), &[0.01]);
     s.dispatchers = 9;
     let mut rig = Rig::new(s, 1);
     rig.report(0, 0, 0.0);
--- a/crates/membership/examples/bad_days.rs
+++ b/crates/membership/examples/bad_days.rs
@@ -1,9 +1,9 @@
 //! What a registry's bad days cost, with the guard and without it, in virtual time: 100 workers, of which ten die at
 //! different moments of ten minutes. Prints Markdown; the same figures at every run.
 
-use marbledeck_dispatcher::{Micros, State};
-use marbledeck_platform_settings::worker_id;
+use marbledeck_dispatcher::{Micros, WorkerState};
 use marbledeck_membership::{Guard, Membership, Sign, Status, Word};
+use marbledeck_platform_settings::worker_id;
 use std::collections::HashMap;
 
 const WORKERS: usize = 100;
@@ -92,7 +92,7 @@
         }
         for entry in entries {
             let n = by_worker[&entry.worker];
-            let is = entry.state == State::Ready;
+            let is = entry.state == WorkerState::Ready;
             wrong += u64::from(ready[n] && !is && lives(n));
             ready[n] = is;
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,7 +15,7 @@
 //! assert!(told.entries.is_empty());
 //! // An explicit word is never held back.
 //! let told = membership.change(Micros(2), registry, word("w1", Status::OutOfService));
-//! assert_eq!(told.entries[0].state, State::Draining);
+//! assert_eq!(told.entries[0].state, WorkerState::Draining);
 //! ```
 #![forbid(unsafe_code)]
 
@@ -27,7 +27,7 @@
 pub use word::{Status, Word};
 
 use guard::Doubt;
-use marbledeck_dispatcher::{Entry, KindId, Micros, State, WorkerId, ZoneId};
+use marbledeck_dispatcher::{KindId, Micros, WorkerEntry, WorkerId, WorkerState, ZoneId};
 use marbledeck_platform_settings::worker_id;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
 #[derive(Debug, Default)]
 pub struct Told {
     /// The entries that are new or have changed.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<WorkerEntry>,
     /// Workers whose connections are of no more use: gone, moved or started anew.
     pub stale: Vec<WorkerId>,
 }
@@ -108,7 +108,7 @@
 pub struct View {
     pub id: String,
     /// What the decision module was told.
-    pub state: State,
+    pub state: WorkerState,
     /// Why it is in or out, in words.
     pub why: String,
     pub addr: Option<SocketAddr>,
@@ -119,7 +119,7 @@
 /// What was told of a worker last.
 #[derive(Clone, Debug)]
 struct Shown {
-    entry: Entry,
+    entry: WorkerEntry,
     place: Option<Place>,
 }
 
@@ -215,7 +215,7 @@
     }
 
     /// What the decision module was told of a worker last.
-    pub fn told_of(&self, worker: WorkerId) -> Option<&Entry> {
+    pub fn told_of(&self, worker: WorkerId) -> Option<&WorkerEntry> {
         let shown = self.shown.get(self.by_worker.get(&worker)?)?;
         Some(&shown.entry)
     }
@@ -388,7 +388,7 @@
     }
 
     /// The entries of all workers that are shown, for a list that replaces another.
-    pub fn all(&self) -> Vec<Entry> {
+    pub fn all(&self) -> Vec<WorkerEntry> {
         self.shown
             .values()
             .map(|shown| shown.entry.clone())
@@ -396,7 +396,7 @@
     }
 
     /// The entry of a worker, as it was told last.
-    pub fn entry(&self, id: &str) -> Option<Entry> {
+    pub fn entry(&self, id: &str) -> Option<WorkerEntry> {
         self.shown.get(id).map(|shown| shown.entry.clone())
     }
 
@@ -549,24 +549,24 @@
                 self.by_worker.remove(&worker);
                 self.alive.remove(&worker);
                 told.stale.push(worker);
-                told.entries.push(Entry {
-                    state: State::Gone,
+                told.entries.push(WorkerEntry {
+                    state: WorkerState::Removed,
                     ..old.entry
                 });
             }
             return;
         };
-        let entry = Entry {
+        let entry = WorkerEntry {
             worker,
             state: if merged.up {
-                State::Ready
+                WorkerState::Ready
             } else {
-                State::Draining
+                WorkerState::Draining
             },
             zone: ZoneId(position(&self.zones, &merged.zone)),
             kind: KindId(position(&self.kinds, &merged.kind)),
             cell: merged.cell,
-            started: merged.started,
+            started_at: merged.started,
         };
         let place = merged.addr.map(|addr| Place {
             name: id.to_owned(),
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,7 +1,7 @@
 //! The precedence: one place says which of several words on a worker counts.
 
 use crate::{Heard, Membership, SourceId, Status, View};
-use marbledeck_dispatcher::{CellId, Micros, State};
+use marbledeck_dispatcher::{CellId, Micros, WorkerState};
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
@@ -112,9 +112,9 @@
             })
         });
         let (state, why) = match &merged {
-            None => (State::Gone, "no source names it".to_owned()),
-            Some(Merged { why: Some(why), .. }) => (State::Draining, why.clone()),
-            Some(_) => (State::Ready, doubt.unwrap_or_else(|| "in".to_owned())),
+            None => (WorkerState::Removed, "no source names it".to_owned()),
+            Some(Merged { why: Some(why), .. }) => (WorkerState::Draining, why.clone()),
+            Some(_) => (WorkerState::Ready, doubt.unwrap_or_else(|| "in".to_owned())),
         };
         View {
             id: id.to_owned(),
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -1,8 +1,8 @@
 //! The precedence and the guard, case by case.
 
-use marbledeck_dispatcher::{Entry, Micros, State};
-use marbledeck_platform_settings::worker_id;
+use marbledeck_dispatcher::{Micros, WorkerEntry, WorkerState};
 use marbledeck_membership::{Guard, Membership, Sign, SourceId, Status, Told, Word};
+use marbledeck_platform_settings::worker_id;
 
 fn secs(s: u64) -> Micros {
     Micros(s * 1_000_000)
@@ -12,12 +12,12 @@
     Word::new(id, &format!("127.0.0.1:{port}"), Status::Up)
 }
 
-fn state(told: &Told, id: &str) -> Option<State> {
+fn state(told: &Told, id: &str) -> Option<WorkerState> {
     let entry = told
         .entries
         .iter()
         .rev()
-        .find(|entry: &&Entry| entry.worker == worker_id(id));
+        .find(|entry: &&WorkerEntry| entry.worker == worker_id(id));
     entry.map(|entry| entry.state)
 }
 
@@ -86,7 +86,9 @@
         assert_eq!(when(alive), Some(1 + 300), "{alive}");
     }
     assert_eq!(gone.len(), 5);
-    assert!(gone.iter().all(|(.., state)| *state == State::Gone));
+    assert!(gone
+        .iter()
+        .all(|(.., state)| *state == WorkerState::Removed));
 }
 
 /// A budget of probes: with more doubtful workers than it allows in a span, all have their turn.
@@ -144,16 +146,16 @@
     };
     assert_eq!(
         state(&members.change(secs(1), registry, word), "w1"),
-        Some(State::Draining)
+        Some(WorkerState::Draining)
     );
     assert_eq!(
         state(&members.remove(secs(1), registry, "w2", true), "w2"),
-        Some(State::Gone)
+        Some(WorkerState::Removed)
     );
     // One that was out of service and is missing goes at once.
     assert_eq!(
         state(&members.remove(secs(2), registry, "w1", false), "w1"),
-        Some(State::Gone)
+        Some(WorkerState::Removed)
     );
 }
 
@@ -186,7 +188,7 @@
     let told = members.list(now, registry, vec![up("w1", 8001), up("w2", 8002)]);
     assert_eq!(
         (told.entries.len(), state(&told, "w2")),
-        (1, Some(State::Ready))
+        (1, Some(WorkerState::Ready))
     );
     assert_eq!(members.doubtful(), 0);
 }
@@ -204,7 +206,7 @@
     };
     members.change(secs(9), first, started(5, 8001));
     let told = members.change(secs(9), second, started(7, 8002));
-    assert_eq!(told.entries[0].started, Some(secs(7)));
+    assert_eq!(told.entries[0].started_at, Some(secs(7)));
     assert_eq!(told.stale, [worker_id("w1")], "it has moved");
     assert_eq!(members.place(worker_id("w1")).unwrap().addr.port(), 8002);
     let drain = Word {
@@ -213,7 +215,7 @@
     };
     assert_eq!(
         state(&members.change(secs(9), first, drain), "w1"),
-        Some(State::Draining)
+        Some(WorkerState::Draining)
     );
     assert!(members
         .change(secs(9), second, started(7, 8002))
@@ -222,7 +224,7 @@
     members.change(secs(9), first, started(5, 8001));
     assert_eq!(
         state(&members.set_out("w1", true), "w1"),
-        Some(State::Draining)
+        Some(WorkerState::Draining)
     );
     assert!(members
         .change(secs(9), second, started(7, 8002))
@@ -231,7 +233,7 @@
     assert_eq!(members.views(secs(9))[0].why, "out by hand");
     assert_eq!(
         state(&members.set_out("w1", false), "w1"),
-        Some(State::Ready)
+        Some(WorkerState::Ready)
     );
     assert!(members
         .remove(secs(9), second, "w1", true)
@@ -250,12 +252,12 @@
     let told = members.change(secs(0), first, up("w1", 8001));
     assert_eq!(
         (state(&told, "w1"), state(&told, "host:8001")),
-        (Some(State::Ready), Some(State::Draining))
+        (Some(WorkerState::Ready), Some(WorkerState::Draining))
     );
     let told = members.remove(secs(0), first, "w1", true);
     assert_eq!(
         (state(&told, "w1"), state(&told, "host:8001")),
-        (Some(State::Gone), Some(State::Ready))
+        (Some(WorkerState::Removed), Some(WorkerState::Ready))
     );
 }
 
@@ -278,12 +280,12 @@
             &members.change(secs(1), registry, dirty(6, Status::Up)),
             "w1"
         ),
-        Some(State::Ready)
+        Some(WorkerState::Ready)
     );
     for order in [[Status::Up, Status::Down], [Status::Down, Status::Up]] {
         let list = order.map(|status| dirty(7, status)).into();
         members.list(secs(2), registry, list);
-        assert_eq!(members.entry("w1").unwrap().state, State::Draining);
+        assert_eq!(members.entry("w1").unwrap().state, WorkerState::Draining);
     }
 }
 
--- a/crates/membership/tests/search.rs
+++ b/crates/membership/tests/search.rs
@@ -1,9 +1,9 @@
 //! An exhaustive search: every sequence of so many steps of two sources, an operator and signs, for three workers, is
 //! played against the membership, and each step is held against what it must not do.
 
-use marbledeck_dispatcher::{Micros, State};
-use marbledeck_platform_settings::worker_id;
+use marbledeck_dispatcher::{Micros, WorkerState};
 use marbledeck_membership::{Guard, Membership, Sign, SourceId, Status, Word};
+use marbledeck_platform_settings::worker_id;
 use std::collections::BTreeMap;
 
 const IDS: [&str; 3] = ["w1", "w2", "w3"];
@@ -74,7 +74,7 @@
     registry: SourceId,
     now: Micros,
     /// What the module was told last.
-    told: BTreeMap<&'static str, State>,
+    told: BTreeMap<&'static str, WorkerState>,
     /// Who is out by hand, drained by the directory, or told off by the registry.
     by_hand: [bool; 3],
     drained: [bool; 3],
@@ -197,15 +197,19 @@
         }
     }
 
-    fn check(&mut self, step: Step, before: &BTreeMap<&'static str, State>) -> Result<(), String> {
+    fn check(
+        &mut self,
+        step: Step,
+        before: &BTreeMap<&'static str, WorkerState>,
+    ) -> Result<(), String> {
         for (at, id) in IDS.into_iter().enumerate() {
-            let state = self.told.get(id).copied().unwrap_or(State::Gone);
-            let ready = state == State::Ready;
+            let state = self.told.get(id).copied().unwrap_or(WorkerState::Removed);
+            let ready = state == WorkerState::Ready;
             // What the module was told is what the membership would say.
             let shown = self
                 .members
                 .entry(id)
-                .map_or(State::Gone, |entry| entry.state);
+                .map_or(WorkerState::Removed, |entry| entry.state);
             if shown != state {
                 return Err(format!("{id} is {shown:?}, told {state:?}"));
             }
@@ -222,7 +226,7 @@
                 return Err(format!("{id} is kept for too long"));
             }
             // Ready before, it is not abandoned without a word, two signs of death, or the time.
-            let was = before.get(id) == Some(&State::Ready);
+            let was = before.get(id) == Some(&WorkerState::Ready);
             let signs = self.deaths[at] >= guard().fails;
             let late = self.missed[at].is_some_and(|since| since + guard().keep <= self.now);
             let word = self.by_hand[at] || self.drained[at] || self.off[at] || !self.listed[at];
--- a/crates/node/src/agreement/apply.rs
+++ b/crates/node/src/agreement/apply.rs
@@ -1,10 +1,10 @@
 //! What the records mean to this node: rates, workers out of service, seats.
 
 use crate::party::Hub;
-use marbledeck_dispatcher::Micros;
 use marbledeck_consensus::{Acting, Body, Record};
-use marbledeck_membership::{SourceId, Status, Word};
+use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::Reading;
+use marbledeck_membership::{SourceId, Status, Word};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What was done of them last.
--- a/crates/node/src/agreement/voting.rs
+++ b/crates/node/src/agreement/voting.rs
@@ -3,9 +3,9 @@
 use crate::clock::millis;
 use crate::config::AgreementConfig;
 use crate::net::{Net, Peer, Token};
-use marbledeck_dispatcher::Micros;
 use marbledeck_consensus::wire::{Answer, Frame, Said};
 use marbledeck_consensus::{AgreementError, Command, Durable, Save, Terms, Voter, Warden};
+use marbledeck_dispatcher::Micros;
 use marbledeck_storage::{Done, Loaded, Store, StoreError, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::Read;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,11 +3,11 @@
 
 use crate::core::Catalogue;
 use crate::directory::Listing;
-use marbledeck_dispatcher::{CellId, Micros, Settings};
 use marbledeck_consensus::Terms;
+use marbledeck_dispatcher::{CellId, Micros, Settings};
 use marbledeck_eureka::{Form, Keys};
-use marbledeck_platform_settings::{Facts, Reads};
 use marbledeck_membership::{Guard, Status, Word};
+use marbledeck_platform_settings::{PlatformSettings, ReportFields};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use std::fmt;
@@ -69,7 +69,7 @@
     peer_listen: Option<String>,
     #[serde(default)]
     peers: Vec<String>,
-    settings: Facts,
+    settings: PlatformSettings,
 }
 
 #[derive(Deserialize)]
@@ -104,10 +104,10 @@
     /// The other nodes of the tier; none where the platform does not let them send to each other.
     pub peers: Option<PeersConfig>,
     /// The settings as they are written, and what they mean to the module.
-    pub facts: Facts,
+    pub facts: PlatformSettings,
     pub settings: Settings,
     pub catalogue: Catalogue,
-    pub reads: Reads,
+    pub reads: ReportFields,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// Whether workers send reports, which their probes then show.
@@ -178,12 +178,12 @@
         };
         let peers = PeersConfig::of(&file)?;
         let facts = file.settings;
-        let checked = facts.settings().and_then(|s| s.check().map(|()| s));
+        let checked = facts.dispatcher_settings();
         let settings = match checked {
             Ok(settings) => settings,
-            Err(e) => return err("LB_CONFIG: settings", e.0),
+            Err(e) => return err("LB_CONFIG", e),
         };
-        if let Some(i) = facts.profiles.iter().position(|p| p.name.is_empty()) {
+        if let Some(i) = facts.classes.iter().position(|p| p.name.is_empty()) {
             return err(format!("LB_CONFIG: settings.profiles[{i}].name"), "missing");
         }
         let sockets = file.limits.sockets.min(1024);
@@ -218,15 +218,16 @@
             known: file.known,
             peers,
             catalogue: Catalogue::new(&facts, &settings),
-            reads: facts.reads(),
-            reports: settings.reporting != marbledeck_dispatcher::Reporting::Never,
+            reads: facts.report_fields(),
+            reports: settings.load_reporting != marbledeck_dispatcher::LoadReporting::Never,
             settings,
-            idle: facts.bounds.conn_idle_us.map_or(IDLE, Micros),
+            idle: facts.limits.connection_idle_us.map_or(IDLE, Micros),
             drain_grace: facts.rules.drain_grace_us.map_or(GRACE, Micros),
-            pushed: !facts.registry_mode.is_empty() && facts.registry_mode != "subscribe",
-            connect_timeout: facts.bounds.connect_timeout_us.map_or(CONNECT, Micros),
-            progress: Some(Micros(facts.family_info.progress_us)).filter(|span| span.0 > 0),
-            zones: facts.localities.clone(),
+            pushed: !facts.discovery_mode.is_empty() && facts.discovery_mode != "subscribe",
+            connect_timeout: facts.limits.connect_timeout_us.map_or(CONNECT, Micros),
+            progress: Some(Micros(facts.worker_family.progress_interval_us))
+                .filter(|span| span.0 > 0),
+            zones: facts.zones.clone(),
             kinds: facts.kinds.clone(),
             facts,
             most_consumers,
@@ -272,7 +273,7 @@
 
 impl PeersConfig {
     fn of(file: &File) -> Result<Option<Self>, ConfigError> {
-        let index = file.settings.self_index as usize;
+        let index = file.settings.index as usize;
         let Some(listen) = &file.peer_listen else {
             return Ok(None);
         };
@@ -281,7 +282,7 @@
         for (at, node) in file.peers.iter().enumerate() {
             nodes.push(address((format!("LB_CONFIG: peers[{at}]"), node.clone()))?);
         }
-        let alone = nodes.len() < 2 || !file.settings.bounds.may_tell;
+        let alone = nodes.len() < 2 || !file.settings.limits.gossip;
         if !alone && index >= nodes.len() {
             let what = format_args!("want one for each node: this one has number {index}");
             return err("LB_CONFIG: peers", what);
--- a/crates/node/src/consumers/intake.rs
+++ b/crates/node/src/consumers/intake.rs
@@ -83,7 +83,7 @@
         class,
         tenant: head.fields.get("X-Org"),
         time_left: Micros(remaining.min(LONGEST_MS) * 1000),
-        cost_hint: hint.map(|ms| Micros::from_secs(ms / 1000.0)),
+        cost_hint: hint.map(|ms| Micros::from_secs_f64(ms / 1000.0)),
         slots,
         memory,
         licences,
--- a/crates/node/src/consumers/mod.rs
+++ b/crates/node/src/consumers/mod.rs
@@ -530,7 +530,7 @@
 impl Reply<'_> {
     fn bytes(&self) -> Vec<u8> {
         let retry = self.retry.map_or(String::new(), |wait| {
-            format!("Retry-After: {}\r\n", wait.secs())
+            format!("Retry-After: {}\r\n", wait.as_secs_f64())
         });
         let close = if self.keep {
             ""
--- a/crates/node/src/core/admit.rs
+++ b/crates/node/src/core/admit.rs
@@ -2,7 +2,7 @@
 //! neither overrides nor delays it.
 
 use super::{Core, Verdict};
-use marbledeck_dispatcher::{Event, ListKind, Micros, RequestId};
+use marbledeck_dispatcher::{Event, Micros, RequestId, WorkerListKind};
 
 impl Core {
     pub(super) fn reject(&mut self, id: RequestId, come_back: Option<Micros>) {
@@ -19,7 +19,7 @@
         let sent = self.table.get(id).and_then(|i| i.last_sent());
         if self.table.answer(id) {
             self.counts.gone += 1;
-            self.pending.push_back(Event::Gone(id));
+            self.pending.push_back(Event::ClientLeft(id));
             self.table.forget(id);
             self.decide(now);
         }
@@ -41,14 +41,14 @@
     /// Ends all that is still open, since the process is about to be killed: a consumer that hears so can come back to
     /// the process that has replaced this one. The dispatcher says how each ends, as it does where no worker is left.
     pub fn settle(&mut self, now: Micros) {
-        self.listed(now, ListKind::Full, Vec::new());
+        self.listed(now, WorkerListKind::Full, Vec::new());
         for id in self.table.open() {
             let calls = self.table.get(id).map_or(0, |i| i.calls.len());
             for attempt in 0..calls as u32 {
                 self.time_out(now, id, attempt);
             }
             // One that was never sent waits for this.
-            self.pending.push_back(Event::Timer(id.0));
+            self.pending.push_back(Event::TimerExpired(id.into()));
             self.decide(now);
         }
     }
@@ -58,7 +58,7 @@
     pub(super) fn overdue(&mut self, id: RequestId) {
         if self.finish(id, Verdict::Failed) {
             log::error!("invocation {} had no answer at its deadline", id.0);
-            self.pending.push_back(Event::Gone(id));
+            self.pending.push_back(Event::ClientLeft(id));
         }
     }
 }
--- a/crates/node/src/core/book.rs
+++ b/crates/node/src/core/book.rs
@@ -39,12 +39,12 @@
 
     pub(super) fn end(&mut self, outcome: Outcome) {
         match outcome {
-            Outcome::Full => self.full += 1,
+            Outcome::Rejected => self.full += 1,
             Outcome::ConnectFailed => self.unconnected += 1,
             Outcome::Reset => self.resets += 1,
             Outcome::TimedOut => self.timeouts += 1,
-            Outcome::Error => self.errors += 1,
-            Outcome::Ok | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Failed => self.errors += 1,
+            Outcome::Served | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -18,8 +18,8 @@
 pub use take_in::{Catalogue, Malformed, Order};
 
 use marbledeck_dispatcher::{
-    Action, Dispatcher, Entry, Event, ListKind, Micros, Outcome, Report, RequestId, Settings,
-    SettingsError, WorkerId,
+    Action, Dispatcher, Event, LoadReport, Micros, Outcome, RequestId, Settings, SettingsError,
+    WorkerEntry, WorkerId, WorkerListKind,
 };
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
@@ -125,7 +125,7 @@
 /// The first of the two answers: the dispatcher is told both at once.
 #[derive(Default)]
 struct Awaited {
-    probed: Option<(Outcome, Option<Report>)>,
+    probed: Option<(Outcome, Option<LoadReport>)>,
     held: Option<Option<u8>>,
 }
 
@@ -136,7 +136,7 @@
         seed: u64,
         now: Micros,
     ) -> Result<Self, SettingsError> {
-        let attempts = settings.limits.attempts;
+        let attempts = settings.limits.max_attempts;
         let counts = Counts {
             classes: vec![ClassCounts::default(); settings.classes.len()],
             ..Counts::default()
@@ -191,7 +191,7 @@
     pub fn wake(&mut self, now: Micros) {
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Dispatcher(token) => self.pending.push_back(Event::Timer(token)),
+                Due::Dispatcher(timer) => self.pending.push_back(Event::TimerExpired(timer)),
                 Due::Attempt(id, attempt) => self.time_out(now, id, attempt),
                 Due::Deadline(id) => self.overdue(id),
             }
@@ -200,11 +200,14 @@
     }
 
     /// The directory has told its list, a part of it, or that it cannot.
-    pub fn listed(&mut self, now: Micros, kind: ListKind, entries: Vec<Entry>) {
-        if kind != ListKind::Failed {
+    pub fn listed(&mut self, now: Micros, kind: WorkerListKind, entries: Vec<WorkerEntry>) {
+        if kind != WorkerListKind::Failed {
             self.ready_workers |= !entries.is_empty();
         }
-        self.pending.push_back(Event::List(kind, entries));
+        self.pending.push_back(Event::WorkerList {
+            kind,
+            workers: entries,
+        });
         self.decide(now);
     }
 
@@ -213,7 +216,7 @@
         now: Micros,
         worker: WorkerId,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         match self.awaited.get_mut(&worker) {
             Some(awaited) => awaited.probed = Some((outcome, report)),
@@ -241,8 +244,8 @@
         let both = both.and_then(|a| a.probed.zip(a.held));
         if let Some(((outcome, report), held)) = both {
             self.awaited.remove(&worker);
-            let report = report.map(|report| Report {
-                held: held.map(f64::from),
+            let report = report.map(|report| LoadReport {
+                in_flight: held.map(f64::from),
                 ..report
             });
             self.learn(worker, outcome, report);
@@ -251,14 +254,17 @@
     }
 
     /// Has the dispatcher told what is known of a worker that it asked about.
-    fn learn(&mut self, worker: WorkerId, outcome: Outcome, report: Option<Report>) {
+    fn learn(&mut self, worker: WorkerId, outcome: Outcome, report: Option<LoadReport>) {
         log::trace!(
             "probe worker {:016x} {outcome:?}: free {}",
             worker.0,
             relay::Told(report)
         );
-        self.pending
-            .push_back(Event::Probed(worker, outcome, report));
+        self.pending.push_back(Event::ProbeEnded {
+            worker,
+            outcome,
+            report,
+        });
     }
 
     /// Whether the directory has named any worker yet.
@@ -283,12 +289,12 @@
 
     /// From now on so many processes stand in for this node.
     pub fn share(&mut self, now: Micros, processes: u32) {
-        self.dispatcher.share(now, processes);
+        self.dispatcher.set_processes(now, processes);
     }
 
     /// Whether the dispatcher leaves this worker alone for now, for its failures.
     pub fn rests(&self, now: Micros, worker: WorkerId) -> bool {
-        self.dispatcher.rests(now, worker)
+        self.dispatcher.is_ejected(now, worker)
     }
 
     /// How many bytes the bodies of the invocations take that are not over.
@@ -311,13 +317,23 @@
             self.dispatcher.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 match action {
-                    Action::Send(id, worker, latest) => self.route(now, id, worker, latest),
-                    Action::Refuse(id, come_back) => self.reject(id, come_back),
+                    Action::Send {
+                        request: id,
+                        worker,
+                        send_before: latest,
+                    } => self.route(now, id, worker, latest),
+                    Action::Reject {
+                        request: id,
+                        retry_after: come_back,
+                    } => self.reject(id, come_back),
                     Action::Fail(id) => self.fail(id),
-                    Action::Cancel(id, attempt) => self.cancel(now, id, attempt),
+                    Action::Cancel {
+                        request: id,
+                        attempt,
+                    } => self.cancel(now, id, attempt),
                     Action::Probe(worker) => self.commands.push_back(Command::Probe(worker)),
-                    Action::Timer(at, token) => self.timers.add(at, Due::Dispatcher(token)),
-                    Action::Watch => self.commands.push_back(Command::Watch),
+                    Action::SetTimer { at, timer } => self.timers.add(at, Due::Dispatcher(timer)),
+                    Action::WatchWorkers => self.commands.push_back(Command::Watch),
                 }
             }
             self.actions = actions;
--- a/crates/node/src/core/relay.rs
+++ b/crates/node/src/core/relay.rs
@@ -1,11 +1,11 @@
 //! Stage 5, relay: what comes back from the workers goes to the dispatcher, and a result to the consumer.
 
 use super::{Command, Core, Verdict};
-use marbledeck_dispatcher::{Ended, Event, Micros, Outcome, Report, RequestId};
+use marbledeck_dispatcher::{AttemptEnded, Event, LoadReport, Micros, Outcome, RequestId};
 use std::fmt;
 
 /// What a report tells of free slots, for the log.
-pub(super) struct Told(pub Option<Report>);
+pub(super) struct Told(pub Option<LoadReport>);
 
 impl fmt::Display for Told {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -13,7 +13,7 @@
             Some(free) => write!(f, "{free:.1}")?,
             None => f.write_str("-")?,
         }
-        let held = self.0.and_then(|report| report.held);
+        let held = self.0.and_then(|report| report.in_flight);
         held.map_or(Ok(()), |held| write!(f, ", held {held}"))
     }
 }
@@ -29,11 +29,14 @@
         if self.table.get(id).is_some_and(|i| !i.answered) {
             self.commands.push_back(Command::Running(id, worker));
         }
-        self.pending.push_back(Event::Started(id, attempt));
+        self.pending.push_back(Event::AttemptStarted {
+            request: id,
+            attempt,
+        });
         self.decide(now);
     }
 
-    /// A call has ended; `result` comes with [`Outcome::Ok`] and is what the worker made. An end told twice, or
+    /// A call has ended; `result` comes with [`Outcome::Served`] and is what the worker made. An end told twice, or
     /// told of a call that was given up, is ignored.
     pub fn call_ended(
         &mut self,
@@ -42,12 +45,12 @@
         attempt: u32,
         outcome: Outcome,
         result: Option<Vec<u8>>,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         if self.table.out(id, attempt).is_none() {
             return;
         }
-        if let Some(result) = result.filter(|_| outcome == Outcome::Ok) {
+        if let Some(result) = result.filter(|_| outcome == Outcome::Served) {
             self.finish(id, Verdict::Served(result));
         }
         self.back(now, id, attempt, outcome, report);
@@ -61,7 +64,7 @@
         id: RequestId,
         attempt: u32,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let Some(call) = self.table.out(id, attempt) else {
             return;
@@ -88,12 +91,12 @@
         if started.is_some() && !closed {
             self.returned.push(id);
         }
-        self.pending.push_back(Event::Ended(Ended {
-            id,
+        self.pending.push_back(Event::AttemptEnded(AttemptEnded {
+            request: id,
             attempt,
             worker,
             outcome,
-            closed,
+            request_closed: closed,
             latency,
             report,
         }));
--- a/crates/node/src/core/route.rs
+++ b/crates/node/src/core/route.rs
@@ -2,7 +2,7 @@
 
 use super::table::Call;
 use super::Core;
-use marbledeck_dispatcher::{Ended, Event, Micros, Outcome, RequestId, WorkerId};
+use marbledeck_dispatcher::{AttemptEnded, Event, Micros, Outcome, RequestId, WorkerId};
 
 impl Core {
     /// A send that can no longer be made is moot, and told so: each send gets exactly one end.
@@ -37,12 +37,12 @@
             return self.send(id, attempt, latest);
         }
         let closed = invocation.answered;
-        self.pending.push_back(Event::Ended(Ended {
-            id,
+        self.pending.push_back(Event::AttemptEnded(AttemptEnded {
+            request: id,
             attempt,
             worker,
-            outcome: Outcome::Moot,
-            closed,
+            outcome: Outcome::NotSent,
+            request_closed: closed,
             latency: Micros(0),
             report: None,
         }));
--- a/crates/node/src/core/seating.rs
+++ b/crates/node/src/core/seating.rs
@@ -113,8 +113,8 @@
     pub(super) fn unseat(&mut self, sent: Micros, needs: &Needs, outcome: Outcome) {
         if let Some(seating) = self.seating.as_mut().filter(|_| !needs.licences.is_empty()) {
             let known = match outcome {
-                Outcome::Ok | Outcome::Error | Outcome::Full => true,
-                Outcome::ConnectFailed | Outcome::Moot => true,
+                Outcome::Served | Outcome::Failed | Outcome::Rejected => true,
+                Outcome::ConnectFailed | Outcome::NotSent => true,
                 Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => false,
             };
             let Needs { licences, tenant } = needs;
--- a/crates/node/src/core/take_in.rs
+++ b/crates/node/src/core/take_in.rs
@@ -3,9 +3,11 @@
 use super::timers::Due;
 use super::{Core, Work};
 use crate::clock::millis;
-use marbledeck_dispatcher::{Class, ClassId, Effect, Event, Job, Micros, RequestId, Settings, TenantId};
-use marbledeck_platform_settings::Facts;
+use marbledeck_dispatcher::{
+    Class, ClassId, Event, Idempotency, Job, Micros, RequestId, Settings, TenantId,
+};
 use marbledeck_licensing::NoSeat;
+use marbledeck_platform_settings::PlatformSettings;
 use std::fmt;
 
 /// How long after its deadline an invocation without an answer is failed: well within the time still accepted.
@@ -66,13 +68,16 @@
 }
 
 impl Catalogue {
-    pub fn new(facts: &Facts, settings: &Settings) -> Self {
-        let names = facts.profiles.iter().map(|p| p.name.clone());
+    pub fn new(facts: &PlatformSettings, settings: &Settings) -> Self {
+        let names = facts.classes.iter().map(|p| p.name.clone());
         let classes = settings.classes.iter().cloned();
         Catalogue {
             classes: names.zip(classes).collect(),
             tenants: facts.tenants.iter().map(|t| t.name.clone()).collect(),
-            max_open: facts.bounds.max_open.map_or(usize::MAX, |n| n as usize),
+            max_open: facts
+                .limits
+                .max_open_requests
+                .map_or(usize::MAX, |n| n as usize),
         }
     }
 
@@ -101,7 +106,7 @@
         let (id, figures) = found.ok_or_else(|| Malformed::UnknownClass(class.into()))?;
         let unknown = || Malformed::UnknownTenant(tenant.unwrap_or_default().into());
         let tenant = self.tenant(tenant).ok_or_else(unknown)?;
-        if matches!(figures.effect, Effect::Keyed(..)) && !keyed {
+        if matches!(figures.idempotency, Idempotency::Keyed { .. }) && !keyed {
             return Err(Malformed::MissingKey);
         }
         Ok((id, tenant))
@@ -164,12 +169,12 @@
         self.counts.taken += 1;
         let (ClassId(c), TenantId(t), left) = (class, tenant, order.time_left.0);
         log::trace!("job {} class {c} tenant {t}: {left} us left", id.0);
-        self.pending.push_back(Event::Job(Job {
+        self.pending.push_back(Event::JobReceived(Job {
             id,
             class,
             tenant,
             time_left: order.time_left,
-            cost_hint: order.cost_hint,
+            expected_work: order.cost_hint,
             slots: order.slots,
             memory: order.memory,
         }));
--- a/crates/node/src/core/timers.rs
+++ b/crates/node/src/core/timers.rs
@@ -1,13 +1,13 @@
 //! Timers, earliest first. They are not withdrawn: one that no longer matters is ignored when it is due.
 
-use marbledeck_dispatcher::{Micros, RequestId};
+use marbledeck_dispatcher::{Micros, RequestId, TimerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     /// Set by the dispatcher.
-    Dispatcher(u64),
+    Dispatcher(TimerId),
     /// An attempt's time is up.
     Attempt(RequestId, u32),
     /// The consumer gives up now.
--- a/crates/node/src/directory/clocks.rs
+++ b/crates/node/src/directory/clocks.rs
@@ -102,7 +102,7 @@
 
     /// A random part of this span.
     fn drawn(&mut self, span: Micros) -> Micros {
-        Micros::from_secs(span.secs() * self.rng.rand_float())
+        Micros::from_secs_f64(span.as_secs_f64() * self.rng.rand_float())
     }
 
     /// The next call, which goes out now.
@@ -113,7 +113,7 @@
             // Only an answer ends the doubt: it must not wait for a change.
             (Ask::Changes { wait: Micros(0) }, self.patience())
         } else {
-            let least = Micros::from_secs(LONGEST.secs() * SHORTEST);
+            let least = Micros::from_secs_f64(LONGEST.as_secs_f64() * SHORTEST);
             let wait = least + self.drawn(LONGEST - least);
             (Ask::Changes { wait }, wait + TURN)
         };
--- a/crates/node/src/directory/mod.rs
+++ b/crates/node/src/directory/mod.rs
@@ -9,7 +9,7 @@
 use crate::fleet::Fleet;
 use crate::net::http::{self, Body};
 use crate::net::{Net, Peer, Token};
-use marbledeck_dispatcher::{CellId, ListKind, Micros};
+use marbledeck_dispatcher::{CellId, Micros, WorkerListKind};
 use marbledeck_membership::{Membership, SourceId, Status, Told, Word};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -190,7 +190,7 @@
     pub fn known(&mut self, now: Micros, listing: Listing, fleet: &mut Fleet, core: &mut Core) {
         self.revision = listing.revision;
         let told = self.learn(now, true, listing.members, fleet);
-        fleet.pass_on(now, ListKind::Cached, told, core);
+        fleet.pass_on(now, WorkerListKind::Cached, told, core);
     }
 
     /// The connection on which an answer may come.
@@ -359,8 +359,8 @@
         self.revision = revision;
         self.clocks.answered();
         let kind = match listing.complete {
-            true => ListKind::Full,
-            false => ListKind::Delta,
+            true => WorkerListKind::Full,
+            false => WorkerListKind::Delta,
         };
         let mut told = self.learn(now, listing.complete, listing.members, fleet);
         // After what is new: only those that are still named are trusted again.
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -4,14 +4,14 @@
 use crate::core::Core;
 use crate::net::Net;
 use crate::workers::Workers;
-use marbledeck_dispatcher::{Entry, ListKind, Micros, State, WorkerId};
+use marbledeck_dispatcher::{Micros, WorkerEntry, WorkerId, WorkerListKind, WorkerState};
 use marbledeck_membership::{Membership, Place, Told};
 use std::net::SocketAddr;
 
 /// What a call was decided by: the worker's entry, and its address.
 #[derive(Clone, Debug)]
 pub struct Aim {
-    pub entry: Entry,
+    pub entry: WorkerEntry,
     pub addr: SocketAddr,
 }
 
@@ -30,7 +30,7 @@
     }
 
     /// Tells the core what has changed.
-    pub fn pass_on(&mut self, now: Micros, kind: ListKind, told: Told, core: &mut Core) {
+    pub fn pass_on(&mut self, now: Micros, kind: WorkerListKind, told: Told, core: &mut Core) {
         self.stale.extend(told.stale);
         core.listed(now, kind, told.entries);
     }
@@ -39,14 +39,14 @@
     pub fn changed(&mut self, now: Micros, told: Told, core: &mut Core) {
         self.stale.extend(told.stale.iter().copied());
         if !told.entries.is_empty() {
-            core.listed(now, ListKind::Delta, told.entries);
+            core.listed(now, WorkerListKind::Delta, told.entries);
         }
     }
 
     /// Whether a worker is as it was when a call there was decided, and takes new ones.
     pub fn stands(&self, call: &Aim) -> bool {
         let entry = self.members.told_of(call.entry.worker);
-        entry == Some(&call.entry) && call.entry.state == State::Ready && {
+        entry == Some(&call.entry) && call.entry.state == WorkerState::Ready && {
             let place = self.place(call.entry.worker);
             place.is_some_and(|place| place.addr == call.addr)
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -18,8 +18,8 @@
 use crate::submission::Submissions;
 use crate::workers::{Figures, Workers};
 use marbledeck_dispatcher::Micros;
-use marbledeck_platform_settings::{worker_id, Facts};
 use marbledeck_membership::Membership;
+use marbledeck_platform_settings::{worker_id, PlatformSettings};
 use rustix::fd::OwnedFd;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -67,7 +67,7 @@
     read: Read,
     /// What the file said when it was last read: only a change of it is acted upon.
     directory_in_file: Option<SocketAddr>,
-    facts: Facts,
+    facts: PlatformSettings,
     /// When the next step of the end is due, once SIGTERM has come.
     ending: Option<Micros>,
     /// No connection is taken any more.
--- a/crates/node/src/ops/figures.rs
+++ b/crates/node/src/ops/figures.rs
@@ -2,7 +2,7 @@
 //! where they end and calls where they are written.
 
 use crate::core::Core;
-use marbledeck_dispatcher::State;
+use marbledeck_dispatcher::WorkerState;
 use marbledeck_membership::View;
 use std::fmt::Write;
 
@@ -16,9 +16,9 @@
             break;
         }
         let word = match view.state {
-            State::Ready => "in",
-            State::Draining => "out",
-            State::Gone => "gone",
+            WorkerState::Ready => "in",
+            WorkerState::Draining => "out",
+            WorkerState::Removed => "gone",
         };
         let addr = view.addr.map_or("-".to_owned(), |addr| addr.to_string());
         let _ = write!(text, "{} {word} {addr} ({})", view.id, view.why);
--- a/crates/node/src/party.rs
+++ b/crates/node/src/party.rs
@@ -12,9 +12,9 @@
 use crate::ops;
 use crate::sites::Outbox;
 use crate::workers::Workers;
-use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use marbledeck_consensus::wire::Answer;
 use marbledeck_consensus::Reader;
+use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use serde_json::Value;
 
 /// What parties work with.
--- a/crates/node/src/submission/desk.rs
+++ b/crates/node/src/submission/desk.rs
@@ -3,7 +3,7 @@
 use crate::core::{Malformed, Order as CoreOrder, Work};
 use crate::party::Hub;
 use crate::sites::Where;
-use marbledeck_dispatcher::{Effect, Micros, RequestId, State};
+use marbledeck_dispatcher::{Idempotency, Micros, RequestId, WorkerState};
 use marbledeck_platform_settings::worker_id;
 use marbledeck_submission::message::{ErrorId, Machine, Problem, Queue};
 use marbledeck_submission::{ClassFacts, Desk, Order, Template, Whereabouts};
@@ -21,14 +21,14 @@
 impl Desk for NodeDesk<'_> {
     fn class(&self, name: &str) -> Option<ClassFacts> {
         let (_, class) = self.0.core.catalogue().class(name)?;
-        let window = match class.effect {
-            Effect::Keyed(_, window) => window,
+        let window = match class.idempotency {
+            Idempotency::Keyed { window, .. } => window,
             _ => Micros(0),
         };
         Some(ClassFacts {
             deadline: class.deadline,
             window,
-            reruns: class.effect != Effect::Unsafe,
+            reruns: class.idempotency != Idempotency::NotIdempotent,
         })
     }
 
@@ -107,8 +107,8 @@
         let catalogue = self.0.core.catalogue();
         let queue = |name: &str| {
             let (_, class) = catalogue.class(name)?;
-            let window = match class.effect {
-                Effect::Keyed(_, window) => Some(window),
+            let window = match class.idempotency {
+                Idempotency::Keyed { window, .. } => Some(window),
                 _ => None,
             };
             Some(Queue {
@@ -137,8 +137,8 @@
             let word = fleet.members.word(&view.id);
             let state = match (by_hand, view.state, core.rests(now, worker)) {
                 (true, ..) => "out".to_owned(),
-                (_, State::Ready, true) => "resting".to_owned(),
-                (_, State::Ready, false) => "up".to_owned(),
+                (_, WorkerState::Ready, true) => "resting".to_owned(),
+                (_, WorkerState::Ready, false) => "up".to_owned(),
                 _ => word.map_or("gone".to_owned(), |word| word.status.to_string()),
             };
             Machine {
@@ -154,7 +154,7 @@
             }
         };
         views
-            .filter(|view| view.state != State::Gone)
+            .filter(|view| view.state != WorkerState::Removed)
             .map(machine)
             .collect()
     }
--- a/crates/node/src/workers/mod.rs
+++ b/crates/node/src/workers/mod.rs
@@ -9,9 +9,9 @@
 use crate::fleet::{Aim, Fleet};
 use crate::net::conn::Connection;
 use crate::net::{Net, Peer, Token};
-use marbledeck_dispatcher::{Micros, Outcome, Report, RequestId, WorkerId};
-use marbledeck_platform_settings::Reads;
+use marbledeck_dispatcher::{LoadReport, Micros, Outcome, RequestId, WorkerId};
 use marbledeck_membership::{Place, Sign};
+use marbledeck_platform_settings::ReportFields;
 use outcomes::{Answer, End, News};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use submitted::Submitted;
@@ -112,7 +112,7 @@
 }
 
 pub struct Figures {
-    pub reads: Reads,
+    pub reads: ReportFields,
     pub reports: bool,
     /// Workers close a connection that has been idle for so long.
     pub idle: Micros,
@@ -136,7 +136,7 @@
     /// No connection is kept until then.
     distrust: Micros,
     /// What each worker told last of its load.
-    told: HashMap<WorkerId, (Micros, Report)>,
+    told: HashMap<WorkerId, (Micros, LoadReport)>,
     /// Whether anybody wants to know which workers are there, and what shows it.
     pub wants_signs: bool,
     pub signs: Vec<(WorkerId, Sign)>,
@@ -181,8 +181,8 @@
             return;
         }
         let sign = match (errand, outcome) {
-            (Errand::Tail | Errand::Idle, _) | (_, Outcome::Moot) => return,
-            (_, Outcome::Ok | Outcome::Full | Outcome::Error) => Sign::Life,
+            (Errand::Tail | Errand::Idle, _) | (_, Outcome::NotSent) => return,
+            (_, Outcome::Served | Outcome::Rejected | Outcome::Failed) => Sign::Life,
             (_, Outcome::ConnectFailed) => Sign::Death,
             (Errand::Look | Errand::Probe, _) => Sign::Death,
             // What broke or was given up may have many reasons.
@@ -192,7 +192,7 @@
     }
 
     /// What a worker told last of its load, and when.
-    pub fn told(&self, worker: WorkerId) -> Option<(Micros, Report)> {
+    pub fn told(&self, worker: WorkerId) -> Option<(Micros, LoadReport)> {
         self.told.get(&worker).copied()
     }
 
@@ -269,7 +269,7 @@
         core: &mut Core,
     ) {
         if self.figures.by_submission.contains(&worker) {
-            return core.probed(now, worker, Outcome::Ok, None);
+            return core.probed(now, worker, Outcome::Served, None);
         }
         let sent = aim.is_some_and(|(aim, place)| {
             let bytes = outcomes::probe(&place.addr.to_string(), self.figures.reports);
@@ -440,7 +440,7 @@
             }
         }
         for token in late {
-            self.broke(now, token, Outcome::Moot, net, core);
+            self.broke(now, token, Outcome::NotSent, net, core);
         }
     }
 
--- a/crates/node/src/workers/outcomes.rs
+++ b/crates/node/src/workers/outcomes.rs
@@ -4,8 +4,8 @@
 use crate::core::Work;
 use crate::net::conn::Connection;
 use crate::net::http::{self, Body, Fault, ResponseHead, MAX_BODY};
-use marbledeck_dispatcher::{Micros, Outcome, Report};
-use marbledeck_platform_settings::Reads;
+use marbledeck_dispatcher::{LoadReport, Micros, Outcome};
+use marbledeck_platform_settings::ReportFields;
 use serde_json::Value;
 
 /// How a call has ended.
@@ -13,11 +13,11 @@
 pub struct End {
     pub outcome: Outcome,
     pub result: Option<Vec<u8>>,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl End {
-    pub fn of(outcome: Outcome, report: Option<Report>) -> Self {
+    pub fn of(outcome: Outcome, report: Option<LoadReport>) -> Self {
         End {
             outcome,
             result: None,
@@ -62,14 +62,14 @@
 pub struct Answer {
     /// The id that the lines must carry; none for a probe.
     txn: Option<String>,
-    reads: Reads,
+    reads: ReportFields,
     head: Option<(ResponseHead, Body)>,
     content: Vec<u8>,
     ended: bool,
 }
 
 impl Answer {
-    pub fn new(txn: Option<String>, reads: Reads) -> Self {
+    pub fn new(txn: Option<String>, reads: ReportFields) -> Self {
         Answer {
             txn,
             reads,
@@ -84,7 +84,7 @@
         let mut news = News::default();
         if self.step(conn, &mut news).is_err() {
             // What cannot be read may still have run.
-            self.end(&mut news, End::of(Outcome::Error, None));
+            self.end(&mut news, End::of(Outcome::Failed, None));
             news.over = Some(false);
         }
         news
@@ -138,8 +138,8 @@
         }
         let turned_away = head.fields.get("X-Turned-Away") == Some("1");
         let outcome = match head.status {
-            503 | 504 if turned_away => Outcome::Full,
-            _ => Outcome::Error,
+            503 | 504 if turned_away => Outcome::Rejected,
+            _ => Outcome::Failed,
         };
         let load = head.fields.get("X-Pressure");
         let load = load.and_then(|text| report::from_text(self.reads, text));
@@ -161,7 +161,7 @@
         let text = |name: &str| value.get(name).and_then(Value::as_str);
         if text("id") != self.txn.as_deref() {
             // Not ours, or no object: nothing is served that was not made for this invocation.
-            return self.end(news, End::of(Outcome::Error, None));
+            return self.end(news, End::of(Outcome::Failed, None));
         }
         let load = value.get("load");
         let load = load.and_then(|load| report::from_value(self.reads, load));
@@ -170,12 +170,12 @@
             Some("done") => match text("result") {
                 Some(result) => End {
                     result: Some(result.as_bytes().to_vec()),
-                    ..End::of(Outcome::Ok, load)
+                    ..End::of(Outcome::Served, load)
                 },
-                None => End::of(Outcome::Error, load),
+                None => End::of(Outcome::Failed, load),
             },
-            Some("failed") => End::of(Outcome::Error, load),
-            Some("returned") => End::of(Outcome::Full, load),
+            Some("failed") => End::of(Outcome::Failed, load),
+            Some("returned") => End::of(Outcome::Rejected, load),
             Some("lost") => End::of(Outcome::Reset, load),
             // Progress, or a state of a later day.
             _ => return,
@@ -186,8 +186,8 @@
 
 fn probed(status: u16) -> Outcome {
     match status {
-        200 => Outcome::Ok,
-        503 => Outcome::Full,
-        _ => Outcome::Error,
+        200 => Outcome::Served,
+        503 => Outcome::Rejected,
+        _ => Outcome::Failed,
     }
 }
--- a/crates/node/src/workers/submitted.rs
+++ b/crates/node/src/workers/submitted.rs
@@ -7,7 +7,7 @@
 use crate::net::conn::Connection;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use marbledeck_dispatcher::{Micros, Outcome};
-use marbledeck_platform_settings::Reads;
+use marbledeck_platform_settings::ReportFields;
 use marbledeck_submission::frame;
 use serde_json::{json, Value};
 
@@ -35,14 +35,14 @@
 /// A job handed to a worker, and what the worker tells of it.
 pub struct Submitted {
     seq: String,
-    reads: Reads,
+    reads: ReportFields,
     /// The worker's id of the job, once it has taken it.
     job: Option<String>,
     ended: bool,
 }
 
 impl Submitted {
-    pub fn new(seq: &str, reads: Reads) -> Self {
+    pub fn new(seq: &str, reads: ReportFields) -> Self {
         Submitted {
             seq: seq.to_owned(),
             reads,
@@ -67,7 +67,7 @@
                     conn.input.consume(length + 1);
                     end
                 }
-                Err(frame::TooLong) => Some(End::of(Outcome::Error, None)),
+                Err(frame::TooLong) => Some(End::of(Outcome::Failed, None)),
             };
             if end.is_some() {
                 self.ended = true;
@@ -82,7 +82,7 @@
     /// still come.
     fn line(&mut self, line: &[u8], news: &mut News) -> Option<End> {
         let Ok(value) = serde_json::from_slice::<Value>(line) else {
-            return Some(End::of(Outcome::Error, None));
+            return Some(End::of(Outcome::Failed, None));
         };
         let text = |name: &str| value.get(name).and_then(Value::as_str);
         let load = value.get("load");
@@ -90,8 +90,10 @@
         if text("seq") == Some(&self.seq) {
             // Not taken: tried later or denied, it has never run.
             match text("error") {
-                Some("TRY_LATER" | "DENIED_BY_DRMS") => return Some(End::of(Outcome::Full, load)),
-                Some(_) => return Some(End::of(Outcome::Error, load)),
+                Some("TRY_LATER" | "DENIED_BY_DRMS") => {
+                    return Some(End::of(Outcome::Rejected, load))
+                }
+                Some(_) => return Some(End::of(Outcome::Failed, load)),
                 None => self.job = text("jobId").map(str::to_owned),
             }
             return None;
@@ -108,18 +110,20 @@
                 let coded = text("resultBase64").and_then(|t| BASE64_STANDARD.decode(t).ok());
                 let result = text("result").map(|t| t.as_bytes().to_vec()).or(coded);
                 let outcome = if result.is_some() {
-                    Outcome::Ok
+                    Outcome::Served
                 } else {
-                    Outcome::Error
+                    Outcome::Failed
                 };
                 Some(End {
                     result,
                     ..End::of(outcome, load)
                 })
             }
-            ("REQUEUED", _) | ("FAILED", Some("returned")) => Some(End::of(Outcome::Full, load)),
+            ("REQUEUED", _) | ("FAILED", Some("returned")) => {
+                Some(End::of(Outcome::Rejected, load))
+            }
             ("FAILED", Some("lost")) => Some(End::of(Outcome::Reset, load)),
-            ("FAILED", _) => Some(End::of(Outcome::Error, load)),
+            ("FAILED", _) => Some(End::of(Outcome::Failed, load)),
             _ => None,
         }
     }
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -1,8 +1,10 @@
 //! Scripts of events for the core, without any socket. `core/README` tells how they are written.
 
-use marbledeck_dispatcher::{Entry, ListKind, Micros, Outcome, RequestId, WorkerId, ZoneId};
-use marbledeck_platform_settings::{worker_id, Facts};
+use marbledeck_dispatcher::{
+    Micros, Outcome, RequestId, WorkerEntry, WorkerId, WorkerListKind, ZoneId,
+};
 use marbledeck_node::core::{Catalogue, Command, Core, InvokerCall, Order, Verdict, Work};
+use marbledeck_platform_settings::{worker_id, PlatformSettings};
 use rstest::rstest;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -20,11 +22,11 @@
 
 fn outcome(word: &str) -> Outcome {
     match word {
-        "ok" => Outcome::Ok,
-        "full" => Outcome::Full,
+        "ok" => Outcome::Served,
+        "full" => Outcome::Rejected,
         "reset" => Outcome::Reset,
         "unconnected" => Outcome::ConnectFailed,
-        _ => Outcome::Error,
+        _ => Outcome::Failed,
     }
 }
 
@@ -37,13 +39,16 @@
     fn act(&mut self, now: Micros, words: &[&str]) {
         match words {
             ["list", workers @ ..] => {
-                let entry = |name: &&str| Entry {
+                let entry = |name: &&str| WorkerEntry {
                     worker: worker_id(name),
                     zone: ZoneId(0),
-                    ..Entry::default()
+                    ..WorkerEntry::default()
                 };
-                self.core
-                    .listed(now, ListKind::Full, workers.iter().map(entry).collect());
+                self.core.listed(
+                    now,
+                    WorkerListKind::Full,
+                    workers.iter().map(entry).collect(),
+                );
             }
             ["order", name, class, wait] => {
                 self.names.push(name.to_string());
@@ -114,7 +119,9 @@
                 Command::Answer { id, verdict, sent } => {
                     let verdict = match verdict {
                         Verdict::Served(_) => "served".to_owned(),
-                        Verdict::Rejected(wait) => format!("rejected {:?}", wait.map(Micros::secs)),
+                        Verdict::Rejected(wait) => {
+                            format!("rejected {:?}", wait.map(Micros::as_secs_f64))
+                        }
                         Verdict::Failed => "failed".to_owned(),
                     };
                     format!(
@@ -135,8 +142,8 @@
     let config = fs::read_to_string(tests.join("exchanges/config.json")).unwrap();
     let config = config.replace("\"MEMBERS\"", "");
     let config: serde_json::Value = serde_json::from_str(&config).unwrap();
-    let facts: Facts = serde_json::from_value(config["settings"].clone()).unwrap();
-    let settings = facts.settings().unwrap();
+    let facts: PlatformSettings = serde_json::from_value(config["settings"].clone()).unwrap();
+    let settings = facts.dispatcher_settings().unwrap();
     let catalogue = Catalogue::new(&facts, &settings);
     let mut script = Script {
         core: Core::new(settings, catalogue, 7, Micros(0)).unwrap(),
--- a/crates/node/tests/directory.rs
+++ b/crates/node/tests/directory.rs
@@ -14,7 +14,7 @@
 const PATIENCE: Micros = Micros(1_000_000);
 
 fn secs(secs: f64) -> Micros {
-    Micros::from_secs(secs)
+    Micros::from_secs_f64(secs)
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -130,8 +130,8 @@
         let changes = had.len();
         // The directory works off what has waited, as far as its capacity goes.
         credit = f64::min(
-            credit + day.capacity * STEP.secs(),
-            1.0_f64.max(day.capacity * STEP.secs()),
+            credit + day.capacity * STEP.as_secs_f64(),
+            1.0_f64.max(day.capacity * STEP.as_secs_f64()),
         );
         if down || refuses || mute {
             queue.clear();
@@ -214,7 +214,7 @@
             let rule = told.into_iter().chain(moved).min();
             let trusted = node.clocks.trusted_until().is_none_or(|until| now < until);
             if !trusted {
-                seen.distrusted += STEP.secs();
+                seen.distrusted += STEP.as_secs_f64();
             }
             let late = rule.is_some_and(|told| now > told + GRACE + SLACK);
             if late && trusted && node.knows < changes && !seen.late.iter().any(|(l, _)| *l == n) {
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -1,11 +1,11 @@
 //! A node among the others of its tier: what it says to them, and what it makes of what they say.
 
-use marbledeck_dispatcher::{Entry, ListKind, Micros, Outcome, Report, WorkerId};
-use marbledeck_platform_settings::{worker_id, Facts};
-use marbledeck_test_support::{Lab, Options};
-use marbledeck_node::core::{Catalogue, Command, Core, Order, Work};
+use marbledeck_dispatcher::{LoadReport, Micros, Outcome, WorkerEntry, WorkerId, WorkerListKind};
 use marbledeck_gossip::message::Message;
 use marbledeck_gossip::{keeper, short};
+use marbledeck_node::core::{Catalogue, Command, Core, Order, Work};
+use marbledeck_platform_settings::{worker_id, PlatformSettings};
+use marbledeck_test_support::{Lab, Options};
 use std::io::{Read, Write};
 use std::net::{TcpStream, UdpSocket};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 /// A core of one of 300 dispatchers before so many workers, which asks four of them before it sends.
 fn core(workers: u64) -> Core {
-    let facts: Facts = serde_json::from_str(
+    let facts: PlatformSettings = serde_json::from_str(
         r#"{"balancers":300,"self-index":0,"zone":0,"localities":["east"],"kinds":["std"],"registry-mode":"automatic",
         "stats":{"how":"piggyback"},"bounds":{"probes":true,"may-cancel":true,"try-limit":3},
         "family-info":{"report-x0":"free slots","tells-start":true},"rules":{},
@@ -23,14 +23,18 @@
         "tenants":[{"name":"au","share":1.0}]}"#,
     )
     .expect("settings");
-    let settings = facts.settings().expect("settings that fit");
+    let settings = facts.dispatcher_settings().expect("settings that fit");
     let catalogue = Catalogue::new(&facts, &settings);
     let mut core = Core::new(settings, catalogue, 7, Micros(0)).expect("a core");
-    let entry = |id| Entry {
+    let entry = |id| WorkerEntry {
         worker: WorkerId(id),
-        ..Entry::default()
+        ..WorkerEntry::default()
     };
-    core.listed(Micros(0), ListKind::Full, (0..workers).map(entry).collect());
+    core.listed(
+        Micros(0),
+        WorkerListKind::Full,
+        (0..workers).map(entry).collect(),
+    );
     core
 }
 
@@ -63,10 +67,10 @@
     })
 }
 
-fn free(slots: f64) -> Option<Report> {
-    Some(Report {
+fn free(slots: f64) -> Option<LoadReport> {
+    Some(LoadReport {
         free_slots: Some(slots),
-        ..Report::default()
+        ..LoadReport::default()
     })
 }
 
@@ -85,12 +89,12 @@
             assert_eq!(called(&mut core), None, "not all have answered");
             let calls = if n == 2 { 0 } else { 5 };
             if late {
-                core.probed(now, *worker, Outcome::Ok, free(5.0));
+                core.probed(now, *worker, Outcome::Served, free(5.0));
                 assert_eq!(called(&mut core), None, "the peer has not answered");
                 core.told_held(now, *worker, Some(calls));
             } else {
                 core.told_held(now, *worker, Some(calls));
-                core.probed(now, *worker, Outcome::Ok, free(5.0));
+                core.probed(now, *worker, Outcome::Served, free(5.0));
             }
         }
         assert_eq!(called(&mut core), Some(workers[2]));
@@ -109,7 +113,7 @@
         core.probed(
             now,
             *worker,
-            Outcome::Ok,
+            Outcome::Served,
             free(if n == 1 { 5.0 } else { 0.0 }),
         );
         core.told_held(now, *worker, None);
--- a/crates/node/tests/seats.rs
+++ b/crates/node/tests/seats.rs
@@ -1,20 +1,20 @@
 //! Seats as the core takes them for calls, without any socket.
 
-use marbledeck_dispatcher::{Entry, ListKind, Micros, Outcome, WorkerId};
-use marbledeck_platform_settings::Facts;
+use marbledeck_dispatcher::{Micros, Outcome, WorkerEntry, WorkerId, WorkerListKind};
+use marbledeck_licensing::{Part, Reading};
 use marbledeck_node::config::SeatsConfig;
 use marbledeck_node::core::seating::Seating;
 use marbledeck_node::core::{
     Catalogue, Command, Core, InvokerCall, Malformed, Order, Verdict, Work,
 };
-use marbledeck_licensing::{Part, Reading};
+use marbledeck_platform_settings::PlatformSettings;
 use rstest::rstest;
 
 const RUN: Micros = Micros(2_000_000);
 
 /// A core before three workers, whose fleet has given it one seat of av1 and two of aac until ten seconds.
 fn core() -> Core {
-    let facts: Facts = serde_json::from_str(
+    let facts: PlatformSettings = serde_json::from_str(
         r#"{"balancers":1,"self-index":0,"zone":0,"localities":["east"],"kinds":["std"],"registry-mode":"automatic",
         "stats":{"how":"piggyback"},"bounds":{"may-cancel":true,"try-limit":3},
         "family-info":{"report-x0":"free slots","tells-start":true},"rules":{},
@@ -22,14 +22,14 @@
         {"name":"encode","effect":"safe","promise-us":250000,"deadline-us":7500000}]}"#,
     )
     .expect("settings");
-    let settings = facts.settings().expect("settings that fit");
+    let settings = facts.dispatcher_settings().expect("settings that fit");
     let catalogue = Catalogue::new(&facts, &settings);
     let mut core = Core::new(settings, catalogue, 7, Micros(0)).expect("a core");
-    let entry = |id| Entry {
+    let entry = |id| WorkerEntry {
         worker: WorkerId(id),
-        ..Entry::default()
+        ..WorkerEntry::default()
     };
-    core.listed(Micros(0), ListKind::Full, (0..3).map(entry).collect());
+    core.listed(Micros(0), WorkerListKind::Full, (0..3).map(entry).collect());
     let config = SeatsConfig {
         licences: vec!["av1".into(), "aac".into()],
         classes: [("encode".to_owned(), vec!["av1".to_owned()])].into(),
@@ -87,9 +87,9 @@
 
 /// Each end of a call, and whether its worker is known to have ended it.
 #[rstest]
-#[case(Outcome::Ok, true)]
-#[case(Outcome::Error, true)]
-#[case(Outcome::Full, true)]
+#[case(Outcome::Served, true)]
+#[case(Outcome::Failed, true)]
+#[case(Outcome::Rejected, true)]
 #[case(Outcome::ConnectFailed, true)]
 #[case(Outcome::Reset, false)]
 fn an_end_frees_its_seat_where_the_worker_has_ended_it(
@@ -104,7 +104,7 @@
         hand(&mut core, 1, "b", "encode", vec![]),
         Err(Malformed::NoSeat(_))
     ));
-    let result = (outcome == Outcome::Ok).then(|| b"done".to_vec());
+    let result = (outcome == Outcome::Served).then(|| b"done".to_vec());
     core.call_ended(
         Micros(100_000),
         call.id,
@@ -117,7 +117,7 @@
     // A further attempt takes a seat of its own: there is none while the first may still run.
     assert_eq!(
         again.is_some(),
-        known && outcome != Outcome::Ok,
+        known && outcome != Outcome::Served,
         "{outcome:?} {verdict:?}"
     );
     if !known {
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,7 +2,9 @@
 
 use crate::wire::{Batch, Line, Msg};
 use marbledeck_dispatcher::*;
-use marbledeck_platform_settings::{worker_id, Facts, Reads};
+use marbledeck_platform_settings::{
+    worker_id, PlatformSettings, PlatformSettingsError, ReportFields,
+};
 use std::collections::HashMap;
 
 /// The workers' words by their ids.
@@ -26,7 +28,7 @@
 
 struct Instance {
     dispatcher: Dispatcher,
-    reads: Reads,
+    reads: ReportFields,
     workers: Words,
     numbers: HashMap<Box<str>, RequestId>,
     open: HashMap<RequestId, Open>,
@@ -94,9 +96,13 @@
 }
 
 impl Instance {
-    fn new(facts: &Facts, seed: u64, now: Micros) -> Result<Self, SettingsError> {
-        let settings = facts.settings()?;
-        let reads = facts.reads();
+    fn new(
+        facts: &PlatformSettings,
+        seed: u64,
+        now: Micros,
+    ) -> Result<Self, PlatformSettingsError> {
+        let settings = facts.dispatcher_settings()?;
+        let reads = facts.report_fields();
         Ok(Instance {
             dispatcher: Dispatcher::new(settings, seed, now)?,
             reads,
@@ -122,12 +128,12 @@
                         ended: false,
                     },
                 );
-                events.push(Event::Job(Job {
+                events.push(Event::JobReceived(Job {
                     id,
                     class: ClassId(o.profile),
                     tenant: TenantId(o.party),
                     time_left: Micros(o.time_left_us.max(0) as u64),
-                    cost_hint: o.cost_guess_us.map(|us| Micros(us.max(0.0) as u64)),
+                    expected_work: o.cost_guess_us.map(|us| Micros(us.max(0.0) as u64)),
                     slots: o.cores_needed,
                     memory: o.memory,
                 }));
@@ -140,73 +146,78 @@
                     open.out = open.out.saturating_sub(1);
                     open.ended |= c.done;
                 }
-                events.push(Event::Ended(Ended {
-                    id,
+                events.push(Event::AttemptEnded(AttemptEnded {
+                    request: id,
                     attempt: c.go,
                     worker: self.workers.id(&c.worker.0),
                     outcome: outcome(c.outcome),
-                    closed: c.done,
+                    request_closed: c.done,
                     latency: Micros(c.rtt_us),
-                    report: c.feedback.map(|f| self.reads.report(f)),
+                    report: c.feedback.map(|f| self.reads.interpret(f)),
                 }));
                 self.forget(id);
             }
             Msg::StatusNote { txn, go, topic: 1 } => {
-                events.extend(self.numbers.get(&*txn.0).map(|&id| Event::Started(id, go)));
+                events.extend(self.numbers.get(&*txn.0).map(|&id| Event::AttemptStarted {
+                    request: id,
+                    attempt: go,
+                }));
             }
             Msg::AckFirst { txn, go } => {
-                events.extend(
-                    self.numbers
-                        .get(&*txn.0)
-                        .map(|&id| Event::Streaming(id, go)),
-                );
+                events.extend(self.numbers.get(&*txn.0).map(|&id| Event::ResponseStarted {
+                    request: id,
+                    attempt: go,
+                }));
             }
             Msg::Lapsed(txn) => {
                 let Some(&id) = self.numbers.get(&*txn.0) else {
                     return;
                 };
-                events.push(Event::Gone(id));
+                events.push(Event::ClientLeft(id));
                 self.end(id);
             }
             Msg::Topology(how, lines) => {
                 let kind = match &*how.0 {
-                    "cached" => ListKind::Cached,
-                    "full" => ListKind::Full,
-                    "delta" => ListKind::Delta,
-                    "failed" => ListKind::Failed,
+                    "cached" => WorkerListKind::Cached,
+                    "full" => WorkerListKind::Full,
+                    "delta" => WorkerListKind::Delta,
+                    "failed" => WorkerListKind::Failed,
                     _ => return,
                 };
                 let entries = lines.into_iter().map(|line| self.entry(line)).collect();
-                events.push(Event::List(kind, entries));
+                events.push(Event::WorkerList {
+                    kind,
+                    workers: entries,
+                });
             }
             Msg::HealthResult {
                 worker,
                 outcome: code,
                 feedback,
-            } => events.push(Event::Probed(
-                self.workers.id(&worker.0),
-                outcome(code),
-                feedback.map(|f| self.reads.report(f)),
-            )),
-            Msg::Wakeup(token) => events.push(Event::Timer(token)),
+            } => events.push(Event::ProbeEnded {
+                worker: self.workers.id(&worker.0),
+                outcome: outcome(code),
+                report: feedback.map(|f| self.reads.interpret(f)),
+            }),
+            Msg::Wakeup(token) => events.push(Event::TimerExpired(TimerId(token))),
             Msg::StatusNote { .. } | Msg::Attach(..) | Msg::Killed | Msg::Unknown => {}
         }
     }
 
-    fn entry(&mut self, line: Line) -> Entry {
+    fn entry(&mut self, line: Line) -> WorkerEntry {
         let state = match &*line.state.0 {
-            "active" => State::Ready,
-            "left" => State::Gone,
+            "active" => WorkerState::Ready,
+            "left" => WorkerState::Removed,
             // A state of its own is no invitation to send there.
-            _ => State::Draining,
+            _ => WorkerState::Draining,
         };
-        Entry {
+        WorkerEntry {
             worker: self.workers.id(&line.worker.0),
             state,
             zone: ZoneId(line.locality),
             kind: KindId(line.kind),
             cell: line.block.map(CellId),
-            started: line.start_time_us.filter(|&t| t > 0).map(Micros),
+            started_at: line.start_time_us.filter(|&t| t > 0).map(Micros),
         }
     }
 
@@ -220,13 +231,20 @@
         let worker = |w: &Words, id: WorkerId| w.0[&id].clone();
         match action {
             // A send takes no time here: it cannot come too late.
-            Action::Send(id, to, _) => {
+            Action::Send {
+                request: id,
+                worker: to,
+                ..
+            } => {
                 if let Some(open) = self.open.get_mut(&id) {
                     open.out += 1;
                     return put(out, &("try", &open.word, worker(&self.workers, to), 0));
                 }
             }
-            Action::Refuse(id, retry_after) => {
+            Action::Reject {
+                request: id,
+                retry_after,
+            } => {
                 if let Some(word) = word(&self.open, id) {
                     put(out, &("push-back", word, retry_after.map_or(0, |t| t.0)));
                     return self.end(id);
@@ -238,14 +256,17 @@
                     return self.end(id);
                 }
             }
-            Action::Cancel(id, attempt) => {
+            Action::Cancel {
+                request: id,
+                attempt,
+            } => {
                 if let Some(word) = word(&self.open, id) {
                     return put(out, &("retract", word, attempt));
                 }
             }
             Action::Probe(to) => return put(out, &("health-check", worker(&self.workers, to))),
-            Action::Timer(at, token) => return put(out, &("arm", at.0, token)),
-            Action::Watch => return put(out, &("observe", true)),
+            Action::SetTimer { at, timer } => return put(out, &("arm", at.0, timer.0)),
+            Action::WatchWorkers => return put(out, &("observe", true)),
         }
         out.truncate(start);
     }
@@ -274,13 +295,13 @@
 /// An outcome that is not known may have run, like an error.
 fn outcome(code: u32) -> Outcome {
     match code {
-        0 => Outcome::Ok,
-        254 => Outcome::Full,
+        0 => Outcome::Served,
+        254 => Outcome::Rejected,
         253 => Outcome::TimedOut,
         252 => Outcome::ConnectFailed,
         251 => Outcome::Reset,
         250 => Outcome::Cancelled,
-        249 => Outcome::Moot,
-        _ => Outcome::Error,
+        249 => Outcome::NotSent,
+        _ => Outcome::Failed,
     }
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The simulator's messages as types: batches in, replies out. Nothing is decided here.
 
-use marbledeck_platform_settings::{Facts, Feedback};
+use marbledeck_platform_settings::{PlatformSettings, RawLoadReport};
 use serde::de::{Error, IgnoredAny, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::borrow::Cow;
@@ -32,7 +32,7 @@
 /// One message.
 #[derive(Debug)]
 pub enum Msg<'a> {
-    Attach(u64, Box<Facts>),
+    Attach(u64, Box<PlatformSettings>),
     Topology(Word<'a>, Vec<Line<'a>>),
     Order(Order<'a>),
     StatusNote {
@@ -49,7 +49,7 @@
     HealthResult {
         worker: Word<'a>,
         outcome: u32,
-        feedback: Option<Feedback>,
+        feedback: Option<RawLoadReport>,
     },
     Wakeup(u64),
     Completed(Completed<'a>),
@@ -75,7 +75,7 @@
     pub worker: Word<'a>,
     pub go: u32,
     pub rtt_us: u64,
-    pub feedback: Option<Feedback>,
+    pub feedback: Option<RawLoadReport>,
 }
 
 /// A line of the list.
