--- /dev/null
+++ b/manifest/tests/golden.rs
@@ -0,0 +1,320 @@
+//! Golden forms of catalogs and manifests: what travels between sites, and the texts that operators and clients read.
+//!
+//! The snapshots were written before any rename of the code. A test here may follow a renamed item; a snapshot that
+//! changes is a change of the protocol.
+
+use marbledeck_manifest::{
+    check, Catalog, Errand, Fit, Heard, Known, Malformed, Manifest, Misfit, Step, LONGEST_NAME,
+    MOST_ENTRIES,
+};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::collections::BTreeSet;
+use std::fmt::Write as _;
+
+fn assert_golden(name: &str, text: &str) {
+    insta::with_settings!(
+        { prepend_module_to_snapshot => false, omit_expression => true },
+        { insta::assert_snapshot!(name, text) }
+    );
+}
+
+/// One line of a snapshot: the label and the JSON, which must decode to an equal value.
+fn json_line<T: Serialize + DeserializeOwned + PartialEq>(label: &str, value: &T) -> String {
+    let json = serde_json::to_string(value).expect("a value that can be encoded");
+    let decoded: T = serde_json::from_str(&json).expect("a value that can be decoded");
+    assert!(decoded == *value, "{label}: decoded to another value");
+    format!("{label}: {json}\n")
+}
+
+/// One line of a snapshot: what a given text is decoded to, encoded again, or the error that a peer is told.
+fn decoded_line<T: Serialize + DeserializeOwned>(label: &str, json: &str) -> String {
+    let outcome = match serde_json::from_str::<T>(json) {
+        Ok(value) => serde_json::to_string(&value).expect("a value that can be encoded"),
+        Err(error) => format!("error: {error}"),
+    };
+    format!("{label}: {json}\n  => {outcome}\n")
+}
+
+fn names(of: &[&str]) -> BTreeSet<String> {
+    of.iter().map(|name| (*name).to_owned()).collect()
+}
+
+fn full_catalog() -> Catalog {
+    Catalog {
+        version: 7,
+        classes: names(&["preview", "master"]),
+        kinds: names(&["gpu-large", "cpu"]),
+        slots: 2.5,
+        memory: 4096.0,
+        licences: names(&["av1", "prores"]),
+        codecs: names(&["h264", "av1"]),
+        formats: names(&["tiff", "png"]),
+        regions: names(&["eu-west", "eu-north"]),
+        key_window_ms: Some(5000),
+        longest_run_ms: 60_000,
+    }
+}
+
+fn full_manifest() -> Manifest {
+    Manifest {
+        class: "preview".into(),
+        kinds: names(&["gpu-large", "cpu"]),
+        slots: Some(1.5),
+        memory: Some(512.0),
+        licences: names(&["av1"]),
+        codecs: names(&["h264", "av1"]),
+        formats: names(&["png"]),
+        regions: names(&["eu-west", "eu-north", "us-east"]),
+        key_window_ms: Some(1000),
+        run_ms: Some(30_000),
+    }
+}
+
+/// Fits the full catalog in nothing.
+fn unfit_manifest() -> Manifest {
+    Manifest {
+        class: "sheet".into(),
+        kinds: names(&["tape"]),
+        slots: Some(3.0),
+        memory: Some(8192.5),
+        licences: names(&["hevc"]),
+        codecs: names(&["vvc"]),
+        formats: names(&["exr"]),
+        regions: names(&["eu-west"]),
+        key_window_ms: Some(5001),
+        run_ms: Some(60_001),
+    }
+}
+
+#[test]
+fn catalogs_encode_and_decode() {
+    let without_key_window = Catalog {
+        key_window_ms: None,
+        ..full_catalog()
+    };
+    let largest_numbers = Catalog {
+        version: u64::MAX,
+        slots: 1e300,
+        memory: 0.1,
+        key_window_ms: Some(u64::MAX),
+        longest_run_ms: u64::MAX,
+        ..Catalog::default()
+    };
+    let escaped = Catalog {
+        classes: names(&["quote\"d", "ünïcode", "tab\t"]),
+        ..Catalog::default()
+    };
+    let lines = [
+        json_line("default", &Catalog::default()),
+        json_line("full", &full_catalog()),
+        json_line("without a key window", &without_key_window),
+        json_line("largest numbers", &largest_numbers),
+        json_line("escaped names", &escaped),
+        decoded_line::<Catalog>("empty object", "{}"),
+        decoded_line::<Catalog>("some keys", r#"{"version":3,"classes":["b","a","a"]}"#),
+        decoded_line::<Catalog>("whole number for slots", r#"{"slots":2}"#),
+        decoded_line::<Catalog>("null key window", r#"{"key_window_ms":null}"#),
+        decoded_line::<Catalog>("unknown key", r#"{"gpus":3}"#),
+        decoded_line::<Catalog>("key twice", r#"{"version":1,"version":2}"#),
+        decoded_line::<Catalog>("negative version", r#"{"version":-1}"#),
+    ];
+    assert_golden("catalogs", &lines.concat());
+}
+
+#[test]
+fn manifests_encode_and_decode() {
+    let only_class = Manifest {
+        class: "preview".into(),
+        ..Manifest::default()
+    };
+    let zeroes = Manifest {
+        slots: Some(0.0),
+        memory: Some(0.0),
+        key_window_ms: Some(0),
+        run_ms: Some(0),
+        ..only_class.clone()
+    };
+    let lines = [
+        json_line("default", &Manifest::default()),
+        json_line("only a class", &only_class),
+        json_line("zeroes", &zeroes),
+        json_line("full", &full_manifest()),
+        json_line("unfit", &unfit_manifest()),
+        decoded_line::<Manifest>("empty object", "{}"),
+        decoded_line::<Manifest>(
+            "empty sets and nulls",
+            r#"{"class":"preview","kinds":[],"slots":null,"run_ms":null}"#,
+        ),
+        decoded_line::<Manifest>("unknown key", r#"{"class":"preview","gpu":true}"#),
+        decoded_line::<Manifest>("key twice", r#"{"class":"a","class":"b"}"#),
+        decoded_line::<Manifest>("text for slots", r#"{"class":"a","slots":"2"}"#),
+    ];
+    assert_golden("manifests", &lines.concat());
+}
+
+#[test]
+fn fits_are_told_in_these_words() {
+    let catalog = full_catalog();
+    let without_regions = Catalog {
+        regions: BTreeSet::new(),
+        ..full_catalog()
+    };
+    let without_key_window = Catalog {
+        key_window_ms: None,
+        ..full_catalog()
+    };
+    let no_number = Manifest {
+        slots: Some(f64::NAN),
+        memory: Some(-1.0),
+        ..full_manifest()
+    };
+    let lines = [
+        format!("full: {}\n", check(&full_manifest(), Some(&catalog))),
+        format!("unfit: {}\n", check(&unfit_manifest(), Some(&catalog))),
+        format!(
+            "no regions: {}\n",
+            check(&full_manifest(), Some(&without_regions))
+        ),
+        format!(
+            "no key window: {}\n",
+            check(&full_manifest(), Some(&without_key_window))
+        ),
+        format!("no number: {}\n", check(&no_number, Some(&catalog))),
+        format!("no catalog: {}\n", check(&full_manifest(), None)),
+    ];
+    assert_golden("fits", &lines.concat());
+}
+
+#[test]
+fn reasons_and_their_advice() {
+    let reasons = [
+        Misfit::Missing {
+            what: "codecs",
+            name: "vvc".into(),
+        },
+        Misfit::NoKind,
+        Misfit::TooMuch {
+            what: "slots",
+            wanted: 4.0,
+            most: 1.0,
+        },
+        Misfit::Region("us-east".into()),
+        Misfit::NoRegion,
+    ];
+    let mut text = String::new();
+    for reason in reasons {
+        writeln!(text, "{reason}\n  advice: {}", reason.advice()).expect("a string takes it");
+    }
+    assert_golden("misfit_texts", &text);
+}
+
+#[test]
+fn bounds_are_told_in_these_words() {
+    let many: BTreeSet<String> = (0..=MOST_ENTRIES).map(|n| n.to_string()).collect();
+    let long = names(&["x".repeat(LONGEST_NAME + 1).as_str()]);
+    let mut text = format!("entries at most: {MOST_ENTRIES}\nlongest name: {LONGEST_NAME}\n");
+    let mut tell = |label: &str, outcome: Result<(), Malformed>| {
+        let word = outcome.map_or_else(|malformed| malformed.to_string(), |()| "valid".to_owned());
+        writeln!(text, "{label}: {word}").expect("a string takes it");
+    };
+    tell("full catalog", full_catalog().validate());
+    tell("full manifest", full_manifest().validate());
+    tell("default manifest", Manifest::default().validate());
+    let long_class = "x".repeat(LONGEST_NAME + 1);
+    let manifest = Manifest {
+        class: long_class,
+        ..full_manifest()
+    };
+    tell("manifest, long class", manifest.validate());
+    for set in [many, long, names(&[""])] {
+        let catalogs: [fn(&mut Catalog) -> &mut BTreeSet<String>; 6] = [
+            |catalog| &mut catalog.classes,
+            |catalog| &mut catalog.kinds,
+            |catalog| &mut catalog.licences,
+            |catalog| &mut catalog.codecs,
+            |catalog| &mut catalog.formats,
+            |catalog| &mut catalog.regions,
+        ];
+        for field in catalogs {
+            let mut catalog = full_catalog();
+            *field(&mut catalog) = set.clone();
+            tell("catalog", catalog.validate());
+        }
+        let manifests: [fn(&mut Manifest) -> &mut BTreeSet<String>; 5] = [
+            |manifest| &mut manifest.kinds,
+            |manifest| &mut manifest.licences,
+            |manifest| &mut manifest.codecs,
+            |manifest| &mut manifest.formats,
+            |manifest| &mut manifest.regions,
+        ];
+        for field in manifests {
+            let mut manifest = full_manifest();
+            *field(&mut manifest) = set.clone();
+            tell("manifest", manifest.validate());
+        }
+    }
+    for figure in [-1.0, f64::NAN, f64::INFINITY] {
+        let slots = Catalog {
+            slots: figure,
+            ..full_catalog()
+        };
+        tell("catalog, slots", slots.validate());
+        let memory = Catalog {
+            memory: figure,
+            ..full_catalog()
+        };
+        tell("catalog, memory", memory.validate());
+    }
+    assert_golden("bounds", &text);
+}
+
+/// What is sent to which site, and the text of a refusal, after every kind of answer.
+#[test]
+fn hand_over_of_a_job() {
+    fn word(step: Step) -> String {
+        match step {
+            Step::Ask { site, version } => format!("ask {site} with catalog version {version}"),
+            Step::Wait => "wait".to_owned(),
+            Step::Refused(why) => format!("refused: {why}"),
+        }
+    }
+    let known = |name: &str, version: u64, fit: Fit| Known {
+        name: name.into(),
+        version,
+        fit,
+    };
+    let sites = [
+        known("east", 3, Fit::Fits),
+        known("north", 5, Fit::Fits),
+        known("south", 1, Fit::Misfits(vec![Misfit::NoKind])),
+        known("west", 2, Fit::Fits),
+    ];
+    let mut text = String::new();
+    let mut errand = Errand::default();
+    let answers = [
+        ("lost", Heard::Lost),
+        ("later", Heard::Later),
+        ("outdated 9", Heard::Outdated(9)),
+        ("denied", Heard::Denied("no room".into())),
+        ("none", Heard::Lost),
+        ("denied", Heard::Denied("closed".into())),
+    ];
+    for (label, answer) in answers {
+        let step = word(errand.next(&sites));
+        writeln!(text, "{step}\n  answer: {label}").expect("a string takes it");
+        errand.heard(answer);
+    }
+    writeln!(text, "{}", word(errand.next(&sites))).expect("a string takes it");
+    let mut accepted = Errand::default();
+    writeln!(text, "another job: {}", word(accepted.next(&sites))).expect("a string takes it");
+    accepted.heard(Heard::Accepted);
+    let taken_by = accepted.taken_by().unwrap_or("nobody").to_owned();
+    let step = word(accepted.next(&sites));
+    writeln!(text, "  answer: accepted by {taken_by}\n{step}").expect("a string takes it");
+    let mut alone = Errand::default();
+    writeln!(text, "no sites: {}", word(alone.next(&[]))).expect("a string takes it");
+    let unknown = [known("east", u64::MAX, Fit::Unknown)];
+    writeln!(text, "unknown site: {}", word(alone.next(&unknown))).expect("a string takes it");
+    assert_golden("hand_over", &text);
+}
