--- /dev/null
+++ b/agreement/tests/golden/samples.rs
@@ -0,0 +1,184 @@
+//! One value of every kind that is written or sent.
+
+use marbledeck_agreement::{Body, Change, Command, Outcome, Rates, Record, Refusal, Site, What};
+use marbledeck_manifest::Catalog;
+use marbledeck_seats::{Move, Pool};
+use std::collections::BTreeSet;
+
+pub fn names(of: &[&str]) -> BTreeSet<String> {
+    of.iter().map(|name| (*name).to_owned()).collect()
+}
+
+pub fn rates() -> Rates {
+    Rates {
+        per_s: [("news".to_owned(), 12.5), ("sport".to_owned(), 0.0)].into(),
+    }
+}
+
+pub fn pool(seats: u32, guaranteed: &[(&str, u32)]) -> Pool {
+    let guaranteed = guaranteed
+        .iter()
+        .map(|(tenant, part)| ((*tenant).to_owned(), *part));
+    Pool {
+        seats,
+        guaranteed: guaranteed.collect(),
+        longest_run_ms: 90_000,
+    }
+}
+
+pub fn site(address: &str) -> Site {
+    Site {
+        address: address.parse().expect("an address"),
+        catalog: Catalog {
+            version: 7,
+            classes: names(&["preview"]),
+            kinds: names(&["cpu", "gpu-large"]),
+            slots: 2.5,
+            memory: 4096.0,
+            licences: names(&["av1"]),
+            codecs: names(&["av1", "h264"]),
+            formats: names(&["png"]),
+            regions: names(&["eu-west"]),
+            key_window_ms: Some(5000),
+            longest_run_ms: 60_000,
+        },
+    }
+}
+
+/// A body of every kind, with the name of a record that may hold it.
+pub fn bodies() -> Vec<(&'static str, Body)> {
+    vec![
+        ("seats/av1", Body::Pool(pool(40, &[("news", 10)]))),
+        ("settings/rates", Body::Rates(rates())),
+        ("sites/east", Body::Site(site("127.0.0.1:7001"))),
+        ("sites/west", Body::Site(site("[::1]:7002"))),
+        ("workers/out", Body::Out(names(&["worker-7", "worker-1"]))),
+    ]
+}
+
+/// A record of every kind, one that was removed, and one that is exclusive.
+pub fn records() -> Vec<(String, Record)> {
+    let held = bodies().into_iter().zip(1..);
+    let mut records: Vec<(String, Record)> = held
+        .map(|((name, body), version)| {
+            let record = Record {
+                version,
+                exclusive: version % 2 == 0,
+                body: Some(body),
+                changed: 10 + version,
+            };
+            (name.to_owned(), record)
+        })
+        .collect();
+    let removed = Record {
+        version: u64::MAX,
+        exclusive: false,
+        body: None,
+        changed: u64::MAX,
+    };
+    records.push(("seats/opus".to_owned(), removed));
+    records
+}
+
+/// A change that writes every kind of body, removes a record and only reads another.
+pub fn change() -> Change {
+    let mut change = Change::default();
+    for ((name, body), version) in bodies().into_iter().zip(0..) {
+        change.expect.insert(name.to_owned(), version);
+        change.put.insert(name.to_owned(), Some(body));
+    }
+    change.expect.insert("seats/opus".to_owned(), 4);
+    change.put.insert("seats/opus".to_owned(), None);
+    change.expect.insert("seats/only-read".to_owned(), 9);
+    change.exclusive = names(&["settings/rates", "sites/west"]);
+    change
+}
+
+/// A change that writes these records, with the versions that it expects.
+pub fn put(writes: &[(&str, u64, Option<Body>)], exclusive: &[&str]) -> Change {
+    let mut change = Change {
+        exclusive: names(exclusive),
+        ..Change::default()
+    };
+    for (name, version, body) in writes {
+        change.expect.insert((*name).to_owned(), *version);
+        change.put.insert((*name).to_owned(), body.clone());
+    }
+    change
+}
+
+pub fn want(pool: &str, tenant: &str, seats: u32) -> Move {
+    Move::Want {
+        pool: pool.into(),
+        tenant: tenant.into(),
+        seats,
+    }
+}
+
+pub fn give_back(pool: &str, tenant: &str, seats: u32) -> Move {
+    Move::Return {
+        pool: pool.into(),
+        tenant: tenant.into(),
+        seats,
+    }
+}
+
+pub fn command(node: u32, boot: u64, number: u64, what: What) -> Command {
+    Command {
+        node,
+        boot,
+        number,
+        what,
+    }
+}
+
+/// A command of every kind.
+pub fn commands() -> Vec<(&'static str, Command)> {
+    let boot = 1_700_000_000_000_000;
+    let reclaim = Move::Reclaim { node: 4, boot };
+    let free = Move::Free {
+        pool: "av1".into(),
+        ebb: 12,
+    };
+    vec![
+        ("change", command(4, boot, 1, What::Change(change()))),
+        (
+            "want",
+            command(4, boot, 2, What::Seats(want("av1", "news", 3))),
+        ),
+        (
+            "give back",
+            command(4, boot, u64::MAX, What::Seats(give_back("av1", "", 2))),
+        ),
+        ("reclaim", command(0, 0, 0, What::Seats(reclaim))),
+        ("free", command(0, 0, 0, What::Seats(free))),
+    ]
+}
+
+pub fn refusals() -> Vec<Refusal> {
+    let record = || "seats/av1".to_owned();
+    vec![
+        Refusal::Version {
+            record: record(),
+            has: 3,
+            expected: 2,
+        },
+        Refusal::Unnamed { record: record() },
+        Refusal::Name {
+            record: record(),
+            what: "it cannot hold this".to_owned(),
+        },
+        Refusal::Value {
+            record: record(),
+            key: "seats".to_owned(),
+            what: "want 1,000,000 at most".to_owned(),
+        },
+        Refusal::Size("wants 1 to 64 records".to_owned()),
+        Refusal::Stale { node: 4 },
+    ]
+}
+
+pub fn outcomes() -> Vec<Outcome> {
+    let refused = refusals().into_iter().map(Outcome::Refused);
+    [Outcome::Done].into_iter().chain(refused).collect()
+}
--- /dev/null
+++ b/agreement/tests/golden/texts.rs
@@ -0,0 +1,208 @@
+//! What operators are told of changes that are not taken, and of voters that cannot work.
+
+use crate::assert_golden;
+use crate::samples::{bodies, change, names, pool, put, rates, refusals, site};
+use marbledeck_agreement::{AgreementError, Body, Change, Durable, Rates, Refusal, Voter};
+use marbledeck_manifest::Catalog;
+use marbledeck_seats::Pool;
+use std::fmt::Write as _;
+
+#[test]
+fn refusals_and_their_advice() {
+    let mut text = String::new();
+    for refusal in refusals() {
+        writeln!(text, "{refusal}\n  advice: {}", refusal.advice()).expect("a string takes it");
+    }
+    assert_golden("refusal_texts", &text);
+}
+
+#[test]
+fn errors_and_their_advice() {
+    let what = || "what is wrong".to_owned();
+    let errors = [
+        AgreementError::Message(what()),
+        AgreementError::Stranger { from: 4, to: 1 },
+        AgreementError::Stored(what()),
+        AgreementError::Stopped(what()),
+        AgreementError::Fleet(what()),
+    ];
+    let mut text = String::new();
+    for error in errors {
+        writeln!(text, "{error}\n  advice: {}", error.advice()).expect("a string takes it");
+    }
+    assert_golden("error_texts", &text);
+}
+
+fn single(name: &str, body: Body) -> Change {
+    put(&[(name, 0, Some(body))], &[])
+}
+
+/// Changes that no state would take, with what their sender is told.
+#[test]
+fn changes_that_are_refused_without_the_state() {
+    let rate = |rate: f64| {
+        Body::Rates(Rates {
+            per_s: [("news".to_owned(), rate)].into(),
+        })
+    };
+    let run = |longest_run_ms: u64| {
+        Body::Pool(Pool {
+            longest_run_ms,
+            ..pool(1, &[])
+        })
+    };
+    let catalog = |catalog: Catalog| {
+        Body::Site(marbledeck_agreement::Site {
+            catalog,
+            ..site("127.0.0.1:7001")
+        })
+    };
+    let many_names = (0..=10_000).map(|n| format!("worker-{n}"));
+    let many_rates = (0..=10_000).map(|n| (format!("tenant-{n}"), 1.0));
+    let long_name = format!("seats/{}", "x".repeat(128));
+    let mut not_written = single("workers/out", Body::Out(names(&[])));
+    not_written.exclusive = names(&["seats/av1"]);
+    let unnamed = Change {
+        put: [("workers/out".to_owned(), None)].into(),
+        ..Change::default()
+    };
+    let numbered = |n: usize| (format!("seats/pool-{n}"), n as u64);
+    let many_records = Change {
+        expect: (0..129).map(numbered).collect(),
+        ..single("workers/out", Body::Out(names(&[])))
+    };
+    let huge = single(
+        "workers/out",
+        Body::Out(names(&["x".repeat(1 << 20).as_str()])),
+    );
+    let cases = [
+        ("every kind of body", change()),
+        ("no records", Change::default()),
+        ("too many records", many_records),
+        ("too many bytes", huge),
+        ("a version that is not named", unnamed),
+        ("exclusive and not written", not_written),
+        (
+            "a name without a folder",
+            single("rates", Body::Rates(rates())),
+        ),
+        ("a name that is a folder", single("seats/", run(1))),
+        ("an unknown folder", single("colours/red", run(1))),
+        ("an unknown setting", single("settings/colour", run(1))),
+        ("a name with a space", single("seats/av 1", run(1))),
+        ("a long name", single(&long_name, run(1))),
+        ("another body", single("seats/av1", rate(1.0))),
+        ("a rate below 0", single("settings/rates", rate(-1.0))),
+        (
+            "a rate that is no number",
+            single("settings/rates", rate(f64::NAN)),
+        ),
+        (
+            "too many rates",
+            single(
+                "settings/rates",
+                Body::Rates(Rates {
+                    per_s: many_rates.collect(),
+                }),
+            ),
+        ),
+        (
+            "too many workers",
+            single("workers/out", Body::Out(many_names.collect())),
+        ),
+        (
+            "too many seats",
+            single("seats/av1", Body::Pool(pool(1_000_001, &[]))),
+        ),
+        (
+            "more guaranteed than there are",
+            single(
+                "seats/av1",
+                Body::Pool(pool(9, &[("news", 5), ("sport", 5)])),
+            ),
+        ),
+        ("no run", single("seats/av1", run(0))),
+        ("longest run", single("seats/av1", run(86_400_000))),
+        ("too long a run", single("seats/av1", run(86_400_001))),
+        (
+            "a catalog with a bad figure",
+            single(
+                "sites/east",
+                catalog(Catalog {
+                    slots: -1.0,
+                    ..Catalog::default()
+                }),
+            ),
+        ),
+        (
+            "a catalog with an empty name",
+            single(
+                "sites/east",
+                catalog(Catalog {
+                    codecs: names(&[""]),
+                    ..Catalog::default()
+                }),
+            ),
+        ),
+    ];
+    let mut text = String::new();
+    for (label, change) in cases {
+        let word = change.check().map_or_else(
+            |refusal: Refusal| refusal.to_string(),
+            |()| "may be taken".to_owned(),
+        );
+        writeln!(text, "{label}: {word}").expect("a string takes it");
+    }
+    for (name, body) in bodies() {
+        for other in ["settings/rates", "workers/out", "seats/av1", "sites/east"] {
+            let word = match single(other, body.clone()).check() {
+                Ok(()) => "may be taken".to_owned(),
+                Err(refusal) => refusal.to_string(),
+            };
+            writeln!(text, "the body of {name} under {other}: {word}").expect("a string takes it");
+        }
+    }
+    assert_golden("change_checks", &text);
+}
+
+/// What is said of voters and stored bytes of which no voter can be made.
+#[test]
+fn voters_that_cannot_be_made() {
+    let nothing = Durable::default;
+    let stored = |durable: Durable| (1, vec![1, 2, 3], durable);
+    let cases = [
+        ("not one of the voters", (4, vec![1, 2, 3], nothing())),
+        ("two voters", (1, vec![1, 2], nothing())),
+        ("number 0", (0, vec![0, 1, 2], nothing())),
+        (
+            "less than was committed",
+            stored(Durable {
+                hard: Some(vec![0x18, 9]),
+                ..nothing()
+            }),
+        ),
+        (
+            "an entry at another index",
+            stored(Durable {
+                entries: vec![(2, vec![0x18, 3])],
+                ..nothing()
+            }),
+        ),
+        (
+            "an entry is missing",
+            stored(Durable {
+                entries: vec![(2, vec![0x18, 2])],
+                ..nothing()
+            }),
+        ),
+    ];
+    let mut text = String::new();
+    for (label, (id, voters, durable)) in cases {
+        let word = match Voter::new(id, &voters, 1, &durable) {
+            Ok(_) => "a voter".to_owned(),
+            Err(error) => error.to_string(),
+        };
+        writeln!(text, "{label}: {word}").expect("a string takes it");
+    }
+    assert_golden("bad_voters", &text);
+}
