--- a/submission/tests/common/mod.rs
+++ b/submission/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! A server with a scripted desk, in virtual time.
 #![allow(dead_code)]
 
+pub mod transcript;
+
 use marbledeck::{Micros, RequestId};
 use marbledeck_submission::message::{Machine, Problem, Queue};
 use marbledeck_submission::server::Peer;
