--- /dev/null
+++ b/node/tests/golden.rs
@@ -0,0 +1,32 @@
+//! Golden files: every form that leaves the program `marbledeck` or that it reads, as text under `snapshots/`.
+//!
+//! Figures that move (times, addresses, folders) are replaced by names in angle brackets; names, order and structure of
+//! what is written are kept to the byte. A snapshot is a promise to those outside: it changes only with the form itself.
+
+#[path = "golden/command_line.rs"]
+mod command_line;
+#[path = "golden/consumers.rs"]
+mod consumers;
+#[path = "golden/node_file.rs"]
+mod node_file;
+#[path = "golden/operator_file.rs"]
+mod operator_file;
+#[path = "golden/operators.rs"]
+mod operators;
+#[path = "golden/outgoing.rs"]
+mod outgoing;
+#[path = "golden/process.rs"]
+mod process;
+#[path = "golden/support.rs"]
+mod support;
+#[path = "golden/text.rs"]
+mod text;
+
+/// Compares a text with the golden file of this name.
+#[track_caller]
+fn assert_golden(name: &str, text: &str) {
+    let mut settings = insta::Settings::clone_current();
+    settings.set_omit_expression(true);
+    settings.set_prepend_module_to_snapshot(false);
+    settings.bind(|| insta::assert_snapshot!(format!("golden__{name}"), text));
+}
--- /dev/null
+++ b/node/tests/golden/command_line.rs
@@ -0,0 +1,237 @@
+//! The command line: what it prints, and its exit status.
+
+use crate::assert_golden;
+use crate::support::{listener, member, node_file, program, Node};
+use crate::text::{self, chapter, without_numbers_after, without_numbers_before};
+use marbledeck_lab::{Act, Lab, Options};
+use std::time::Duration;
+
+/// Runs the program with these words.
+fn run(node: &str, line: &str) -> String {
+    let mut command = program();
+    command
+        .env("MARBLEDECK_NODE", node)
+        .args(line.split(' ').filter(|word| !word.is_empty()));
+    text::output(&command.output().expect("it runs"))
+}
+
+/// Runs it without any variable.
+fn run_alone(line: &str) -> String {
+    let mut command = program();
+    command.args(line.split(' ').filter(|word| !word.is_empty()));
+    text::output(&command.output().expect("it runs"))
+}
+
+#[test]
+fn help() {
+    let lines = [
+        "--version",
+        "--help",
+        "serve --help",
+        "job --help",
+        "job run --help",
+        "job bulk --help",
+        "job info --help",
+        "job wait --help",
+        "job list --help",
+        "job hold --help",
+        "job release --help",
+        "job terminate --help",
+        "job reap --help",
+        "job watch --help",
+        "session --help",
+        "session create --help",
+        "session list --help",
+        "session show --help",
+        "session destroy --help",
+        "queues --help",
+        "machines --help",
+        "capabilities --help",
+        "config --help",
+        "config check --help",
+        "members --help",
+        "completions --help",
+    ];
+    let mut golden = String::new();
+    for line in lines {
+        golden += &chapter(line, &run_alone(line));
+    }
+    assert_golden("command_line_help", &golden);
+}
+
+#[test]
+fn completions() {
+    for shell in ["bash", "elvish", "fish", "powershell", "zsh"] {
+        let output = run_alone(&format!("completions {shell}"));
+        assert_golden(&format!("command_line_completions_{shell}"), &output);
+    }
+}
+
+/// Lines that make no sense, and a node that is not there.
+#[test]
+fn refused() {
+    let lines = [
+        "",
+        "jbo",
+        "-x",
+        "--submission",
+        "--site",
+        "--site a --submission b",
+        "--site a job list",
+        "job",
+        "job rnu",
+        "job run",
+        "job run /x",
+        "job run /x --class c --deadline soon",
+        "job run /x --class c --until soon",
+        "job run /x --class c --start +soon",
+        "job run /x --class c --slots many",
+        "job run /x --class c --patience long",
+        "job bulk /x --class c",
+        "job bulk /x --class c --to x",
+        "job bulk /x --class c --to 3 --max-parallel -1",
+        "job info",
+        "job info a --result --json",
+        "job wait",
+        "job wait a --array b",
+        "job wait a --timeout 3d",
+        "job list --state SLEEPING",
+        "job hold",
+        "job watch",
+        "job watch --session s --count x",
+        "session",
+        "session create",
+        "session show",
+        "queues more",
+        "config",
+        "config check",
+        "config chekc x",
+        "members",
+        "members nowhere",
+        "members 127.0.0.1:1",
+        "completions",
+        "completions tcsh",
+        "job run /x --class c --input /none",
+        "job list --patience 0",
+        "job run /x --class c --patience 0",
+        "session list --patience 0 --json",
+        "queues --patience 0",
+        "machines --patience 0 --quiet",
+        "capabilities --patience 0",
+        "job watch --session s --patience 0",
+        "job list --patience 0 --node 127.0.0.1:2",
+    ];
+    let mut golden = String::new();
+    for line in lines {
+        golden += &chapter(line, &run("127.0.0.1:1", line));
+    }
+    assert_golden("command_line_refused", &golden);
+}
+
+/// `members` prints what the operators' address says.
+#[test]
+fn members() {
+    let (_directory, directory) = listener();
+    let (_worker, worker) = listener();
+    let node = Node::start(&node_file(directory, &[member("w1", worker)]), "");
+    let mut golden = chapter(
+        "members OPS",
+        &run_alone(&format!("members {}", node.operators)),
+    );
+    let mut command = program();
+    command.env("LB_OPS", &node.operators).arg("members");
+    let output = text::output(&command.output().expect("it runs"));
+    golden += &chapter("LB_OPS=OPS members", &output);
+    let golden = golden.replace(&worker.to_string(), "<w1>");
+    assert_golden(
+        "command_line_members",
+        &without_numbers_before(&golden, " s\n", "<age>"),
+    );
+}
+
+/// Times and spans of jobs.
+fn hide_times(text: &str) -> String {
+    let text = without_numbers_after(text, "TimeMs\":", "<time>");
+    let text = without_numbers_after(&text, "come back in ", "<seconds>");
+    let text = without_numbers_before(&text, " s\n", "<seconds>");
+    text.replace("given up after <seconds> s", "given up after")
+}
+
+/// Jobs, sessions and what a node tells of itself, one command after the other.
+#[test]
+fn against_a_node() {
+    let lab = Lab::start(Options {
+        workers: 1,
+        ..Options::default()
+    });
+    lab.workers[0].behave(|job| match job.target.as_str() {
+        "/failing" => Act::Fail(Duration::from_millis(2)),
+        target => Act::Serve(Duration::from_millis(2), format!("made {target}")),
+    });
+    let lines = [
+        "queues",
+        "queues --json",
+        "machines",
+        "machines --json",
+        "capabilities",
+        "job run /one -c preview -t au --wait",
+        "job run /two -c preview -t au --wait --json",
+        "job run /three -c preview -t au --wait --quiet",
+        "job run /failing -c sheet-publish -t au -k k-1 --wait",
+        "job run /failing -c sheet-publish -t au -k k-2 --wait --json",
+        "job run /one -c nonsense -t au",
+        "job run /one -c preview -t nobody",
+        "job run /one -c nonsense -t au --json",
+        "session create films",
+        "session create films",
+        "session create stills --json",
+        "session list",
+        "session list --json",
+        "job run /held -c preview -t au --hold -s films --name reel",
+        "job run /held -c preview -t au --hold -s films --name still --json",
+        "job list",
+        "job list -s films --json",
+        "job list --state queued_held --name reel",
+        "session show films",
+        "session show films --json",
+        "job wait n0-17-6 --timeout 20ms",
+        "job wait n0-17-6 --timeout 20ms --json",
+        "job hold n0-17-6",
+        "job hold n0-17-6 --json",
+        "job release n0-17-6",
+        "job release n0-17-6 --json",
+        "job wait n0-17-6",
+        "job wait n0-17-6 --json",
+        "job wait --any n0-17-6 n0-17-6",
+        "job info n0-17-6",
+        "job info n0-17-6 --json",
+        "job info n0-17-6 --result",
+        "job info n0-17-7 --result",
+        "job info none",
+        "job info none --json",
+        "job terminate n0-17-7",
+        "job terminate n0-17-7 --json",
+        "job watch -s films --since 0 --count 6",
+        "job watch -s films --since 0 --count 6 --json",
+        "session show films",
+        "job bulk /n/${PARAMETRIC_INDEX} --from 1 --to 3 -p 1 -c preview -t au --wait",
+        "job bulk /n/${PARAMETRIC_INDEX} --from 1 --to 3 -p 1 -c preview -t au --wait --json",
+        "job bulk /n/${PARAMETRIC_INDEX} --from 1 --to 2 -c preview -t au --hold",
+        "job bulk /n/${PARAMETRIC_INDEX} --from 1 --to 2 -c preview -t au --hold --json",
+        "job bulk /n --from 3 --to 1 -c preview -t au",
+        "job reap n0-17-6",
+        "job reap n0-17-6",
+        "job wait none",
+        "job terminate none",
+        "job list -s none",
+        "session show none",
+        "session destroy films",
+        "session destroy films",
+        "job watch -s films",
+    ];
+    let mut golden = String::new();
+    for line in lines {
+        golden += &chapter(line, &run(&lab.submitters, line));
+    }
+    assert_golden("command_line_against_a_node", &hide_times(&golden));
+}
--- /dev/null
+++ b/node/tests/golden/outgoing.rs
@@ -0,0 +1,155 @@
+//! The bytes that the node writes to render workers, to the directory and to a Eureka registry.
+
+use crate::assert_golden;
+use crate::support::{listener, member, node_file, Connection, Node};
+use crate::text::{self, chapter, without_numbers_after};
+use std::net::TcpListener;
+
+/// Calls to a worker: every field that is passed on, and the body by its length however it came.
+#[test]
+fn calls_to_a_worker() {
+    let (_directory, directory) = listener();
+    let (worker_listener, worker_address) = listener();
+    let file = node_file(directory, &[member("w1", worker_address)]);
+    let node = Node::start(&file, "");
+    let common = "X-Lane: preview\r\nX-Org: au\r\nX-Remaining-Ms: 7000\r\n";
+    let requests = [
+        format!("POST /plain HTTP/1.1\r\nX-Txn: t-1\r\n{common}\r\n"),
+        format!(
+            "POST /query?n=7&m=%20 HTTP/1.1\r\nX-Txn: t-2\r\n{common}Content-Length: 4\r\n\r\nbody"
+        ),
+        format!(
+            "POST /chunked HTTP/1.1\r\nX-Txn: t-3\r\n{common}Transfer-Encoding: chunked\r\n\r\n\
+             2\r\nch\r\n3\r\nunk\r\n0\r\n\r\n"
+        ),
+        format!(
+            "POST /keyed HTTP/1.1\r\nX-Txn: t-4\r\n{}Idempotency-Key: k-4\r\n\r\n",
+            common.replace("preview", "sheet-publish")
+        ),
+        format!(
+            "POST /fields HTTP/1.1\r\nHost: dropped\r\nX-Txn: t-5\r\n{common}X-Estimate: 40\r\n\
+             X-Labels: slots=2,memory=1\r\nX-Other: dropped\r\nIdempotency-Key: k-5\r\n\r\n"
+        ),
+    ];
+    let mut consumer = Connection::to(&node.consumers);
+    let mut worker = None;
+    let mut golden = String::new();
+    for (at, request) in requests.iter().enumerate() {
+        consumer.send(request);
+        let worker = worker.get_or_insert_with(|| Connection::accepted(&worker_listener));
+        let call = text::bytes(&worker.message());
+        let call = without_numbers_after(&call, "X-Remaining-Ms: ", "<milliseconds>");
+        let call = call.replace(&worker_address.to_string(), "<w1>");
+        golden += &chapter(&format!("call {}", at + 1), &call);
+        let line = format!(
+            "{{\"id\":\"t-{}\",\"state\":\"done\",\"result\":\"x\"}}\n",
+            at + 1
+        );
+        worker.send(format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n0\r\n\r\n",
+            line.len()
+        ));
+        consumer.message();
+    }
+    assert_golden("outgoing_calls", &golden);
+}
+
+/// What asks a worker for its load, or only whether it is well.
+#[test]
+fn probes() {
+    let mut golden = String::new();
+    for how in ["pull", ""] {
+        let (_directory, directory) = listener();
+        let (worker_listener, worker_address) = listener();
+        let mut file = node_file(directory, &[member("w1", worker_address)]);
+        file["settings"]["stats"]["how"] = how.into();
+        file["settings"]["bounds"]["probes"] = true.into();
+        let _node = Node::start(&file, "");
+        let probe = text::bytes(&Connection::accepted(&worker_listener).message());
+        let probe = probe.replace(&worker_address.to_string(), "<w1>");
+        golden += &chapter(&format!("stats.how = \"{how}\""), &probe);
+    }
+    assert_golden("outgoing_probes", &golden);
+}
+
+/// The questions to the directory: without a list, and watching from a revision.
+#[test]
+fn questions_to_the_directory() {
+    let (directory_listener, directory) = listener();
+    let mut golden = String::new();
+    let mut file = node_file(directory, &[]);
+    file.as_object_mut().expect("an object").remove("known");
+    let mut question = |connection: &mut Connection, title: &str| {
+        let asked = text::bytes(&connection.message());
+        let asked = without_numbers_after(&asked, "wait_ms=", "<milliseconds>");
+        let asked = asked.replace(&directory.to_string(), "<directory>");
+        golden += &chapter(title, &asked);
+    };
+    let node = Node::start(&file, "");
+    let mut connection = Connection::accepted(&directory_listener);
+    question(&mut connection, "nothing is known");
+    let list = r#"{"revision":4,"complete":true,"members":[]}"#;
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+        list.len()
+    );
+    connection.send(&answer);
+    question(&mut connection, "revision 4 is known");
+    let list = r#"{"revision":5,"complete":false,"members":[]}"#;
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+        list.len()
+    );
+    connection.send(&answer);
+    question(&mut connection, "revision 5 is known");
+    drop(node);
+    file["known"] = serde_json::json!({"revision": 1, "complete": true, "members": []});
+    let _node = Node::start(&file, "");
+    let mut connection = Connection::accepted(&directory_listener);
+    question(&mut connection, "revision 1 is in the file");
+    assert_golden("outgoing_directory", &golden);
+}
+
+/// Reads a question to a registry and answers it.
+fn registry_is_asked(registry: &TcpListener, answer: &str) -> String {
+    let mut connection = Connection::accepted(registry);
+    let asked = text::bytes(&connection.message());
+    connection.send(answer);
+    asked
+}
+
+/// What a Eureka registry is asked for, and the node's own entry there.
+#[test]
+fn questions_to_a_registry() {
+    let mut golden = String::new();
+    for form in ["json", "xml"] {
+        let (_directory, directory) = listener();
+        let (registry, registry_address) = listener();
+        let url = format!("http://{registry_address}/eureka");
+        let section = format!("[eureka]\nurls = [\"{url}\"]\npoll_s = 1\nform = \"{form}\"\n");
+        let entry = "[eureka.register]\napp = \"MARBLEDECK\"\nid = \"n0\"\naddress = \"127.0.0.1:8000\"\nrenew_s = 1\n";
+        let node = Node::start(&node_file(directory, &[]), &format!("{section}{entry}"));
+        // The question and the entry come side by side, in any order.
+        let empty = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n";
+        let mut asked = Vec::new();
+        while asked.len() < 3 {
+            let question = registry_is_asked(&registry, empty);
+            if !asked.contains(&question) {
+                asked.push(question);
+            }
+        }
+        node.terminate();
+        while !asked.iter().any(|question| question.starts_with("DELETE")) {
+            let question = registry_is_asked(&registry, empty);
+            if !asked.contains(&question) {
+                asked.push(question);
+            }
+        }
+        asked.sort();
+        for question in asked {
+            let question = question.replace(&registry_address.to_string(), "<registry>");
+            golden += &chapter(form, &question);
+        }
+    }
+    assert_golden("outgoing_eureka", &golden);
+}
--- /dev/null
+++ b/node/tests/golden/process.rs
@@ -0,0 +1,171 @@
+//! How the process starts and ends: its log, and what it says where it cannot start.
+
+use crate::assert_golden;
+use crate::support::{listener, member, node_file, program, Folder, Node};
+use crate::text::{self, chapter};
+use serde_json::Value;
+
+/// A line of the log without its time and the module that says it.
+fn log_line(line: &str) -> String {
+    let mut words = line.splitn(4, ' ');
+    let time = words.next().expect("a time");
+    let level = words.next().expect("a level");
+    let module = words.next().expect("a module");
+    let message = words.next().unwrap_or_default();
+    let (seconds, fraction) = time.split_once('.').expect("seconds with a fraction");
+    assert!(
+        seconds.parse::<u64>().is_ok() && fraction.len() == 6,
+        "{line}"
+    );
+    assert!(module.ends_with(':'), "{line}");
+    format!("<time> {level} <module>: {message}\n")
+}
+
+/// The log of a node from its start to its end.
+#[test]
+fn log() {
+    let (_directory, directory) = listener();
+    let (_worker, worker) = listener();
+    let file = node_file(directory, &[member("w1", worker)]);
+    let mut node = Node::start(&file, "[submission]\nlisten = \"127.0.0.1:0\"\n");
+    node.terminate();
+    let status = node.ended();
+    let lines: String = node.logged.iter().map(|line| log_line(line)).collect();
+    let (_, rest) = lines.split_once("takes submissions at ").expect("logged");
+    let submitters = rest.lines().next().expect("an address");
+    let lines = lines
+        .replace(&node.consumers, "<consumers>")
+        .replace(&node.operators, "<operators>")
+        .replace(submitters, "<submitters>");
+    assert_golden("process_log", &format!("{lines}status: {status}\n"));
+}
+
+/// Runs the program with this file and these variables; it must end by itself.
+fn start(
+    folder: &Folder,
+    file: Option<&Value>,
+    variables: &[(&str, &str)],
+    words: &[&str],
+) -> String {
+    let mut command = program();
+    if let Some(file) = file {
+        command.env("LB_CONFIG", folder.file("config.json", &file.to_string()));
+    }
+    command.envs(variables.iter().copied()).args(words);
+    folder.hide(&text::output(&command.output().expect("it runs")))
+}
+
+/// Nodes that do not start: the message and the exit status.
+#[test]
+fn cannot_start() {
+    let folder = Folder::new();
+    let (_directory, directory) = listener();
+    let (_taken, taken) = listener();
+    let taken = taken.to_string();
+    let right = node_file(directory, &[]);
+    let changed = |pointer: &str, value: Value| {
+        let mut file = right.clone();
+        *file.pointer_mut(pointer).expect("a key") = value;
+        file
+    };
+    let without = |key: &str| {
+        let mut file = right.clone();
+        file.as_object_mut().expect("an object").remove(key);
+        file
+    };
+    let mut golden = String::new();
+    let mut add =
+        |title: &str, file: Option<&Value>, variables: &[(&str, &str)], words: &[&str]| {
+            golden += &chapter(title, &start(&folder, file, variables, words));
+        };
+    add("no LB_CONFIG", None, &[], &[]);
+    add("no LB_CONFIG: serve", None, &[], &["serve"]);
+    let missing = folder.path().join("none.json");
+    let missing = missing.to_str().expect("text");
+    add("LB_CONFIG is no file", None, &[("LB_CONFIG", missing)], &[]);
+    let text = folder.file("text.json", "no JSON");
+    let text = text.to_str().expect("text");
+    add("LB_CONFIG is no JSON", None, &[("LB_CONFIG", text)], &[]);
+    add("LB_CONFIG is no object", Some(&Value::from(7)), &[], &[]);
+    for key in ["name", "listen", "discovery", "settings"] {
+        add(&format!("no {key}"), Some(&without(key)), &[], &[]);
+    }
+    for name in ["LB_LISTEN", "LB_DISCOVERY", "LB_OPS"] {
+        add(
+            &format!("{name} is no address"),
+            Some(&right),
+            &[(name, "here")],
+            &[],
+        );
+    }
+    add(
+        "MARBLEDECK_LOG is no level",
+        Some(&right),
+        &[("MARBLEDECK_LOG", "loud")],
+        &[],
+    );
+    let wrong = changed("/limits/sockets", 20.into());
+    add("limits.sockets is too small", Some(&wrong), &[], &[]);
+    let wrong = changed("/settings/balancers", 0.into());
+    add("settings.balancers is 0", Some(&wrong), &[], &[]);
+    let wrong = changed("/settings/bounds/try-limit", 0.into());
+    add("settings.bounds.try-limit is 0", Some(&wrong), &[], &[]);
+    add(
+        "listen is taken",
+        Some(&changed("/listen", taken.clone().into())),
+        &[],
+        &[],
+    );
+    add(
+        "ops is taken",
+        Some(&changed("/ops", taken.clone().into())),
+        &[],
+        &[],
+    );
+    add("--site is no file", Some(&right), &[], &["--site", missing]);
+    add(
+        "--submission is no file",
+        Some(&right),
+        &[],
+        &["--submission", missing],
+    );
+    let site = folder.file("site.toml", "[membership]\nkeep_s = 0\n");
+    let site = site.to_str().expect("text");
+    add("--site with a fault", Some(&right), &[], &["--site", site]);
+    add(
+        "serve --site with a fault",
+        Some(&right),
+        &[],
+        &["serve", "--site", site],
+    );
+    let front = folder.file("front.toml", "listen = \"127.0.0.1:0\"\nmax_jobs = 0\n");
+    let front = front.to_str().expect("text");
+    add(
+        "--submission with a fault",
+        Some(&right),
+        &[],
+        &["--submission", front],
+    );
+    let front = folder.file("taken.toml", &format!("listen = \"{taken}\"\n"));
+    let front = front.to_str().expect("text");
+    add(
+        "listen of --submission is taken",
+        Some(&right),
+        &[],
+        &["--submission", front],
+    );
+    let seats = folder.file(
+        "seats.toml",
+        "[agreement]\nfleet = \"f\"\nnode = 4\nnodes = 4\nfrom = []\nvoters = [\
+         { number = 1, address = \"127.0.0.1:1\" }, { number = 2, address = \"127.0.0.1:1\" }, \
+         { number = 3, address = \"127.0.0.1:1\" }]\n[seats]\nlicences = [\"av1\"]\nclasses = { none = [\"av1\"] }\n",
+    );
+    let seats = seats.to_str().expect("text");
+    add(
+        "seats of a class that there is not",
+        Some(&right),
+        &[],
+        &["--site", seats],
+    );
+    assert_golden("process_cannot_start", &golden);
+}
--- /dev/null
+++ b/node/tests/golden/text.rs
@@ -0,0 +1,72 @@
+//! Bytes as text, and the replacement of figures that differ from run to run.
+
+use std::fmt::Write as _;
+use std::process::Output;
+
+/// Bytes as they are, one line each; what is not printable is escaped.
+pub fn bytes(bytes: &[u8]) -> String {
+    let mut text = String::new();
+    for byte in bytes {
+        match byte {
+            b'\n' => text.push_str("\\n\n"),
+            b'\r' => text.push_str("\\r"),
+            b'\\' => text.push_str("\\\\"),
+            0x20..=0x7e => text.push(char::from(*byte)),
+            _ => drop(write!(text, "\\x{byte:02x}")),
+        }
+    }
+    text
+}
+
+/// Replaces the number that follows each occurrence of `marker`.
+pub fn without_numbers_after(text: &str, marker: &str, placeholder: &str) -> String {
+    let mut parts = text.split(marker);
+    let mut result = parts.next().unwrap_or_default().to_owned();
+    for part in parts {
+        let is_digit = |character: char| character.is_ascii_digit() || character == '.';
+        let rest = part.trim_start_matches(is_digit);
+        result.push_str(marker);
+        if rest.len() < part.len() {
+            result.push_str(placeholder);
+        }
+        result.push_str(rest);
+    }
+    result
+}
+
+/// Replaces the word before each occurrence of `marker`, where it is a number.
+pub fn without_numbers_before(text: &str, marker: &str, placeholder: &str) -> String {
+    let mut parts: Vec<String> = text.split(marker).map(str::to_owned).collect();
+    let last = parts.len() - 1;
+    for part in &mut parts[..last] {
+        let is_digit = |character: char| character.is_ascii_digit() || character == '.';
+        let kept = part.trim_end_matches(is_digit).len();
+        if kept < part.len() {
+            part.truncate(kept);
+            part.push_str(placeholder);
+        }
+    }
+    parts.join(marker)
+}
+
+/// The exit status, standard output and standard error of a program that has ended.
+pub fn output(output: &Output) -> String {
+    let status = output.status.code().expect("ended by itself");
+    let mut text = format!("status: {status}\n");
+    for (name, content) in [("stdout", &output.stdout), ("stderr", &output.stderr)] {
+        if !content.is_empty() {
+            let content = String::from_utf8_lossy(content);
+            let _ = write!(text, "--- {name}\n{content}");
+            if !content.ends_with('\n') {
+                text.push_str("<no newline>\n");
+            }
+        }
+    }
+    text
+}
+
+/// A chapter of a golden file.
+pub fn chapter(title: &str, content: &str) -> String {
+    let end = if content.ends_with('\n') { "" } else { "\n" };
+    format!("=== {title}\n{content}{end}\n")
+}
