--- a/node/tests/golden/node_file.rs
+++ b/node/tests/golden/node_file.rs
@@ -195,18 +195,14 @@
         ("TMPDIR", "/tmp/folder"),
         ("MARBLEDECK_LOG", "debug"),
     ];
-    let whole = whole();
-    let least = least();
-    let cases: [(&str, &Value, &[(&str, &str)]); 3] = [
-        ("whole file", &whole, &[]),
-        ("whole file, all variables", &whole, &variables),
-        ("defaults", &least, &[]),
-    ];
     let mut golden = String::new();
-    for (title, file, variables) in cases {
+    let mut add = |title: &str, file: &Value, variables: &[(&str, &str)]| {
         let config = read(&folder, file, variables).expect("it is right");
         let _ = writeln!(golden, "=== {title}\n{}", described(&config));
-    }
+    };
+    add("whole file", &whole(), &[]);
+    add("whole file, all variables", &whole(), &variables);
+    add("defaults", &least(), &[]);
     assert_golden("node_file_values", &golden);
 }
 
