--- a/crates/submission-client/tests/golden.rs
+++ b/crates/submission-client/tests/golden.rs
@@ -203,7 +203,10 @@
             &[first, last],
             |client| client.run_bulk(template(), range, most, session),
             |bulk| {
-                let job = |(index, job): (i64, Result<marbledeck_submission_client::Accepted, Problem>)| {
+                let job = |(index, job): (
+                    i64,
+                    Result<marbledeck_submission_client::Accepted, Problem>,
+                )| {
                     let told = job.map_or_else(|p| p.message, |job| job.job_id);
                     format!("{index}: {told}")
                 };
@@ -297,8 +300,9 @@
         &[&first, &last],
         |client| client.machines(),
         |machines| {
-            let machine =
-                |m: &marbledeck_submission_client::Machine| format!("{} {} {}", m.name, m.zone, m.calls);
+            let machine = |m: &marbledeck_submission_client::Machine| {
+                format!("{} {} {}", m.name, m.zone, m.calls)
+            };
             machines.iter().map(machine).collect::<Vec<_>>().join(", ")
         },
     );
