--- a/crates/eureka/src/instance.rs
+++ b/crates/eureka/src/instance.rs
@@ -1,7 +1,7 @@
 //! An instance as a registry tells it, in either form, and the word on a worker that it comes to.
 
 use marbledeck_dispatcher::{CellId, Micros};
-use marbledeck_membership::{Status, Word};
+use marbledeck_membership::{SourceReport, Status};
 use serde::de::{Deserializer, Error};
 use serde::Deserialize;
 use serde_json::Value;
@@ -100,7 +100,7 @@
     }
 
     /// What this comes to as a word on a worker.
-    pub fn word(&self, keys: &Keys) -> Word {
+    pub fn word(&self, keys: &Keys) -> SourceReport {
         let of = |key: &Option<String>| key.as_ref().and_then(|key| self.metadata.get(key));
         let port = if keys.secure {
             self.secure_port
@@ -109,9 +109,9 @@
         };
         let ip: Option<IpAddr> = self.ip.parse().ok();
         let rack = of(&keys.rack).filter(|rack| !rack.is_empty());
-        Word {
+        SourceReport {
             id: of(&keys.id).unwrap_or(&self.id).clone(),
-            addr: ip.zip(port).map(|(ip, port)| SocketAddr::new(ip, port)),
+            address: ip.zip(port).map(|(ip, port)| SocketAddr::new(ip, port)),
             status: match self.effective() {
                 InstanceStatus::Up => Status::Up,
                 InstanceStatus::Down => Status::Down,
@@ -122,8 +122,9 @@
             zone: of(&keys.zone).cloned().unwrap_or_default(),
             kind: of(&keys.kind).cloned().unwrap_or_default(),
             cell: rack.map(|rack| CellId(rack.parse().unwrap_or_else(|_| hashed(rack)))),
-            started: (self.up_since_ms > 0).then(|| Micros(self.up_since_ms.saturating_mul(1000))),
-            dirty: self.dirty_ms,
+            started_at: (self.up_since_ms > 0)
+                .then(|| Micros(self.up_since_ms.saturating_mul(1000))),
+            version: self.dirty_ms,
         }
     }
 }
--- a/crates/eureka/src/poll.rs
+++ b/crates/eureka/src/poll.rs
@@ -4,7 +4,7 @@
 use crate::instance::{Action, Instance, InstanceStatus, Keys};
 use crate::read::{Encoding, Fault, Form, Item, Reader};
 use marbledeck_dispatcher::Micros;
-use marbledeck_membership::{Status, Word};
+use marbledeck_membership::{SourceReport, Status};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// What the poll is told.
@@ -55,11 +55,11 @@
     /// A whole list begins,
     Begin,
     /// names these,
-    Part(Vec<Word>),
+    Part(Vec<SourceReport>),
     /// and has ended: who was not named is missing.
     End,
     /// A worker is named.
-    Named(Box<Word>),
+    Named(Box<SourceReport>),
     /// A worker is no longer named; `explicit` where that was on purpose.
     Removed { id: String, explicit: bool },
 }
@@ -79,7 +79,7 @@
     hash: Option<String>,
     /// What a whole read has found.
     found: HashMap<Key, Known>,
-    part: Vec<Word>,
+    part: Vec<SourceReport>,
     /// What a delta has found: nothing of it counts before its end.
     delta: VecDeque<Step>,
 }
@@ -88,7 +88,7 @@
 struct Step {
     key: Key,
     status: InstanceStatus,
-    word: Option<Word>,
+    word: Option<SourceReport>,
     deleted: bool,
 }
 
--- a/crates/eureka/tests/golden.rs
+++ b/crates/eureka/tests/golden.rs
@@ -7,7 +7,7 @@
     Action, Ask, Change, Encoding, Form, Instance, InstanceStatus, Item, Keys, Lease,
     LeaseSettings, Poll, Reader, Settings, What,
 };
-use marbledeck_membership::{Status, Word};
+use marbledeck_membership::{SourceReport, Status};
 use std::fmt::Write;
 
 const FULL_JSON: &str = r#"{"applications":{"versions__delta":"1","apps__hashcode":"STARTING_1_UNKNOWN_1_UP_2_","application":[
@@ -139,10 +139,12 @@
     }
 }
 
-fn shown_word(word: &Word) -> String {
-    let addr = word.addr.map_or("none".to_owned(), |a| a.to_string());
+fn shown_word(word: &SourceReport) -> String {
+    let addr = word.address.map_or("none".to_owned(), |a| a.to_string());
     let cell = word.cell.map_or("none".to_owned(), |c| c.0.to_string());
-    let started = word.started.map_or("none".to_owned(), |s| s.0.to_string());
+    let started = word
+        .started_at
+        .map_or("none".to_owned(), |s| s.0.to_string());
     let status = match word.status {
         Status::Up => "up",
         Status::Draining => "draining",
@@ -153,7 +155,7 @@
     };
     format!(
         "worker {}, address {addr}, status {status}, zone '{}', kind '{}', rack {cell}, started {started}, dirty {}",
-        word.id, word.zone, word.kind, word.dirty
+        word.id, word.zone, word.kind, word.version
     )
 }
 
--- a/crates/eureka/tests/wire.rs
+++ b/crates/eureka/tests/wire.rs
@@ -79,12 +79,12 @@
             (word.id.as_str(), word.status, word.zone.as_str()),
             ("w1", Status::Up, "keller-ost")
         );
-        assert_eq!(word.addr, Some("127.0.0.1:8000".parse().unwrap()));
+        assert_eq!(word.address, Some("127.0.0.1:8000".parse().unwrap()));
         assert_eq!(
-            (word.cell, word.dirty),
+            (word.cell, word.version),
             (Some(CellId(7)), 1_416_441_443_001)
         );
-        assert_eq!(word.started, Some(Micros(1_416_441_443_000_000)));
+        assert_eq!(word.started_at, Some(Micros(1_416_441_443_000_000)));
         assert_eq!(instances[0].secure_port, None);
         let word = instances[1].word(&keys());
         assert_eq!(
@@ -93,7 +93,7 @@
         );
         let word = instances[2].word(&keys());
         assert_eq!(
-            (word.id.as_str(), word.status, word.addr),
+            (word.id.as_str(), word.status, word.address),
             ("h3", Status::Unknown, None)
         );
         for piece in 1..80 {
--- a/crates/membership/examples/bad_days.rs
+++ b/crates/membership/examples/bad_days.rs
@@ -2,7 +2,7 @@
 //! different moments of ten minutes. Prints Markdown; the same figures at every run.
 
 use marbledeck_dispatcher::{Micros, WorkerState};
-use marbledeck_membership::{Guard, Membership, Sign, Status, Word};
+use marbledeck_membership::{HealthEvidence, Membership, SelfPreservation, SourceReport, Status};
 use marbledeck_platform_settings::worker_id;
 use std::collections::HashMap;
 
@@ -49,7 +49,7 @@
     }
 }
 
-fn play(name: &str, day: Day, guard: Option<Guard>) {
+fn play(name: &str, day: Day, guard: Option<SelfPreservation>) {
     let guarded = guard.is_some();
     let mut members = Membership::new(Vec::new(), Vec::new());
     let registry = members.add_source("registry", guard);
@@ -72,23 +72,24 @@
         let list: Option<Vec<bool>> = (0..WORKERS).map(|n| day(second, n, dies[n])).collect();
         if let Some(list) = list.filter(|_| second % POLL == 0) {
             let named = (0..WORKERS).filter(|n| list[*n]);
-            let word =
-                |n: usize| Word::new(&ids[n], &format!("127.0.0.1:{}", 8000 + n), Status::Up);
+            let word = |n: usize| {
+                SourceReport::new(&ids[n], &format!("127.0.0.1:{}", 8000 + n), Status::Up)
+            };
             entries.extend(
                 members
-                    .list(now, registry, named.map(word).collect())
+                    .apply_full_list(now, registry, named.map(word).collect())
                     .entries,
             );
         }
         entries.extend(members.wake(now).entries);
-        for worker in members.take_probes() {
+        for worker in members.take_due_probes() {
             probes += 1;
             let sign = if lives(by_worker[&worker]) {
-                Sign::Life
+                HealthEvidence::Alive
             } else {
-                Sign::Death
+                HealthEvidence::Unreachable
             };
-            entries.extend(members.sign(now, worker, sign).entries);
+            entries.extend(members.record_evidence(now, worker, sign).entries);
         }
         for entry in entries {
             let n = by_worker[&entry.worker];
@@ -123,7 +124,7 @@
         ("every other list is empty, for 240 s", flaps),
     ];
     for (name, day) in days {
-        for guard in [None, Some(Guard::default())] {
+        for guard in [None, Some(SelfPreservation::default())] {
             play(name, day, guard);
         }
     }
--- /dev/null
+++ b/crates/membership/src/membership.rs
@@ -0,0 +1,179 @@
+//! The merged fleet: its state and its look-ups.
+
+use crate::self_preservation::{DueCheck, SelfPreservation};
+use crate::source::{Source, SourceRecord};
+use crate::{SourceId, SourceReport};
+use marbledeck_dispatcher::{Micros, WorkerEntry, WorkerId};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::net::SocketAddr;
+
+/// Where a worker listens.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Endpoint {
+    /// The worker's id.
+    pub name: String,
+    /// Its address.
+    pub address: SocketAddr,
+    pub(crate) started_at: Option<Micros>,
+}
+
+/// What was published of a worker last.
+#[derive(Clone, Debug)]
+pub(crate) struct PublishedWorker {
+    pub entry: WorkerEntry,
+    pub endpoint: Option<Endpoint>,
+}
+
+/// The merged fleet.
+#[derive(Debug)]
+pub struct Membership {
+    pub(crate) zones: Vec<String>,
+    pub(crate) kinds: Vec<String>,
+    pub(crate) sources: Vec<Source>,
+    /// The workers that operators took out of service, whether any source names them or not: they may leave and come
+    /// back.
+    pub(crate) out_of_service: BTreeSet<String>,
+    /// What was published, by the workers' ids.
+    pub(crate) published: BTreeMap<String, PublishedWorker>,
+    pub(crate) id_by_worker: HashMap<WorkerId, String>,
+    /// The ids of the workers at each address.
+    pub(crate) ids_by_address: HashMap<SocketAddr, BTreeSet<String>>,
+    /// When suspected workers and sources are looked at.
+    pub(crate) due_checks: BTreeSet<DueCheck>,
+    /// Suspected workers that are to be probed.
+    pub(crate) due_probes: Vec<WorkerId>,
+    /// When workers last answered, as long as any source has self-preservation.
+    pub(crate) alive_at: HashMap<WorkerId, Micros>,
+}
+
+impl Membership {
+    /// An empty fleet; entries name zones and kinds by their positions in these lists.
+    pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
+        Membership {
+            zones,
+            kinds,
+            sources: Vec::new(),
+            out_of_service: BTreeSet::new(),
+            published: BTreeMap::new(),
+            id_by_worker: HashMap::new(),
+            ids_by_address: HashMap::new(),
+            due_checks: BTreeSet::new(),
+            due_probes: Vec::new(),
+            alive_at: HashMap::new(),
+        }
+    }
+
+    /// Adds a source. One with self-preservation is not believed where it only stops naming a worker.
+    pub fn add_source(&mut self, name: &str, policy: Option<SelfPreservation>) -> SourceId {
+        self.sources.push(Source::new(name, policy));
+        SourceId(self.sources.len() - 1)
+    }
+
+    /// The source of this name.
+    pub fn source(&self, name: &str) -> Option<SourceId> {
+        let position = self.sources.iter().position(|source| source.name == name);
+        position.map(SourceId)
+    }
+
+    /// The names of the sources, in their order.
+    pub fn source_names(&self) -> Vec<(SourceId, &str)> {
+        self.sources_by_id()
+            .map(|(id, source)| (id, source.name.as_str()))
+            .collect()
+    }
+
+    pub(crate) fn sources_by_id(&self) -> impl Iterator<Item = (SourceId, &Source)> {
+        let sources = self.sources.iter().enumerate();
+        sources.map(|(position, source)| (SourceId(position), source))
+    }
+
+    /// Whether any source has self-preservation: only then is [evidence](Membership::record_evidence) of any use.
+    pub fn uses_evidence(&self) -> bool {
+        let mut sources = self.sources.iter();
+        sources.any(|source| source.self_preservation.is_some())
+    }
+
+    /// Whether a source other than this one names any worker.
+    pub fn others_name_any(&self, source: SourceId) -> bool {
+        let mut others = self.sources_by_id().filter(|(id, _)| *id != source);
+        others.any(|(_, other)| !other.records.is_empty())
+    }
+
+    /// Where a worker listens, if it may be spoken to.
+    pub fn endpoint(&self, worker: WorkerId) -> Option<&Endpoint> {
+        self.published_worker(worker)?.endpoint.as_ref()
+    }
+
+    /// What was published of a worker last.
+    pub fn published_entry(&self, worker: WorkerId) -> Option<&WorkerEntry> {
+        Some(&self.published_worker(worker)?.entry)
+    }
+
+    fn published_worker(&self, worker: WorkerId) -> Option<&PublishedWorker> {
+        self.published.get(self.id_by_worker.get(&worker)?)
+    }
+
+    /// Whether a worker of this id is named by a source, or out of service.
+    pub fn is_known(&self, id: &str) -> bool {
+        let mut sources = self.sources.iter();
+        self.out_of_service.contains(id) || sources.any(|source| source.records.contains_key(id))
+    }
+
+    /// The workers that operators took out of service.
+    pub fn out_of_service(&self) -> &BTreeSet<String> {
+        &self.out_of_service
+    }
+
+    /// Starts from the workers that operators had taken out of service at another process.
+    pub fn restore_out_of_service(&mut self, ids: BTreeSet<String>) {
+        self.out_of_service = ids;
+    }
+
+    /// The entries of all published workers, for a list that replaces another.
+    pub fn entries(&self) -> Vec<WorkerEntry> {
+        let published = self.published.values();
+        published.map(|worker| worker.entry.clone()).collect()
+    }
+
+    /// The entry of a worker, as it was published last.
+    pub fn entry(&self, id: &str) -> Option<WorkerEntry> {
+        self.published.get(id).map(|worker| worker.entry.clone())
+    }
+
+    /// The report on a worker of the first source that names it.
+    pub fn report(&self, id: &str) -> Option<&SourceReport> {
+        let mut records = self.records(id);
+        records.next().map(|(_, record)| &record.report)
+    }
+
+    /// The reports of a source, in the order of the workers' ids.
+    pub fn reports(&self, source: SourceId) -> impl Iterator<Item = &SourceReport> {
+        let records = self.sources[source.0].records.values();
+        records.map(|record| &record.report)
+    }
+
+    /// Each source's record of a worker, in the order of the sources.
+    pub(crate) fn records(&self, id: &str) -> impl Iterator<Item = (SourceId, &SourceRecord)> {
+        let id = id.to_owned();
+        self.sources_by_id()
+            .filter_map(move |(source_id, source)| Some((source_id, source.records.get(&id)?)))
+    }
+
+    /// How many workers are named by a source.
+    pub fn len(&self) -> usize {
+        self.published.len()
+    }
+
+    /// Whether no worker is named by any source.
+    pub fn is_empty(&self) -> bool {
+        self.published.is_empty()
+    }
+
+    /// The published workers, with their ids and whether each is out of service.
+    pub fn workers(&self) -> impl Iterator<Item = (WorkerId, &str, bool)> {
+        self.published.iter().map(|(id, published)| {
+            let is_out = self.out_of_service.contains(id);
+            (published.entry.worker, id.as_str(), is_out)
+        })
+    }
+}
--- a/crates/membership/src/word.rs
+++ b/crates/membership/src/source_report.rs
@@ -1,11 +1,11 @@
-//! What a source says of a worker.
+//! What a source reports of a worker.
 
 use marbledeck_dispatcher::{CellId, Micros};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A source's word on whether a worker takes new work.
+/// A source's report on whether a worker takes new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Status {
@@ -19,7 +19,7 @@
     Starting,
     /// No more.
     Down,
-    /// The source cannot tell. No invitation to send there.
+    /// The source cannot tell: nothing is sent there.
     #[default]
     Unknown,
 }
@@ -37,32 +37,35 @@
     }
 }
 
-/// What a source says of a worker.
+/// What a source reports of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Word {
-    /// The same at every source and every node.
+pub struct SourceReport {
+    /// The worker's id, the same at every source and every node.
     pub id: String,
-    /// None where the source gives none that can be used: it cannot be sent to.
-    pub addr: Option<SocketAddr>,
+    /// None where the source gives none that can be used: the worker cannot be sent to.
+    pub address: Option<SocketAddr>,
+    /// Whether it takes new work.
     pub status: Status,
+    /// The name of its zone; empty where it is not told.
     pub zone: String,
+    /// The name of its kind of machine; empty where it is not told.
     pub kind: String,
-    /// Its small group; none where there are none.
+    /// Its cell; none where there are none.
     pub cell: Option<CellId>,
     /// When its process last started; none if long ago.
-    pub started: Option<Micros>,
-    /// Counts up with each change of what the source says of it, in the source's own way; 0 where it does not count.
-    pub dirty: u64,
+    pub started_at: Option<Micros>,
+    /// Counts up with each change of what the source reports of it, in the source's own way; 0 where it does not count.
+    pub version: u64,
 }
 
-impl Word {
-    /// A word without zone, kind or times. An address that is none is left out.
-    pub fn new(id: &str, addr: &str, status: Status) -> Self {
-        Word {
+impl SourceReport {
+    /// A report without zone, kind or times. An address that cannot be parsed is left out.
+    pub fn new(id: &str, address: &str, status: Status) -> Self {
+        SourceReport {
             id: id.to_owned(),
-            addr: addr.parse().ok(),
+            address: address.parse().ok(),
             status,
-            ..Word::default()
+            ..SourceReport::default()
         }
     }
 }
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -1,18 +1,20 @@
 //! The precedence and the guard, case by case.
 
 use marbledeck_dispatcher::{Micros, WorkerEntry, WorkerState};
-use marbledeck_membership::{Guard, Membership, Sign, SourceId, Status, Told, Word};
+use marbledeck_membership::{
+    HealthEvidence, Membership, MembershipChange, SelfPreservation, SourceId, SourceReport, Status,
+};
 use marbledeck_platform_settings::worker_id;
 
 fn secs(s: u64) -> Micros {
     Micros(s * 1_000_000)
 }
 
-fn up(id: &str, port: u16) -> Word {
-    Word::new(id, &format!("127.0.0.1:{port}"), Status::Up)
+fn up(id: &str, port: u16) -> SourceReport {
+    SourceReport::new(id, &format!("127.0.0.1:{port}"), Status::Up)
 }
 
-fn state(told: &Told, id: &str) -> Option<WorkerState> {
+fn state(told: &MembershipChange, id: &str) -> Option<WorkerState> {
     let entry = told
         .entries
         .iter()
@@ -23,7 +25,7 @@
 
 fn guarded() -> (Membership, SourceId) {
     let mut members = Membership::new(vec!["east".into(), "west".into()], vec!["std".into()]);
-    let registry = members.add_source("registry", Some(Guard::default()));
+    let registry = members.add_source("registry", Some(SelfPreservation::default()));
     (members, registry)
 }
 
@@ -31,21 +33,27 @@
 #[test]
 fn an_empty_list_at_a_restart() {
     let (mut members, registry) = guarded();
-    let all: Vec<Word> = (0..100).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
+    let all: Vec<SourceReport> = (0..100).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
     assert_eq!(
-        members.list(secs(0), registry, all.clone()).entries.len(),
+        members
+            .apply_full_list(secs(0), registry, all.clone())
+            .entries
+            .len(),
         100
     );
     assert!(members
-        .list(secs(10), registry, Vec::new())
+        .apply_full_list(secs(10), registry, Vec::new())
         .entries
         .is_empty());
-    assert_eq!(members.doubtful(), 100);
+    assert_eq!(members.suspected(), 100);
     for (n, word) in all.into_iter().rev().enumerate() {
-        let told = members.change(secs(11), registry, word);
-        assert!(told.entries.is_empty() && told.stale.is_empty(), "{n}");
+        let told = members.apply_report(secs(11), registry, word);
+        assert!(
+            told.entries.is_empty() && told.stale_workers.is_empty(),
+            "{n}"
+        );
     }
-    assert_eq!(members.doubtful(), 0);
+    assert_eq!(members.suspected(), 0);
 }
 
 /// Half of the fleet expires while it serves: those that answer stay for as long as the guarantee says, the dead go
@@ -53,19 +61,24 @@
 #[test]
 fn a_registry_cut_off() {
     let (mut members, registry) = guarded();
-    let all: Vec<Word> = (0..10).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
-    members.list(secs(0), registry, all.clone());
-    members.list(secs(1), registry, all[..5].to_vec());
-    let guard = Guard::default();
+    let all: Vec<SourceReport> = (0..10).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
+    members.apply_full_list(secs(0), registry, all.clone());
+    members.apply_full_list(secs(1), registry, all[..5].to_vec());
+    let guard = SelfPreservation::default();
     let mut gone = Vec::new();
     for second in 1..400 {
         let now = secs(second);
         let mut told = members.wake(now);
         // 5 to 7 answer their probes, 8 and 9 are dead.
-        for worker in members.take_probes() {
+        for worker in members.take_due_probes() {
             let dead = [worker_id("w8"), worker_id("w9")].contains(&worker);
-            let sign = if dead { Sign::Death } else { Sign::Life };
-            told.entries.extend(members.sign(now, worker, sign).entries);
+            let sign = if dead {
+                HealthEvidence::Unreachable
+            } else {
+                HealthEvidence::Alive
+            };
+            told.entries
+                .extend(members.record_evidence(now, worker, sign).entries);
         }
         gone.extend(
             told.entries
@@ -80,7 +93,10 @@
     };
     for dead in ["w8", "w9"] {
         let at = when(dead).expect("the dead go");
-        assert!(at <= 1 + u64::from(guard.fails) * 2 + 1, "{dead} at {at}");
+        assert!(
+            at <= 1 + u64::from(guard.max_failures) * 2 + 1,
+            "{dead} at {at}"
+        );
     }
     for alive in ["w5", "w6", "w7"] {
         assert_eq!(when(alive), Some(1 + 300), "{alive}");
@@ -95,25 +111,25 @@
 #[test]
 fn a_budget_of_probes() {
     let mut members = Membership::new(Vec::new(), Vec::new());
-    let guard = Guard {
-        budget: 10,
-        ..Guard::default()
+    let guard = SelfPreservation {
+        probe_budget: 10,
+        ..SelfPreservation::default()
     };
     let registry = members.add_source("registry", Some(guard));
-    members.list(
+    members.apply_full_list(
         secs(0),
         registry,
         (0..35).map(|n| up(&format!("w{n}"), 8000 + n)).collect(),
     );
-    members.list(secs(0), registry, Vec::new());
+    members.apply_full_list(secs(0), registry, Vec::new());
     let (mut probed, mut spans) = (std::collections::HashMap::new(), Vec::new());
     let mut now = secs(0);
     while now < secs(16) {
         members.wake(now);
-        for worker in members.take_probes() {
+        for worker in members.take_due_probes() {
             spans.push(now);
             *probed.entry(worker).or_insert(0) += 1;
-            members.sign(now, worker, Sign::Life);
+            members.record_evidence(now, worker, HealthEvidence::Alive);
         }
         now = members
             .next_wake()
@@ -138,23 +154,23 @@
 #[test]
 fn explicit_words() {
     let (mut members, registry) = guarded();
-    members.list(secs(0), registry, vec![up("w1", 8001), up("w2", 8002)]);
-    members.list(secs(1), registry, Vec::new());
-    let word = Word {
+    members.apply_full_list(secs(0), registry, vec![up("w1", 8001), up("w2", 8002)]);
+    members.apply_full_list(secs(1), registry, Vec::new());
+    let word = SourceReport {
         status: Status::OutOfService,
         ..up("w1", 8001)
     };
     assert_eq!(
-        state(&members.change(secs(1), registry, word), "w1"),
+        state(&members.apply_report(secs(1), registry, word), "w1"),
         Some(WorkerState::Draining)
     );
     assert_eq!(
-        state(&members.remove(secs(1), registry, "w2", true), "w2"),
+        state(&members.remove_worker(secs(1), registry, "w2", true), "w2"),
         Some(WorkerState::Removed)
     );
     // One that was out of service and is missing goes at once.
     assert_eq!(
-        state(&members.remove(secs(2), registry, "w1", false), "w1"),
+        state(&members.remove_worker(secs(2), registry, "w1", false), "w1"),
         Some(WorkerState::Removed)
     );
 }
@@ -163,7 +179,7 @@
 #[test]
 fn a_silent_registry() {
     let (mut members, registry) = guarded();
-    members.list(secs(0), registry, vec![up("w1", 8001), up("w2", 8002)]);
+    members.apply_full_list(secs(0), registry, vec![up("w1", 8001), up("w2", 8002)]);
     let mut now = secs(0);
     while now < secs(1000) {
         now = members
@@ -171,26 +187,29 @@
             .expect("it is watched")
             .max(now + Micros(1));
         assert!(members.wake(now).entries.is_empty());
-        for worker in members.take_probes() {
+        for worker in members.take_due_probes() {
             let sign = if worker == worker_id("w2") && now > secs(500) {
-                Sign::Death
+                HealthEvidence::Unreachable
             } else {
-                Sign::Life
+                HealthEvidence::Alive
             };
-            let told = members.sign(now, worker, sign);
+            let told = members.record_evidence(now, worker, sign);
             assert!(told
                 .entries
                 .iter()
                 .all(|entry| entry.worker == worker_id("w2") && now > secs(500)));
         }
     }
-    assert_eq!((members.knows("w1"), members.knows("w2")), (true, false));
-    let told = members.list(now, registry, vec![up("w1", 8001), up("w2", 8002)]);
+    assert_eq!(
+        (members.is_known("w1"), members.is_known("w2")),
+        (true, false)
+    );
+    let told = members.apply_full_list(now, registry, vec![up("w1", 8001), up("w2", 8002)]);
     assert_eq!(
         (told.entries.len(), state(&told, "w2")),
         (1, Some(WorkerState::Ready))
     );
-    assert_eq!(members.doubtful(), 0);
+    assert_eq!(members.suspected(), 0);
 }
 
 /// By hand over any source's drain, any source's drain over any source's up; the latest start; two addresses.
@@ -199,47 +218,53 @@
     let mut members = Membership::new(vec!["east".into()], Vec::new());
     let first = members.add_source("directory", None);
     let second = members.add_source("registry", None);
-    let started = |at, port| Word {
-        started: Some(secs(at)),
+    let started = |at, port| SourceReport {
+        started_at: Some(secs(at)),
         zone: "east".into(),
         ..up("w1", port)
     };
-    members.change(secs(9), first, started(5, 8001));
-    let told = members.change(secs(9), second, started(7, 8002));
+    members.apply_report(secs(9), first, started(5, 8001));
+    let told = members.apply_report(secs(9), second, started(7, 8002));
     assert_eq!(told.entries[0].started_at, Some(secs(7)));
-    assert_eq!(told.stale, [worker_id("w1")], "it has moved");
-    assert_eq!(members.place(worker_id("w1")).unwrap().addr.port(), 8002);
-    let drain = Word {
+    assert_eq!(told.stale_workers, [worker_id("w1")], "it has moved");
+    assert_eq!(
+        members.endpoint(worker_id("w1")).unwrap().address.port(),
+        8002
+    );
+    let drain = SourceReport {
         status: Status::Draining,
         ..started(5, 8001)
     };
     assert_eq!(
-        state(&members.change(secs(9), first, drain), "w1"),
+        state(&members.apply_report(secs(9), first, drain), "w1"),
         Some(WorkerState::Draining)
     );
     assert!(members
-        .change(secs(9), second, started(7, 8002))
+        .apply_report(secs(9), second, started(7, 8002))
         .entries
         .is_empty());
-    members.change(secs(9), first, started(5, 8001));
+    members.apply_report(secs(9), first, started(5, 8001));
     assert_eq!(
-        state(&members.set_out("w1", true), "w1"),
+        state(&members.set_out_of_service("w1", true), "w1"),
         Some(WorkerState::Draining)
     );
     assert!(members
-        .change(secs(9), second, started(7, 8002))
+        .apply_report(secs(9), second, started(7, 8002))
         .entries
         .is_empty());
-    assert_eq!(members.views(secs(9))[0].why, "out by hand");
+    assert_eq!(members.views(secs(9))[0].reason, "out by hand");
     assert_eq!(
-        state(&members.set_out("w1", false), "w1"),
+        state(&members.set_out_of_service("w1", false), "w1"),
         Some(WorkerState::Ready)
     );
     assert!(members
-        .remove(secs(9), second, "w1", true)
-        .stale
+        .remove_worker(secs(9), second, "w1", true)
+        .stale_workers
         .contains(&worker_id("w1")));
-    assert_eq!(members.place(worker_id("w1")).unwrap().addr.port(), 8001);
+    assert_eq!(
+        members.endpoint(worker_id("w1")).unwrap().address.port(),
+        8001
+    );
 }
 
 /// One address under two ids: the earlier source's counts, and the other comes in when it leaves.
@@ -248,13 +273,13 @@
     let mut members = Membership::new(Vec::new(), Vec::new());
     let first = members.add_source("directory", None);
     let second = members.add_source("registry", None);
-    members.change(secs(0), second, up("host:8001", 8001));
-    let told = members.change(secs(0), first, up("w1", 8001));
+    members.apply_report(secs(0), second, up("host:8001", 8001));
+    let told = members.apply_report(secs(0), first, up("w1", 8001));
     assert_eq!(
         (state(&told, "w1"), state(&told, "host:8001")),
         (Some(WorkerState::Ready), Some(WorkerState::Draining))
     );
-    let told = members.remove(secs(0), first, "w1", true);
+    let told = members.remove_worker(secs(0), first, "w1", true);
     assert_eq!(
         (state(&told, "w1"), state(&told, "host:8001")),
         (Some(WorkerState::Removed), Some(WorkerState::Ready))
@@ -265,26 +290,26 @@
 #[test]
 fn old_words_and_double_ones() {
     let (mut members, registry) = guarded();
-    let dirty = |dirty, status| Word {
-        dirty,
+    let dirty = |dirty, status| SourceReport {
+        version: dirty,
         status,
         ..up("w1", 8001)
     };
-    members.change(secs(0), registry, dirty(5, Status::OutOfService));
+    members.apply_report(secs(0), registry, dirty(5, Status::OutOfService));
     assert!(members
-        .change(secs(1), registry, dirty(4, Status::Up))
+        .apply_report(secs(1), registry, dirty(4, Status::Up))
         .entries
         .is_empty());
     assert_eq!(
         state(
-            &members.change(secs(1), registry, dirty(6, Status::Up)),
+            &members.apply_report(secs(1), registry, dirty(6, Status::Up)),
             "w1"
         ),
         Some(WorkerState::Ready)
     );
     for order in [[Status::Up, Status::Down], [Status::Down, Status::Up]] {
         let list = order.map(|status| dirty(7, status)).into();
-        members.list(secs(2), registry, list);
+        members.apply_full_list(secs(2), registry, list);
         assert_eq!(members.entry("w1").unwrap().state, WorkerState::Draining);
     }
 }
@@ -293,21 +318,21 @@
 #[test]
 fn a_list_in_parts() {
     let (mut members, registry) = guarded();
-    members.list(
+    members.apply_full_list(
         secs(0),
         registry,
         (0..300)
             .map(|n| up(&format!("w{n:03}"), 8000 + n))
             .collect(),
     );
-    members.begin(registry);
+    members.begin_full_list(registry);
     for n in 0..150 {
-        members.part(secs(1), registry, vec![up(&format!("w{n:03}"), 8000 + n)]);
-        assert_eq!(members.doubtful(), 0);
+        members.apply_list_part(secs(1), registry, vec![up(&format!("w{n:03}"), 8000 + n)]);
+        assert_eq!(members.suspected(), 0);
     }
     let (mut after, mut sweeps) = (None, 0);
     loop {
-        let (told, next) = members.sweep(secs(1), registry, after.as_deref(), 64);
+        let (told, next) = members.sweep_missing(secs(1), registry, after.as_deref(), 64);
         assert!(told.entries.is_empty());
         sweeps += 1;
         after = next;
@@ -315,5 +340,5 @@
             break;
         }
     }
-    assert_eq!((members.doubtful(), sweeps), (150, 5));
+    assert_eq!((members.suspected(), sweeps), (150, 5));
 }
--- a/crates/membership/tests/search.rs
+++ b/crates/membership/tests/search.rs
@@ -2,26 +2,28 @@
 //! played against the membership, and each step is held against what it must not do.
 
 use marbledeck_dispatcher::{Micros, WorkerState};
-use marbledeck_membership::{Guard, Membership, Sign, SourceId, Status, Word};
+use marbledeck_membership::{
+    HealthEvidence, Membership, SelfPreservation, SourceId, SourceReport, Status,
+};
 use marbledeck_platform_settings::worker_id;
 use std::collections::BTreeMap;
 
 const IDS: [&str; 3] = ["w1", "w2", "w3"];
 const SECOND: Micros = Micros(1_000_000);
 
-fn guard() -> Guard {
-    Guard {
-        keep: Micros(5_000_000),
-        stale: Micros(4_000_000),
-        probe: SECOND,
-        fails: 2,
-        budget: 2,
+fn guard() -> SelfPreservation {
+    SelfPreservation {
+        retention: Micros(5_000_000),
+        silence_timeout: Micros(4_000_000),
+        probe_interval: SECOND,
+        max_failures: 2,
+        probe_budget: 2,
         probes: true,
     }
 }
 
-fn word(at: usize, status: Status) -> Word {
-    Word::new(IDS[at], &format!("127.0.0.1:{}", 8000 + at), status)
+fn word(at: usize, status: Status) -> SourceReport {
+    SourceReport::new(IDS[at], &format!("127.0.0.1:{}", 8000 + at), status)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,14 +117,14 @@
                 for at in 0..3 {
                     self.miss(at);
                 }
-                self.members.list(now, registry, Vec::new())
+                self.members.apply_full_list(now, registry, Vec::new())
             }
             Step::All => {
                 self.off = [false; 3];
                 self.missed = [None; 3];
                 self.listed = [true; 3];
                 self.deaths = [0; 3];
-                self.members.list(
+                self.members.apply_full_list(
                     now,
                     registry,
                     (0..3).map(|at| word(at, Status::Up)).collect(),
@@ -130,13 +132,13 @@
             }
             Step::Miss(at) => {
                 self.miss(at);
-                self.members.remove(now, registry, IDS[at], false)
+                self.members.remove_worker(now, registry, IDS[at], false)
             }
             Step::Cancel(at) => {
                 self.listed[at] = false;
                 self.off[at] = false;
                 self.missed[at] = None;
-                self.members.remove(now, registry, IDS[at], true)
+                self.members.remove_worker(now, registry, IDS[at], true)
             }
             Step::Out(at) | Step::Up(at) => {
                 self.off[at] = matches!(step, Step::Out(_));
@@ -148,7 +150,7 @@
                 } else {
                     Status::Up
                 };
-                self.members.change(now, registry, word(at, status))
+                self.members.apply_report(now, registry, word(at, status))
             }
             Step::Drain(at) | Step::Named(at) => {
                 self.drained[at] = matches!(step, Step::Drain(_));
@@ -157,19 +159,21 @@
                 } else {
                     Status::Up
                 };
-                self.members.change(now, directory, word(at, status))
+                self.members.apply_report(now, directory, word(at, status))
             }
             Step::SetDown(at) | Step::SetUp(at) => {
                 self.by_hand[at] = matches!(step, Step::SetDown(_));
-                self.members.set_out(IDS[at], self.by_hand[at])
+                self.members.set_out_of_service(IDS[at], self.by_hand[at])
             }
             Step::Life(at) => {
                 self.deaths[at] = 0;
-                self.members.sign(now, worker_id(IDS[at]), Sign::Life)
+                self.members
+                    .record_evidence(now, worker_id(IDS[at]), HealthEvidence::Alive)
             }
             Step::Death(at) => {
                 self.deaths[at] += 1;
-                self.members.sign(now, worker_id(IDS[at]), Sign::Death)
+                self.members
+                    .record_evidence(now, worker_id(IDS[at]), HealthEvidence::Unreachable)
             }
             Step::Pass => {
                 self.now = now + SECOND;
@@ -218,24 +222,27 @@
                 return Err(format!("{id} is sent to against a word"));
             }
             // One that its registry missed for too long is gone, unless the directory names it.
-            let named = self.members.word(id).is_some();
+            let named = self.members.report(id).is_some();
             let over =
-                self.missed[at].is_some_and(|since| since + guard().keep + SECOND < self.now);
-            let here = self.members.words(self.directory).any(|word| word.id == id);
+                self.missed[at].is_some_and(|since| since + guard().retention + SECOND < self.now);
+            let here = self
+                .members
+                .reports(self.directory)
+                .any(|word| word.id == id);
             if named && over && !here {
                 return Err(format!("{id} is kept for too long"));
             }
             // Ready before, it is not abandoned without a word, two signs of death, or the time.
             let was = before.get(id) == Some(&WorkerState::Ready);
-            let signs = self.deaths[at] >= guard().fails;
-            let late = self.missed[at].is_some_and(|since| since + guard().keep <= self.now);
+            let signs = self.deaths[at] >= guard().max_failures;
+            let late = self.missed[at].is_some_and(|since| since + guard().retention <= self.now);
             let word = self.by_hand[at] || self.drained[at] || self.off[at] || !self.listed[at];
             let reason = word || signs || late;
             if was && !ready && !reason {
                 return Err(format!("{id} is abandoned by {step:?}"));
             }
             // A wake-up is due as long as there is something to look at.
-            if self.members.doubtful() > 0 && self.members.next_wake().is_none() {
+            if self.members.suspected() > 0 && self.members.next_wake().is_none() {
                 return Err("nobody looks at the doubtful".to_owned());
             }
         }
@@ -255,7 +262,7 @@
         for (at, id) in IDS.into_iter().enumerate() {
             let of_registry = world
                 .members
-                .words(world.registry)
+                .reports(world.registry)
                 .any(|word| word.id == id);
             if !of_registry {
                 (world.listed[at], world.missed[at], world.off[at]) = (false, None, false);
--- a/crates/node/src/ops/figures.rs
+++ b/crates/node/src/admin/figures.rs
@@ -3,12 +3,12 @@
 
 use crate::core::Core;
 use marbledeck_dispatcher::WorkerState;
-use marbledeck_membership::View;
+use marbledeck_membership::WorkerView;
 use std::fmt::Write;
 
 /// Each worker in a line: in or out, where it is, why, and what each source says and how many seconds ago it did. As
 /// much as fits an answer; the last line tells how many there are.
-pub fn members(views: &[View]) -> String {
+pub fn members(views: &[WorkerView]) -> String {
     const MOST: usize = 120 * 1024;
     let (mut text, mut shown) = (String::new(), 0);
     for view in views {
@@ -20,10 +20,11 @@
             WorkerState::Draining => "out",
             WorkerState::Removed => "gone",
         };
-        let addr = view.addr.map_or("-".to_owned(), |addr| addr.to_string());
-        let _ = write!(text, "{} {word} {addr} ({})", view.id, view.why);
-        for (source, status, age) in &view.words {
-            let _ = write!(text, "; {source}: {status}, {} s", age.0 / 1_000_000);
+        let addr = view.address.map_or("-".to_owned(), |addr| addr.to_string());
+        let _ = write!(text, "{} {word} {addr} ({})", view.id, view.reason);
+        for report in &view.reports {
+            let (source, status) = (&report.source, report.status);
+            let _ = write!(text, "; {source}: {status}, {} s", report.age.0 / 1_000_000);
         }
         text.push('\n');
         shown += 1;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -2,11 +2,11 @@
 //! `LB_CONFIG` and the front's file under `deploy/`. Every error names the key.
 
 use crate::core::Catalogue;
-use crate::directory::Listing;
+use crate::discovery::Listing;
 use marbledeck_consensus::Terms;
 use marbledeck_dispatcher::{CellId, Micros, Settings};
 use marbledeck_eureka::{Form, Keys};
-use marbledeck_membership::{Guard, Status, Word};
+use marbledeck_membership::{SelfPreservation, SourceReport, Status};
 use marbledeck_platform_settings::{PlatformSettings, ReportFields};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -828,12 +828,12 @@
 #[derive(Default)]
 pub struct SiteConfig {
     pub submission: Option<SubmissionConfig>,
-    pub guard: Guard,
+    pub guard: SelfPreservation,
     pub eureka: Option<EurekaConfig>,
     /// Whether the nodes of the tier tell each other of their calls.
     pub peers: bool,
     /// Workers that are always there.
-    pub statics: Vec<Word>,
+    pub statics: Vec<SourceReport>,
     /// The fleet's agreement.
     pub agreement: Option<AgreementConfig>,
     /// Licence seats, which need it.
@@ -866,18 +866,18 @@
         let mut statics = Vec::new();
         for (at, file) in read.statics.into_iter().enumerate() {
             let key = format!("{source}: static[{at}]");
-            if file.id.is_empty() || statics.iter().any(|word: &Word| word.id == file.id) {
+            if file.id.is_empty() || statics.iter().any(|word: &SourceReport| word.id == file.id) {
                 return err(format!("{key}.id"), "want an id that no other has");
             }
             let addr = address((format!("{key}.address"), file.address))?;
-            statics.push(Word {
+            statics.push(SourceReport {
                 id: file.id,
-                addr: Some(addr),
+                address: Some(addr),
                 status: Status::Up,
                 zone: file.zone,
                 kind: file.kind,
                 cell: file.cell.map(CellId),
-                ..Word::default()
+                ..SourceReport::default()
             });
         }
         let agreement = read
@@ -911,12 +911,12 @@
             agreement: agreement.transpose()?,
             seats,
             submission: read.submission,
-            guard: Guard {
-                keep: secs(guard.keep_s),
-                stale: secs(guard.stale_s),
-                probe: secs(guard.probe_s),
-                fails: guard.fails as u32,
-                budget: guard.budget,
+            guard: SelfPreservation {
+                retention: secs(guard.keep_s),
+                silence_timeout: secs(guard.stale_s),
+                probe_interval: secs(guard.probe_s),
+                max_failures: guard.fails as u32,
+                probe_budget: guard.budget,
                 probes: guard.probes,
             },
             eureka: eureka.transpose()?,
--- a/crates/node/src/agreement/apply.rs
+++ b/crates/node/src/consensus/apply.rs
@@ -1,10 +1,10 @@
 //! What the records mean to this node: rates, workers out of service, seats.
 
-use crate::party::Hub;
+use crate::service::Context;
 use marbledeck_consensus::{Acting, Body, Record};
 use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::Reading;
-use marbledeck_membership::{SourceId, Status, Word};
+use marbledeck_membership::{SourceId, SourceReport, Status};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What was done of them last.
@@ -54,12 +54,12 @@
     }
 
     /// Brings the node in line with what it may act on now.
-    pub fn renew(&mut self, now: Micros, hub: &mut Hub) {
-        let Some(reader) = &hub.agreed.reader else {
+    pub fn renew(&mut self, now: Micros, context: &mut Context) {
+        let Some(reader) = &context.agreed.reader else {
             return;
         };
         let (held, due) = (reader.holds(now), self.next.is_some_and(|at| now >= at));
-        if hub.agreed.readings == self.readings && held == self.held && !due {
+        if context.agreed.readings == self.readings && held == self.held && !due {
             return;
         }
         if self.held && !held {
@@ -67,8 +67,8 @@
         } else if held && !self.held {
             log::info!("agreement: revision {} confirmed", reader.revision());
         }
-        let fresh = hub.agreed.readings != self.readings;
-        (self.readings, self.held) = (hub.agreed.readings, held);
+        let fresh = context.agreed.readings != self.readings;
+        (self.readings, self.held) = (context.agreed.readings, held);
         let until = Some(reader.until()).filter(|until| *until > now);
         self.next = until.into_iter().chain(reader.next_change(now)).min();
 
@@ -108,52 +108,52 @@
                 _ => None,
             })
             .collect();
-        if let Some(seating) = hub.core.seating.as_mut().filter(|_| fresh || due) {
-            let (until, parts) = (reader.until(), hub.agreed.answer.held());
-            seating.desk.read(&Reading {
-                free: hub.agreed.answer.free.clone(),
+        if let Some(licensing) = context.core.licensing.as_mut().filter(|_| fresh || due) {
+            let (until, parts) = (reader.until(), context.agreed.answer.held());
+            licensing.desk.read(&Reading {
+                free: context.agreed.answer.free.clone(),
                 until,
-                done: hub.agreed.answer.moved,
+                done: context.agreed.answer.moved,
                 parts,
                 pools,
             });
         }
         if let Some(rates) = rates {
-            let usual = self.usual.get_or_insert_with(|| hub.core.rates());
-            let names = hub.core.catalogue().tenants().iter().zip(&*usual);
+            let usual = self.usual.get_or_insert_with(|| context.core.rates());
+            let names = context.core.catalogue().tenants().iter().zip(&*usual);
             // Whom the record does not name, or no more, has what the settings give.
             let quotas: Vec<Option<f64>> = names
                 .map(|(name, usual)| rates.get(name).copied().or(*usual))
                 .collect();
             if self.rates.as_ref().unwrap_or(usual) != &quotas {
-                hub.core.set_rates(now, &quotas);
+                context.core.set_rates(now, &quotas);
                 self.rates = Some(quotas);
             }
         }
-        self.take_out(now, out, hub);
+        self.take_out(now, out, context);
     }
 
-    fn take_out(&mut self, now: Micros, out: BTreeSet<String>, hub: &mut Hub) {
+    fn take_out(&mut self, now: Micros, out: BTreeSet<String>, context: &mut Context) {
         if out == self.out {
             return;
         }
-        let members = &mut hub.fleet.members;
+        let members = &mut context.fleet.members;
         let source = *self
             .source
             .get_or_insert_with(|| members.add_source("agreement", None));
-        let mut told = marbledeck_membership::Told::default();
+        let mut told = marbledeck_membership::MembershipChange::default();
         for id in out.difference(&self.out) {
-            let word = Word {
+            let word = SourceReport {
                 id: id.clone(),
                 status: Status::OutOfService,
-                ..Word::default()
+                ..SourceReport::default()
             };
-            told.and(members.change(now, source, word));
+            told.append(members.apply_report(now, source, word));
         }
         for id in self.out.difference(&out) {
-            told.and(members.remove(now, source, id, true));
+            told.append(members.remove_worker(now, source, id, true));
         }
         self.out = out;
-        hub.fleet.changed(now, told, &mut hub.core);
+        context.fleet.changed(now, told, &mut context.core);
     }
 }
--- a/crates/node/src/agreement/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -1,14 +1,14 @@
-//! The link of this node to the voters, or between them: a party that carries the frames of `marbledeck-consensus`, hands
+//! The link of this node to the voters, or between them: a service that carries the frames of `marbledeck-consensus`, hands
 //! what is to be durable to the disk's thread, and tells the node what the fleet has agreed on.
 
 mod apply;
 mod voting;
 
+use crate::admin;
 use crate::clock::millis;
 use crate::config::AgreementConfig;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::ops;
-use crate::party::{Hub, Party};
+use crate::service::{Context, Service};
 use marbledeck_consensus::wire::{self, Answer, Frame, Said, MOST_COMMANDS};
 use marbledeck_consensus::{Change, Command, Outcome, Reader, What};
 use marbledeck_dispatcher::Micros;
@@ -256,9 +256,9 @@
     }
 
     /// Handles the frames that have come on a connection.
-    fn read(&mut self, now: Micros, token: Token, hub: &mut Hub) {
+    fn read(&mut self, now: Micros, token: Token, context: &mut Context) {
         for _ in 0..FRAMES {
-            let Some(conn) = hub.net.get(token) else {
+            let Some(conn) = context.net.get(token) else {
                 self.guests.remove(&token);
                 return;
             };
@@ -269,25 +269,25 @@
                 }
                 Ok(None) => {
                     if conn.eof || conn.broken || conn.input.is_full() {
-                        self.let_go(now, token, &mut hub.net);
+                        self.let_go(now, token, &mut context.net);
                     }
                     return;
                 }
                 Err(e) => {
                     log::warn!("agreement: {e}: {}", e.advice());
-                    return self.let_go(now, token, &mut hub.net);
+                    return self.let_go(now, token, &mut context.net);
                 }
             };
-            hub.net.touch(token);
-            if !self.take(now, token, frame, hub) {
-                return self.let_go(now, token, &mut hub.net);
+            context.net.touch(token);
+            if !self.take(now, token, frame, context) {
+                return self.let_go(now, token, &mut context.net);
             }
         }
         self.waiting.push(token);
     }
 
     /// Handles a frame; tells false where the connection is to end.
-    fn take(&mut self, now: Micros, token: Token, frame: Frame, hub: &mut Hub) -> bool {
+    fn take(&mut self, now: Micros, token: Token, frame: Frame, context: &mut Context) -> bool {
         if let Some(host) = self.hosts.get(&token) {
             let of = host.voter;
             return match frame {
@@ -305,7 +305,7 @@
                         true
                     }
                     Said::Answer(answer) => {
-                        self.answered(now, *answer, hub);
+                        self.answered(now, *answer, context);
                         true
                     }
                     _ => false,
@@ -331,12 +331,12 @@
                     }
                     guest.node = Some(node);
                     let held = if voter.is_some() { HELD } else { HELD_OF_NODE };
-                    hub.net.widen(token, held);
+                    context.net.widen(token, held);
                     // An earlier connection of the same node is one that it has given up: it may never end by itself.
                     let earlier = |(t, g): &(&Token, &Guest)| **t != token && g.node == Some(node);
                     let earlier = self.guests.iter().filter(earlier).map(|(t, _)| *t);
                     for old in earlier.collect::<Vec<_>>() {
-                        hub.net.close(old);
+                        context.net.close(old);
                         self.guests.remove(&old);
                     }
                     if let (Some((number, store)), Some(voting)) = (voter, &mut self.voting) {
@@ -392,7 +392,7 @@
     }
 
     /// Asks for a reading, if it is time.
-    fn ask(&mut self, now: Micros, hub: &mut Hub) {
+    fn ask(&mut self, now: Micros, context: &mut Context) {
         if self.question.as_ref().is_some_and(|q| now >= q.until) {
             // It is silent: another one is asked.
             if let Some(of) = self.question.take().and_then(|q| q.of) {
@@ -402,7 +402,7 @@
                     .find(|(_, host)| host.voter == of)
                     .map(|(t, _)| *t);
                 if let Some(token) = silent {
-                    self.let_go(now, token, &mut hub.net);
+                    self.let_go(now, token, &mut context.net);
                 }
                 self.turn += 1;
             }
@@ -421,7 +421,7 @@
                 let token = if own {
                     None
                 } else {
-                    self.host(now, voter, &mut hub.net)
+                    self.host(now, voter, &mut context.net)
                 };
                 let Some(token) = token else {
                     self.turn += 1;
@@ -431,15 +431,15 @@
                 Some((token, voter))
             }
         };
-        let moves = hub
+        let moves = context
             .core
-            .seating
+            .licensing
             .as_mut()
-            .and_then(|seating| seating.desk.command(now));
+            .and_then(|licensing| licensing.desk.command(now));
         let moves = moves.map(|(number, what)| self.command(number, What::Seats(what)));
         let change = self.changes.front().map(|(_, command)| command.clone());
         let commands: Vec<Command> = moves.into_iter().chain(change).collect();
-        let Some(reader) = &mut hub.agreed.reader else {
+        let Some(reader) = &mut context.agreed.reader else {
             return;
         };
         let (question, known) = reader.ask(now);
@@ -456,7 +456,7 @@
                     boot: self.boot,
                     commands,
                 };
-                self.say(token, &Frame::Said(Box::new(ask)), &mut hub.net);
+                self.say(token, &Frame::Said(Box::new(ask)), &mut context.net);
             }
             None => {
                 let asker = Asker {
@@ -482,8 +482,8 @@
         }
     }
 
-    fn answered(&mut self, now: Micros, answer: Answer, hub: &mut Hub) {
-        let Some(reader) = &mut hub.agreed.reader else {
+    fn answered(&mut self, now: Micros, answer: Answer, context: &mut Context) {
+        let Some(reader) = &mut context.agreed.reader else {
             return;
         };
         if !reader.answered(now, &answer) {
@@ -510,12 +510,12 @@
                 self.next_ask = now;
             }
         }
-        hub.agreed.readings += 1;
-        hub.agreed.answer = answer;
+        context.agreed.readings += 1;
+        context.agreed.answer = answer;
     }
 
     /// Lets the voter work, and sends what it wants sent.
-    fn drive(&mut self, now: Micros, hub: &mut Hub) {
+    fn drive(&mut self, now: Micros, context: &mut Context) {
         let Some(voting) = &mut self.voting else {
             return;
         };
@@ -528,12 +528,12 @@
                     false => Said::Denied { voter },
                 };
                 guest.voter = Some(number).filter(|_| known);
-                self.say(token, &Frame::Said(Box::new(said)), &mut hub.net);
+                self.say(token, &Frame::Said(Box::new(said)), &mut context.net);
             }
         }
         for (to, frame) in work.send {
-            if let Some(token) = self.host(now, to, &mut hub.net) {
-                self.say(token, &frame, &mut hub.net);
+            if let Some(token) = self.host(now, to, &mut context.net) {
+                self.say(token, &frame, &mut context.net);
             }
         }
         for (asker, answer) in work.answers {
@@ -541,17 +541,17 @@
                 Some(token) => self.say(
                     token,
                     &Frame::Said(Box::new(Said::Answer(Box::new(answer)))),
-                    &mut hub.net,
+                    &mut context.net,
                 ),
-                None => self.answered(now, answer, hub),
+                None => self.answered(now, answer, context),
             }
         }
     }
 
     /// What an operator is shown.
-    fn records(&self, now: Micros, hub: &Hub) -> String {
+    fn records(&self, now: Micros, context: &Context) -> String {
         let mut text = String::new();
-        let Some(reader) = &hub.agreed.reader else {
+        let Some(reader) = &context.agreed.reader else {
             return text;
         };
         for name in reader.names() {
@@ -570,8 +570,8 @@
                 body.unwrap_or_default()
             );
         }
-        if let Some(seating) = &hub.core.seating {
-            for (pool, tenant, seats, in_use) in seating.desk.figures() {
+        if let Some(licensing) = &context.core.licensing {
+            for (pool, tenant, seats, in_use) in licensing.desk.figures() {
                 let _ = writeln!(
                     text,
                     "seats {pool} {tenant:?}: {in_use} of {seats} in use here"
@@ -615,15 +615,15 @@
     }
 }
 
-impl Party for Agreement {
+impl Service for Agreement {
     fn name(&self) -> &'static str {
         "agreement"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, hub: &mut Hub) {
+    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
         self.now = now;
         if event.listener {
-            return self.accept(now, &mut hub.net);
+            return self.accept(now, &mut context.net);
         }
         if let Some(voting) = self
             .voting
@@ -632,7 +632,7 @@
         {
             return voting.stored(now);
         }
-        self.read(now, event.token, hub);
+        self.read(now, event.token, context);
     }
 
     fn next_wake(&self) -> Option<Micros> {
@@ -649,19 +649,19 @@
         own.into_iter().flatten().min()
     }
 
-    fn wake(&mut self, now: Micros, hub: &mut Hub) {
+    fn wake(&mut self, now: Micros, context: &mut Context) {
         self.now = now;
         if self.resting.is_some_and(|until| until <= now) {
             self.resting = None;
             if let Some(listener) = self.listener {
-                hub.net.listening(listener, true);
+                context.net.listening(listener, true);
             }
         }
         for token in std::mem::take(&mut self.waiting) {
-            self.read(now, token, hub);
+            self.read(now, token, context);
         }
         if self.opening.is_some_and(|at| at <= now) {
-            if let Err(e) = self.open(now, &mut hub.net) {
+            if let Err(e) = self.open(now, &mut context.net) {
                 log::error!("agreement: {e}; tried again");
                 self.voting = None;
                 self.opening = Some(now + OPENING);
@@ -672,26 +672,32 @@
         }
         if let Some(voting) = &self.voting {
             for voter in voting.unmet() {
-                self.host(now, voter, &mut hub.net);
+                self.host(now, voter, &mut context.net);
             }
         }
-        self.ask(now, hub);
+        self.ask(now, context);
     }
 
-    fn settled(&mut self, now: Micros, hub: &mut Hub) {
+    fn settled(&mut self, now: Micros, context: &mut Context) {
         self.now = now;
         // What is answered may free the next question, and that one ask the voter again.
         for _ in 0..2 {
-            self.drive(now, hub);
-            self.ask(now, hub);
+            self.drive(now, context);
+            self.ask(now, context);
         }
-        self.applied.renew(now, hub);
+        self.applied.renew(now, context);
     }
 
-    fn operate(&mut self, now: Micros, caller: Token, call: &ops::Call, hub: &mut Hub) -> bool {
+    fn operate(
+        &mut self,
+        now: Micros,
+        caller: Token,
+        call: &admin::Call,
+        context: &mut Context,
+    ) -> bool {
         match call {
-            ops::Call::Records => self.replies.push_back((caller, self.records(now, hub))),
-            ops::Call::Change(text) => {
+            admin::Call::Records => self.replies.push_back((caller, self.records(now, context))),
+            admin::Call::Change(text) => {
                 self.change(caller, text);
                 self.next_ask = now;
             }
--- a/crates/node/src/core/seating.rs
+++ b/crates/node/src/core/licensing.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 /// The seats of this node.
-pub struct Seating {
+pub struct Licensing {
     pub desk: Desk,
     /// The licences that each class needs, whatever its jobs say.
     pub by_class: Vec<Vec<Licence>>,
@@ -23,7 +23,7 @@
     pub tenant: usize,
 }
 
-impl Seating {
+impl Licensing {
     /// The seats as the operator file has them.
     ///
     /// # Errors
@@ -48,7 +48,7 @@
             names.filter_map(|name| desk.licence(name)).collect()
         };
         let by_class = catalogue.names().map(of).collect();
-        Ok(Seating { desk, by_class })
+        Ok(Licensing { desk, by_class })
     }
 
     /// The licences of a job: those of its class, and those that it names. Each once and in one order.
@@ -81,14 +81,14 @@
         tenant: usize,
         named: &[&str],
     ) -> Result<Needs, Malformed> {
-        let Some(seating) = &mut self.seating else {
+        let Some(licensing) = &mut self.licensing else {
             return match named.first() {
                 Some(name) => Err(Malformed::UnknownLicence((*name).to_owned())),
                 None => Ok(Needs::default()),
             };
         };
-        let needs = seating.needs(class, tenant, named)?;
-        match seating.desk.look(now, &needs.licences, needs.tenant) {
+        let needs = licensing.needs(class, tenant, named)?;
+        match licensing.desk.look(now, &needs.licences, needs.tenant) {
             Ok(()) => Ok(needs),
             Err(why) => Err(Malformed::NoSeat(why)),
         }
@@ -99,10 +99,10 @@
         if needs.licences.is_empty() {
             return true;
         }
-        let Some(seating) = &mut self.seating else {
+        let Some(licensing) = &mut self.licensing else {
             return false;
         };
-        let taken = seating.desk.take(now, &needs.licences, needs.tenant);
+        let taken = licensing.desk.take(now, &needs.licences, needs.tenant);
         if let Err(why) = &taken {
             log::debug!("seats: {why}");
         }
@@ -111,14 +111,18 @@
 
     /// A call is back. Only some ends show that its worker has ended it, too: one that was given up may still run.
     pub(super) fn unseat(&mut self, sent: Micros, needs: &Needs, outcome: Outcome) {
-        if let Some(seating) = self.seating.as_mut().filter(|_| !needs.licences.is_empty()) {
+        if let Some(licensing) = self
+            .licensing
+            .as_mut()
+            .filter(|_| !needs.licences.is_empty())
+        {
             let known = match outcome {
                 Outcome::Served | Outcome::Failed | Outcome::Rejected => true,
                 Outcome::ConnectFailed | Outcome::NotSent => true,
                 Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => false,
             };
             let Needs { licences, tenant } = needs;
-            seating.desk.end(sent, licences, *tenant, known);
+            licensing.desk.end(sent, licences, *tenant, known);
         }
     }
 
@@ -130,6 +134,8 @@
 
     /// Until when calls that need seats may begin.
     pub fn seated_until(&self) -> Option<Micros> {
-        self.seating.as_ref().map(|seating| seating.desk.until())
+        self.licensing
+            .as_ref()
+            .map(|licensing| licensing.desk.until())
     }
 }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -2,20 +2,20 @@
 //! links hand it events and carry out its commands.
 //!
 //! An invocation passes the stages in the order of the modules below, each a unit of its own:
-//! [`take_in`], [`admit`], [`route`], [`send`], [`relay`] and [`book`].
-
-mod admit;
-mod book;
-mod relay;
-mod route;
-pub mod seating;
-mod send;
+//! [`validation`], [`admission`], [`routing`], [`attempts`], [`responses`] and [`accounting`].
+
+mod accounting;
+mod admission;
+mod attempts;
+pub mod licensing;
+mod responses;
+mod routing;
 mod table;
-mod take_in;
 mod timers;
+mod validation;
 
-pub use book::{ClassCounts, Counts};
-pub use take_in::{Catalogue, Malformed, Order};
+pub use accounting::{ClassCounts, Counts};
+pub use validation::{Catalogue, Malformed, Order};
 
 use marbledeck_dispatcher::{
     Action, Dispatcher, Event, LoadReport, Micros, Outcome, RequestId, Settings, SettingsError,
@@ -117,7 +117,7 @@
     /// Invocations of which a call that ran has come back.
     returned: Vec<RequestId>,
     /// Licence seats, where the site has any.
-    pub seating: Option<seating::Seating>,
+    pub licensing: Option<licensing::Licensing>,
     /// Workers that are asked for their load while a peer is asked what all nodes have out there.
     awaited: HashMap<WorkerId, Awaited>,
 }
@@ -153,7 +153,7 @@
             actions: Vec::new(),
             commands: VecDeque::new(),
             returned: Vec::new(),
-            seating: None,
+            licensing: None,
             awaited: HashMap::new(),
         })
     }
@@ -258,7 +258,7 @@
         log::trace!(
             "probe worker {:016x} {outcome:?}: free {}",
             worker.0,
-            relay::Told(report)
+            responses::Told(report)
         );
         self.pending.push_back(Event::ProbeEnded {
             worker,
--- a/crates/node/src/core/table.rs
+++ b/crates/node/src/core/table.rs
@@ -1,6 +1,6 @@
 //! The invocations: each is kept until it has its final answer and all of its calls are back.
 
-use super::seating::Needs;
+use super::licensing::Needs;
 use super::Work;
 use marbledeck_dispatcher::{ClassId, Micros, RequestId, WorkerId};
 use std::collections::{HashMap, HashSet};
--- a/crates/node/src/directory/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -10,7 +10,7 @@
 use crate::net::http::{self, Body};
 use crate::net::{Net, Peer, Token};
 use marbledeck_dispatcher::{CellId, Micros, WorkerListKind};
-use marbledeck_membership::{Membership, SourceId, Status, Told, Word};
+use marbledeck_membership::{Membership, MembershipChange, SourceId, SourceReport, Status};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -44,7 +44,7 @@
 }
 
 /// The words that members stand for.
-pub fn words(members: Vec<Member>) -> Vec<Word> {
+pub fn words(members: Vec<Member>) -> Vec<SourceReport> {
     members.into_iter().map(|member| member.word().0).collect()
 }
 
@@ -58,7 +58,7 @@
     told.map(|(source, name)| {
         (
             name.to_owned(),
-            members.words(source).take(MOST).map(Member::of).collect(),
+            members.reports(source).take(MOST).map(Member::of).collect(),
         )
     })
     .collect()
@@ -85,14 +85,14 @@
 
 impl Member {
     /// What it says, and whether it says that the worker is gone.
-    fn word(self) -> (Word, bool) {
+    fn word(self) -> (SourceReport, bool) {
         let addr = self.host_port.parse().ok();
         if addr.is_none() && self.phase != GONE {
             log::warn!("directory: '{}' is no address", self.host_port);
         }
-        let word = Word {
+        let word = SourceReport {
             id: self.id,
-            addr,
+            address: addr,
             // An unknown phase is no invitation to send there.
             status: match self.phase.as_str() {
                 UP => Status::Up,
@@ -102,17 +102,17 @@
             zone: self.locality,
             kind: self.flavor,
             cell: self.cell.map(CellId),
-            started: Clock::from_unix_ms(self.up_since_ms),
-            dirty: 0,
+            started_at: Clock::from_unix_ms(self.up_since_ms),
+            version: 0,
         };
         (word, self.phase == GONE)
     }
 
     /// A word as the directory writes it.
-    fn of(word: &Word) -> Self {
+    fn of(word: &SourceReport) -> Self {
         Member {
             id: word.id.clone(),
-            host_port: word.addr.map_or(String::new(), |addr| addr.to_string()),
+            host_port: word.address.map_or(String::new(), |addr| addr.to_string()),
             locality: word.zone.clone(),
             flavor: word.kind.clone(),
             cell: word.cell.map(|cell| cell.0),
@@ -120,7 +120,7 @@
                 Status::Up => UP.to_owned(),
                 _ => DRAINING.to_owned(),
             },
-            up_since_ms: word.started.map_or(0, |at| at.0 / 1000),
+            up_since_ms: word.started_at.map_or(0, |at| at.0 / 1000),
         }
     }
 }
@@ -170,10 +170,10 @@
         let list = Listing {
             revision,
             complete: true,
-            members: members.words(self.source).map(Member::of).collect(),
+            members: members.reports(self.source).map(Member::of).collect(),
         };
         Bequest {
-            out: members.out().clone(),
+            out: members.out_of_service().clone(),
             list,
             told_in_us: self.clocks.bequest().map(|told| (told - now).0),
         }
@@ -212,7 +212,7 @@
             log::warn!(
                 "directory: the list is too old to send by; nothing new goes to its workers"
             );
-            let told = fleet.members.trust(self.source, false);
+            let told = fleet.members.set_trusted(self.source, false);
             fleet.changed(now, told, core);
         }
         match self.call {
@@ -366,7 +366,7 @@
         // After what is new: only those that are still named are trusted again.
         if std::mem::take(&mut self.distrusted) {
             log::info!("directory: the list is trusted again");
-            told.and(fleet.members.trust(self.source, true));
+            told.append(fleet.members.set_trusted(self.source, true));
         }
         fleet.pass_on(now, kind, told, core);
     }
@@ -382,8 +382,16 @@
         self.again = Some(at);
     }
 
-    fn learn(&self, now: Micros, complete: bool, members: Vec<Member>, fleet: &mut Fleet) -> Told {
+    fn learn(
+        &self,
+        now: Micros,
+        complete: bool,
+        members: Vec<Member>,
+        fleet: &mut Fleet,
+    ) -> MembershipChange {
         let words = members.into_iter().map(Member::word).collect();
-        fleet.members.tell(now, self.source, complete, words)
+        fleet
+            .members
+            .apply_discovery_list(now, self.source, complete, words)
     }
 }
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -5,10 +5,10 @@
 use crate::fleet::Fleet;
 use crate::net::http::{self, Body, ResponseHead};
 use crate::net::{Net, Peer, Ready, Token};
-use crate::party::{Hub, Party};
+use crate::service::{Context, Service};
 use marbledeck_dispatcher::Micros;
 use marbledeck_eureka::{Change, Encoding, Form, Lease, LeaseAsk, LeaseSettings, Poll, Settings};
-use marbledeck_membership::{SourceId, Told};
+use marbledeck_membership::{MembershipChange, SourceId};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
@@ -257,14 +257,15 @@
     }
 
     /// Tells the membership some of what was found.
-    fn tell(&mut self, now: Micros, fleet: &mut Fleet) -> Told {
-        let (mut told, mut changes) = (Told::default(), 0);
+    fn tell(&mut self, now: Micros, fleet: &mut Fleet) -> MembershipChange {
+        let (mut told, mut changes) = (MembershipChange::default(), 0);
         if let Some(after) = self.sweep.take() {
-            let (missing, next) = fleet
-                .members
-                .sweep(now, self.source, after.as_deref(), SWEPT);
+            let (missing, next) =
+                fleet
+                    .members
+                    .sweep_missing(now, self.source, after.as_deref(), SWEPT);
             self.sweep = next.map(Some);
-            told.and(missing);
+            told.append(missing);
             return told;
         }
         while changes < CHANGES {
@@ -273,47 +274,49 @@
             };
             changes += 1;
             let members = &mut fleet.members;
-            told.and(match change {
+            told.append(match change {
                 Change::Begin => {
-                    members.begin(self.source);
-                    Told::default()
+                    members.begin_full_list(self.source);
+                    MembershipChange::default()
                 }
                 Change::Part(words) => {
                     // A part is a turn's work.
                     changes = CHANGES;
-                    members.part(now, self.source, words)
+                    members.apply_list_part(now, self.source, words)
                 }
                 Change::End => {
                     self.sweep = Some(None);
                     break;
                 }
-                Change::Named(word) => members.change(now, self.source, *word),
-                Change::Removed { id, explicit } => members.remove(now, self.source, &id, explicit),
+                Change::Named(word) => members.apply_report(now, self.source, *word),
+                Change::Removed { id, explicit } => {
+                    members.remove_worker(now, self.source, &id, explicit)
+                }
             });
         }
         told
     }
 }
 
-impl Party for Eureka {
+impl Service for Eureka {
     fn name(&self) -> &'static str {
         "eureka"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, hub: &mut Hub) {
+    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
         let ours = self
             .call
             .as_ref()
             .is_some_and(|call| call.token == event.token);
         let of_own = |own: &&mut Own| own.call.is_some_and(|(_, token)| token == event.token);
         if let Some(own) = self.own.as_mut().filter(of_own) {
-            own.read(now, event.token, &mut hub.net);
-            own.ask(now, &self.registries, self.peer, &mut hub.net);
+            own.read(now, event.token, &mut context.net);
+            own.ask(now, &self.registries, self.peer, &mut context.net);
         } else if ours {
-            self.read(now, event.token, &mut hub.net);
-            self.ask(now, &mut hub.net);
+            self.read(now, event.token, &mut context.net);
+            self.ask(now, &mut context.net);
         } else {
-            hub.net.close(event.token);
+            context.net.close(event.token);
         }
     }
 
@@ -326,22 +329,22 @@
         }
     }
 
-    fn wake(&mut self, now: Micros, hub: &mut Hub) {
-        self.ask(now, &mut hub.net);
+    fn wake(&mut self, now: Micros, context: &mut Context) {
+        self.ask(now, &mut context.net);
         if let Some(own) = &mut self.own {
-            own.ask(now, &self.registries, self.peer, &mut hub.net);
+            own.ask(now, &self.registries, self.peer, &mut context.net);
         }
         self.backlog.extend(self.poll.take_changes());
-        let told = self.tell(now, &mut hub.fleet);
-        hub.fleet.changed(now, told, &mut hub.core);
+        let told = self.tell(now, &mut context.fleet);
+        context.fleet.changed(now, told, &mut context.core);
     }
 
     /// Another process renews the node's entry from now on: without a gap, and without a cancel.
-    fn set_succeeded(&mut self, succeeded: bool, hub: &mut Hub) {
+    fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
         if let Some(own) = &mut self.own {
-            own.lease.set_handed_on(hub.now, succeeded);
+            own.lease.set_handed_on(context.now, succeeded);
             if succeeded {
-                own.close(&mut hub.net);
+                own.close(&mut context.net);
             }
         }
     }
--- a/crates/node/src/sites.rs
+++ b/crates/node/src/federation.rs
@@ -1,10 +1,10 @@
-//! Jobs that another site is to run: a party that hands them to that site's submission front, one site at a time, and asks
+//! Jobs that another site is to run: a service that hands them to that site's submission front, one site at a time, and asks
 //! it how they end. Which site is `marbledeck-federation`'s to say; the catalogs are records that the fleet has agreed on.
 
 use crate::clock::millis;
 use crate::core::Verdict;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::party::{Agreed, Hub, Party};
+use crate::service::{Agreed, Context, Service};
 use marbledeck_consensus::{Acting, Body, Record};
 use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_federation::{check, Catalog, Errand, Fit, Heard, Known, Manifest, Step};
@@ -323,14 +323,14 @@
     }
 
     /// A connection is lost: what was asked over it has no answer.
-    fn lose(&mut self, now: Micros, token: Token, hub: &mut Hub) {
-        hub.net.close(token);
+    fn lose(&mut self, now: Micros, token: Token, context: &mut Context) {
+        context.net.close(token);
         let Some(link) = self.links.remove(&token) else {
             return;
         };
         self.again.insert(link.addr, now + AGAIN);
         for (id, question, _) in link.open.into_values() {
-            self.heard(now, id, question, None, hub);
+            self.heard(now, id, question, None, context);
         }
     }
 
@@ -341,9 +341,9 @@
         id: RequestId,
         question: Question,
         line: Option<Value>,
-        hub: &mut Hub,
+        context: &mut Context,
     ) {
-        let Some(outbox) = &mut hub.outbox else {
+        let Some(outbox) = &mut context.outbox else {
             return;
         };
         outbox.schedule(id, now + AGAIN);
@@ -386,7 +386,7 @@
                         (JobState::Done, None) => Verdict::Served(Vec::new()),
                         _ => Verdict::Failed,
                     };
-                    self.end(id, verdict, hub);
+                    self.end(id, verdict, context);
                 }
                 Ok(_) => outbox.schedule(id, now),
                 Err(_) => match serde_json::from_value::<Problem>(line) {
@@ -397,7 +397,7 @@
                             "sites: a job that was taken is not known there: {}",
                             problem.message
                         );
-                        self.end(id, Verdict::Failed, hub);
+                        self.end(id, Verdict::Failed, context);
                     }
                     _ => {}
                 },
@@ -405,17 +405,17 @@
         }
     }
 
-    fn end(&mut self, id: RequestId, verdict: Verdict, hub: &mut Hub) {
-        let job = hub.outbox.as_mut().and_then(|outbox| outbox.remove(id));
+    fn end(&mut self, id: RequestId, verdict: Verdict, context: &mut Context) {
+        let job = context.outbox.as_mut().and_then(|outbox| outbox.remove(id));
         if job.is_some_and(|job| !job.unwanted) {
-            hub.core.answer_for(id, verdict);
+            context.core.answer_for(id, verdict);
         }
     }
 
     /// Goes on with a job whose time has come.
-    fn go_on(&mut self, now: Micros, id: RequestId, hub: &mut Hub) {
-        let (known, unknown) = sites(&hub.agreed, now);
-        let Some(outbox) = &mut hub.outbox else {
+    fn go_on(&mut self, now: Micros, id: RequestId, context: &mut Context) {
+        let (known, unknown) = sites(&context.agreed, now);
+        let Some(outbox) = &mut context.outbox else {
             return;
         };
         let own = outbox.own.clone();
@@ -429,7 +429,7 @@
                 true => Verdict::Failed,
                 false => Verdict::Rejected(Some(AGAIN)),
             };
-            return self.end(id, verdict, hub);
+            return self.end(id, verdict, context);
         }
         if job.asked.is_some() {
             return;
@@ -491,16 +491,16 @@
             (Step::Wait, None) => return,
             (Step::Refused(why), _) => {
                 log::info!("sites: no site takes a job: {why}");
-                return self.end(id, Verdict::Rejected(Some(AGAIN)), hub);
+                return self.end(id, Verdict::Rejected(Some(AGAIN)), context);
             }
         };
         let Some(address) = address else {
             return;
         };
-        let Some(token) = self.link(now, address, &mut hub.net) else {
+        let Some(token) = self.link(now, address, &mut context.net) else {
             return;
         };
-        if !hub.net.has_room(token, BACKLOG) {
+        if !context.net.has_room(token, BACKLOG) {
             return;
         }
         self.seq += 1;
@@ -508,8 +508,8 @@
             seq: Value::from(self.seq),
             op,
         };
-        if !hub.net.write(token, &frame::line(&request)) {
-            return self.lose(now, token, hub);
+        if !context.net.write(token, &frame::line(&request)) {
+            return self.lose(now, token, context);
         }
         let until = match question {
             Question::Run => now + PATIENCE,
@@ -518,7 +518,7 @@
         if let Some(link) = self.links.get_mut(&token) {
             link.open.insert(self.seq, (id, question, until));
         }
-        if let Some(outbox) = &mut hub.outbox {
+        if let Some(outbox) = &mut context.outbox {
             // Until there is an answer, or none can be any more.
             outbox.schedule(id, Micros(u64::MAX));
             if let Some(job) = outbox.jobs.get_mut(&id) {
@@ -532,17 +532,18 @@
     check(manifest, Some(site.catalog))
 }
 
-impl Party for Sites {
+impl Service for Sites {
     fn name(&self) -> &'static str {
         "sites"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, hub: &mut Hub) {
+    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
         loop {
-            let (Some(link), Some(conn)) =
-                (self.links.get_mut(&event.token), hub.net.get(event.token))
-            else {
-                return hub.net.close(event.token);
+            let (Some(link), Some(conn)) = (
+                self.links.get_mut(&event.token),
+                context.net.get(event.token),
+            ) else {
+                return context.net.close(event.token);
             };
             let (full, over) = (conn.input.is_full(), conn.eof || conn.broken);
             let held = conn.input.all();
@@ -552,18 +553,18 @@
                     conn.input.consume(length + 1);
                     line
                 }
-                Ok(None) if over => return self.lose(now, event.token, hub),
+                Ok(None) if over => return self.lose(now, event.token, context),
                 Ok(None) => return,
-                Err(_) => return self.lose(now, event.token, hub),
+                Err(_) => return self.lose(now, event.token, context),
             };
-            hub.net.touch(event.token);
+            context.net.touch(event.token);
             let Ok(line) = line else {
                 log::warn!("sites: a line that makes no sense");
-                return self.lose(now, event.token, hub);
+                return self.lose(now, event.token, context);
             };
             let asked = line["seq"].as_u64().and_then(|seq| link.open.remove(&seq));
             if let Some((id, question, _)) = asked {
-                self.heard(now, id, question, Some(line), hub);
+                self.heard(now, id, question, Some(line), context);
             }
         }
     }
@@ -573,7 +574,7 @@
         open.map(|(_, _, until)| *until).min()
     }
 
-    fn wake(&mut self, now: Micros, hub: &mut Hub) {
+    fn wake(&mut self, now: Micros, context: &mut Context) {
         let silent = |link: &Link| link.open.values().any(|(_, _, until)| *until <= now);
         let silent: Vec<Token> = self
             .links
@@ -583,20 +584,20 @@
             .collect();
         for token in silent {
             log::warn!("sites: a site says nothing; it is asked again over another connection");
-            self.lose(now, token, hub);
+            self.lose(now, token, context);
         }
     }
 
-    fn settled(&mut self, now: Micros, hub: &mut Hub) {
+    fn settled(&mut self, now: Micros, context: &mut Context) {
         for _ in 0..TURN {
-            let due = hub
+            let due = context
                 .outbox
                 .as_ref()
                 .and_then(|outbox| outbox.due.first().copied());
             let Some((_, id)) = due.filter(|(at, _)| *at <= now) else {
                 return;
             };
-            self.go_on(now, id, hub);
+            self.go_on(now, id, context);
         }
     }
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::net::Net;
 use crate::workers::Workers;
 use marbledeck_dispatcher::{Micros, WorkerEntry, WorkerId, WorkerListKind, WorkerState};
-use marbledeck_membership::{Membership, Place, Told};
+use marbledeck_membership::{Endpoint, Membership, MembershipChange};
 use std::net::SocketAddr;
 
 /// What a call was decided by: the worker's entry, and its address.
@@ -30,14 +30,20 @@
     }
 
     /// Tells the core what has changed.
-    pub fn pass_on(&mut self, now: Micros, kind: WorkerListKind, told: Told, core: &mut Core) {
-        self.stale.extend(told.stale);
+    pub fn pass_on(
+        &mut self,
+        now: Micros,
+        kind: WorkerListKind,
+        told: MembershipChange,
+        core: &mut Core,
+    ) {
+        self.stale.extend(told.stale_workers);
         core.listed(now, kind, told.entries);
     }
 
     /// The same, for changes that no list of the platform's brought.
-    pub fn changed(&mut self, now: Micros, told: Told, core: &mut Core) {
-        self.stale.extend(told.stale.iter().copied());
+    pub fn changed(&mut self, now: Micros, told: MembershipChange, core: &mut Core) {
+        self.stale.extend(told.stale_workers.iter().copied());
         if !told.entries.is_empty() {
             core.listed(now, WorkerListKind::Delta, told.entries);
         }
@@ -45,42 +51,45 @@
 
     /// Whether a worker is as it was when a call there was decided, and takes new ones.
     pub fn stands(&self, call: &Aim) -> bool {
-        let entry = self.members.told_of(call.entry.worker);
+        let entry = self.members.published_entry(call.entry.worker);
         entry == Some(&call.entry) && call.entry.state == WorkerState::Ready && {
             let place = self.place(call.entry.worker);
-            place.is_some_and(|place| place.addr == call.addr)
+            place.is_some_and(|place| place.address == call.addr)
         }
     }
 
     /// A worker as it is now, for a call that goes there.
-    pub fn aim(&self, worker: WorkerId) -> Option<(Aim, &Place)> {
-        let (entry, place) = (self.members.told_of(worker)?.clone(), self.place(worker)?);
-        let addr = place.addr;
+    pub fn aim(&self, worker: WorkerId) -> Option<(Aim, &Endpoint)> {
+        let (entry, place) = (
+            self.members.published_entry(worker)?.clone(),
+            self.place(worker)?,
+        );
+        let addr = place.address;
         Some((Aim { entry, addr }, place))
     }
 
-    pub fn place(&self, worker: WorkerId) -> Option<&Place> {
-        self.members.place(worker)
+    pub fn place(&self, worker: WorkerId) -> Option<&Endpoint> {
+        self.members.endpoint(worker)
     }
 
     /// Takes in what the links have seen of workers, looks at the doubtful ones, and has them asked.
     pub fn wake(&mut self, now: Micros, workers: &mut Workers, net: &mut Net, core: &mut Core) {
-        let mut told = Told::default();
+        let mut told = MembershipChange::default();
         for (worker, sign) in std::mem::take(&mut workers.signs) {
-            told.and(self.members.sign(now, worker, sign));
+            told.append(self.members.record_evidence(now, worker, sign));
         }
         if self.members.next_wake().is_some_and(|at| at <= now) {
-            told.and(self.members.wake(now));
+            told.append(self.members.wake(now));
         }
-        for worker in self.members.take_probes() {
-            workers.look(now, worker, self.members.place(worker), net);
+        for worker in self.members.take_due_probes() {
+            workers.look(now, worker, self.members.endpoint(worker), net);
         }
         self.changed(now, told, core);
     }
 
     /// Takes a worker out by hand, or calls it back, whatever any source has told or will tell of it meanwhile.
     pub fn set_out(&mut self, now: Micros, id: &str, out: bool, core: &mut Core) {
-        let told = self.members.set_out(id, out);
+        let told = self.members.set_out_of_service(id, out);
         self.changed(now, told, core);
     }
 
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -1,9 +1,9 @@
-//! The link to the other nodes of the tier: a party that carries the datagrams of `marbledeck-gossip`.
+//! The link to the other nodes of the tier: a service that carries the datagrams of `marbledeck-gossip`.
 
 use crate::clock::millis;
 use crate::config::PeersConfig;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::party::{Hub, Party};
+use crate::service::{Context, Service};
 use marbledeck_dispatcher::{Micros, WorkerId};
 use marbledeck_gossip::{message, Asked, Peers, Questions};
 use std::collections::HashMap;
@@ -60,15 +60,15 @@
     }
 }
 
-impl Party for Tier {
+impl Service for Tier {
     fn name(&self) -> &'static str {
         "peers"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, hub: &mut Hub) {
+    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
         let mut bytes = [0; message::LONGEST + 1];
         for _ in 0..TURN {
-            let Some((len, from)) = hub.net.receive(event.token, &mut bytes) else {
+            let Some((len, from)) = context.net.receive(event.token, &mut bytes) else {
                 return;
             };
             let Some(&from) = self.numbers.get(&from) else {
@@ -77,7 +77,7 @@
             let told = self.peers.receive(now, from, &bytes[..len]);
             let asked = told.and_then(|told| self.asked.answered(told.worker).zip(Some(told)));
             if let Some((worker, told)) = asked {
-                hub.core.told_held(now, worker, told.calls);
+                context.core.told_held(now, worker, told.calls);
             }
         }
     }
@@ -90,31 +90,31 @@
             .min()
     }
 
-    fn wake(&mut self, now: Micros, hub: &mut Hub) {
+    fn wake(&mut self, now: Micros, context: &mut Context) {
         if self.socket.is_none() && self.again <= now {
-            self.open(now, &mut hub.net);
+            self.open(now, &mut context.net);
         }
         while let Some(worker) = self.asked.overdue(now) {
             self.peers.unanswered(worker);
-            hub.core.told_held(now, worker, None);
+            context.core.told_held(now, worker, None);
         }
         self.peers.wake(now);
     }
 
-    fn settled(&mut self, _now: Micros, hub: &mut Hub) {
-        self.flush(&mut hub.net);
+    fn settled(&mut self, _now: Micros, context: &mut Context) {
+        self.flush(&mut context.net);
     }
 
-    fn probes(&mut self, now: Micros, worker: WorkerId, hub: &mut Hub) {
+    fn probes(&mut self, now: Micros, worker: WorkerId, context: &mut Context) {
         match self.peers.ask(now, worker) {
             Asked::Known(calls) => {
-                hub.core.ask_held(worker);
-                hub.core.told_held(now, worker, Some(calls));
+                context.core.ask_held(worker);
+                context.core.told_held(now, worker, Some(calls));
             }
             Asked::Sent if self.socket.is_some() => {
-                hub.core.ask_held(worker);
+                context.core.ask_held(worker);
                 if let Some(other) = self.asked.open(worker, now + WAITS) {
-                    hub.core.told_held(now, other, None);
+                    context.core.told_held(now, other, None);
                 }
             }
             Asked::Sent | Asked::Nothing => {}
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -49,10 +49,12 @@
     Serving,
     /// The old process takes nothing more.
     Ending,
-    /// The parties that the new process has; said only to one that has named its own.
-    Parties(Vec<String>),
-    /// A word of the party of this name.
-    Party(String, Value),
+    /// The services that the new process has; said only to one that has named its own.
+    #[serde(rename = "parties")]
+    Services(Vec<String>),
+    /// A word of the service of this name.
+    #[serde(rename = "party")]
+    Service(String, Value),
 }
 
 /// What has come of a link.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,21 +1,21 @@
-//! The marbledeck node: the decisions of the module `marbledeck`, served on real sockets.
+//! The marbledeck node: the decision module `marbledeck-dispatcher`, served on real sockets.
 #![forbid(unsafe_code)]
 
-mod agreement;
+mod admin;
+mod clients;
 pub mod clock;
 pub mod config;
-mod consumers;
+mod consensus;
 pub mod core;
-pub mod directory;
+pub mod discovery;
 mod eureka;
+mod federation;
 mod fleet;
+mod gossip;
 mod handover;
 pub mod logger;
 pub mod net;
 pub mod node;
-mod ops;
-mod party;
-mod peers;
-mod sites;
+mod service;
 mod submission;
 mod workers;
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -61,7 +61,7 @@
     Directory,
     Operator,
     /// One that has registered with the loop, by its number.
-    Party(u8),
+    Service(u8),
     /// The other process of this node, while one replaces the other.
     Partner,
     /// SIGTERM.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,20 +1,20 @@
 //! The node: the core with its fronts and links round one loop.
 
-use crate::agreement::Agreement;
+use crate::admin::{self, Call, Ops};
+use crate::clients::Consumers;
 use crate::clock::{millis, Clock};
 use crate::config::{Config, ConfigError, SiteConfig};
-use crate::consumers::Consumers;
-use crate::core::seating::Seating;
+use crate::consensus::Agreement;
+use crate::core::licensing::Licensing;
 use crate::core::{Command, Core};
-use crate::directory::{self, Clocks, Directory};
+use crate::discovery::{self, Clocks, Directory};
 use crate::eureka::Eureka;
+use crate::federation::{Outbox, Sites, MOST_LINKS};
 use crate::fleet::Fleet;
+use crate::gossip::Tier;
 use crate::handover::{self, Handover, News, Side, Word};
 use crate::net::{Net, Peer, Ready, Token};
-use crate::ops::{self, Call, Ops};
-use crate::party::{Agreed, Hub, Party};
-use crate::peers::Tier;
-use crate::sites::{Outbox, Sites, MOST_LINKS};
+use crate::service::{Agreed, Context, Service};
 use crate::submission::Submissions;
 use crate::workers::{Figures, Workers};
 use marbledeck_dispatcher::Micros;
@@ -54,11 +54,11 @@
 
 pub struct Node {
     clock: Clock,
-    hub: Hub,
+    context: Context,
     consumers: Consumers,
     /// The peers that have registered themselves, by their numbers.
-    parties: Vec<Box<dyn Party>>,
-    /// The descriptors that the parties may hold.
+    services: Vec<Box<dyn Service>>,
+    /// The descriptors that the services may hold.
     spared: usize,
     ops: Option<Ops>,
     handover: Handover,
@@ -80,9 +80,9 @@
     sharing: u32,
     /// The process that this one replaces knows that it can serve.
     announced: bool,
-    /// The names of the successor's parties.
+    /// The names of the successor's services.
     heirs: Vec<String>,
-    /// For so long the successor may take to hear what the parties hold, once this process is to end.
+    /// For so long the successor may take to hear what the services hold, once this process is to end.
     patience: Option<Micros>,
     next_counts: Micros,
 }
@@ -91,13 +91,13 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Bequest {
     #[serde(flatten)]
-    fleet: directory::Bequest,
-    /// Its parties.
-    #[serde(default)]
-    parties: Vec<String>,
+    fleet: discovery::Bequest,
+    /// Its services.
+    #[serde(default, rename = "parties")]
+    services: Vec<String>,
     /// The words of its other sources.
     #[serde(default)]
-    sources: BTreeMap<String, Vec<directory::Member>>,
+    sources: BTreeMap<String, Vec<discovery::Member>>,
 }
 
 /// What the processes of this node may hold together.
@@ -127,7 +127,7 @@
     found.map(|at| listeners.swap_remove(at))
 }
 
-/// The parties' descriptors come off the consumers'.
+/// The services' descriptors come off the consumers'.
 fn most_consumers(most: usize, spared: usize) -> usize {
     most.saturating_sub(spared).max(1)
 }
@@ -166,21 +166,22 @@
         let by_submission = spoken_to.map(|word| worker_id(word)).collect();
         // Ids of jobs differ between nodes and between starts.
         let prefix = format!("{}-{:x}", config.name, config.seed);
-        let mut parties: Vec<Box<dyn Party>> = Vec::new();
+        let mut services: Vec<Box<dyn Service>> = Vec::new();
         if let Some(front) = submission {
             let listener = handed(&mut listeners, front.listen);
-            let peer = Peer::Party(parties.len() as u8);
+            let peer = Peer::Service(services.len() as u8);
             let front = Submissions::new(front, listener, prefix, peer, &mut net)?;
             log::info!("{} takes submissions at {}", config.name, front.addr);
-            parties.push(Box::new(front));
+            services.push(Box::new(front));
         }
         if link.is_some() {
-            let theirs =
-                |party: &&mut Box<dyn Party>| bequest.parties.iter().any(|n| n == party.name());
-            parties
+            let theirs = |service: &&mut Box<dyn Service>| {
+                bequest.services.iter().any(|n| n == service.name())
+            };
+            services
                 .iter_mut()
                 .filter(theirs)
-                .for_each(|party| party.met(now));
+                .for_each(|service| service.met(now));
         }
         let ops = config
             .ops
@@ -205,7 +206,7 @@
         let known = match &link {
             Some(_) => {
                 log::info!("{} takes over from a process that runs", config.name);
-                members.inherit(bequest.fleet.out);
+                members.restore_out_of_service(bequest.fleet.out);
                 directory.inherit(now, bequest.fleet.told_in_us);
                 bequest.fleet.list
             }
@@ -214,56 +215,59 @@
         let fixed = (!site.statics.is_empty()).then(|| members.add_source("static", None));
         if let Some(eureka) = site.eureka {
             let source = members.add_source("eureka", Some(site.guard));
-            let peer = Peer::Party(parties.len() as u8);
+            let peer = Peer::Service(services.len() as u8);
             let link = Eureka::new(eureka, source, peer, now, config.seed);
-            parties.push(Box::new(link));
+            services.push(Box::new(link));
         }
         if let Some(peers) = config.peers.filter(|_| site.peers) {
-            let peer = Peer::Party(parties.len() as u8);
-            parties.push(Box::new(Tier::new(peers, peer, now, &mut net)));
+            let peer = Peer::Service(services.len() as u8);
+            services.push(Box::new(Tier::new(peers, peer, now, &mut net)));
         }
         if let Some(seats) = site.seats {
-            core.seating = Some(Seating::new(seats, core.catalogue()).map_err(io::Error::other)?);
+            core.licensing =
+                Some(Licensing::new(seats, core.catalogue()).map_err(io::Error::other)?);
         }
         let mut agreed = Agreed::default();
         if let Some(agreement) = site.agreement {
-            let peer = Peer::Party(parties.len() as u8);
+            let peer = Peer::Service(services.len() as u8);
             let part = Agreement::new(agreement, peer, now, &mut net)?;
             agreed.reader = Some(part.reader());
-            parties.push(Box::new(part));
+            services.push(Box::new(part));
         }
         let outbox = site.site.map(Outbox::new);
         if outbox.is_some() {
-            let peer = Peer::Party(parties.len() as u8);
-            parties.push(Box::new(Sites::new(peer)));
+            let peer = Peer::Service(services.len() as u8);
+            services.push(Box::new(Sites::new(peer)));
         }
-        workers.wants_signs = members.is_guarded();
+        workers.wants_signs = members.uses_evidence();
         let mut fleet = Fleet::new(members);
         directory.known(now, known, &mut fleet, &mut core);
         if let Some(source) = fixed {
-            let told = fleet.members.list(now, source, site.statics);
+            let told = fleet.members.apply_full_list(now, source, site.statics);
             fleet.changed(now, told, &mut core);
         }
         // What other sources had said to the process that this one replaces, until they say it anew.
         for (name, list) in bequest.sources {
             if let Some(source) = fleet.members.source(&name) {
-                let told = fleet.members.list(now, source, directory::words(list));
+                let told = fleet
+                    .members
+                    .apply_full_list(now, source, discovery::words(list));
                 fleet.changed(now, told, &mut core);
             }
         }
         let link = link.map(|link| net.join(link.into(), Peer::Partner));
         let path = config.handover.as_deref();
         let mut handover = Handover::new(path, link.transpose()?, &mut net);
-        if !bequest.parties.is_empty() {
-            let names = parties.iter().map(|party| party.name().to_owned());
-            handover.tell(&Word::Parties(names.collect()), &mut net);
+        if !bequest.services.is_empty() {
+            let names = services.iter().map(|service| service.name().to_owned());
+            handover.tell(&Word::Services(names.collect()), &mut net);
         }
         net.signal(signals.end.try_clone()?.into(), Peer::End)?;
         net.signal(signals.reload.try_clone()?.into(), Peer::Reload)?;
         log::info!("{} serves at {}", config.name, consumers.addr);
         let mut node = Node {
             clock,
-            hub: Hub {
+            context: Context {
                 now,
                 net,
                 core,
@@ -274,7 +278,7 @@
                 outbox,
             },
             consumers,
-            parties,
+            services,
             spared,
             ops,
             handover,
@@ -305,17 +309,17 @@
             self.announce();
             self.settle(now);
             if self.is_over(now) {
-                log::info!("{}", self.hub.core.by_class());
-                log::info!("ended: {}", self.hub.core.counts());
+                log::info!("{}", self.context.core.by_class());
+                log::info!("ended: {}", self.context.core.counts());
                 return;
             }
-            self.hub
+            self.context
                 .net
                 .wait(self.clock.now(), self.next_wake(), &mut happened);
             // Timers first: however much has come, they are punctual.
             self.wake(self.clock.now());
             for event in happened.drain(..) {
-                if let Some(ready) = self.hub.net.pump(event) {
+                if let Some(ready) = self.context.net.pump(event) {
                     self.dispatch(ready);
                 }
             }
@@ -324,11 +328,11 @@
 
     fn next_wake(&self) -> Option<Micros> {
         let own = [
-            self.hub.core.next_wake(),
-            self.hub.workers.next_wake(),
-            self.hub.directory.next_wake(),
-            self.hub.outbox.as_ref().and_then(Outbox::next_wake),
-            self.hub.fleet.members.next_wake(),
+            self.context.core.next_wake(),
+            self.context.workers.next_wake(),
+            self.context.directory.next_wake(),
+            self.context.outbox.as_ref().and_then(Outbox::next_wake),
+            self.context.fleet.members.next_wake(),
             self.consumers.next_wake(),
             self.ops.as_ref().and_then(Ops::next_wake),
             self.ending,
@@ -337,83 +341,83 @@
             self.patience,
             Some(self.next_counts),
         ];
-        let parties = self.parties.iter().map(|party| party.next_wake());
-        own.into_iter().chain(parties).flatten().min()
+        let services = self.services.iter().map(|service| service.next_wake());
+        own.into_iter().chain(services).flatten().min()
     }
 
     fn wake(&mut self, now: Micros) {
-        self.hub.now = now;
-        let Hub {
+        self.context.now = now;
+        let Context {
             net,
             core,
             workers,
             directory,
             fleet,
             ..
-        } = &mut self.hub;
+        } = &mut self.context;
         // First: by a list that is too old nothing is sent, whatever else is due.
         directory.wake(now, fleet, net, core);
         core.wake(now);
         workers.wake(now, net, core);
         fleet.wake(now, workers, net, core);
         self.consumers.wake(now, net);
-        for party in &mut self.parties {
-            party.wake(now, &mut self.hub);
+        for service in &mut self.services {
+            service.wake(now, &mut self.context);
         }
         if self.patience.is_some_and(|until| until <= now) {
             self.patience = None;
         }
         if let Some(ops) = &mut self.ops {
-            ops.wake(now, &mut self.hub.net);
+            ops.wake(now, &mut self.context.net);
         }
         if self.settling.is_some_and(|due| due <= now) {
             self.settling = None;
-            log::info!("settling {} that are open", self.hub.core.unanswered());
-            self.hub.core.settle(now);
+            log::info!("settling {} that are open", self.context.core.unanswered());
+            self.context.core.settle(now);
         }
         if now >= self.next_counts {
             self.next_counts = now + COUNTS;
-            log::info!("{}", self.hub.core.counts());
-            log::info!("{}", self.hub.core.by_class());
+            log::info!("{}", self.context.core.counts());
+            log::info!("{}", self.context.core.by_class());
         }
     }
 
     fn dispatch(&mut self, event: Ready) {
         let (now, token) = (self.clock.now(), event.token);
-        self.hub.now = now;
+        self.context.now = now;
         match event.peer {
-            Peer::Consumer if event.listener => self.consumers.accept(now, &mut self.hub.net),
+            Peer::Consumer if event.listener => self.consumers.accept(now, &mut self.context.net),
             Peer::Consumer => {
-                let Hub { net, core, .. } = &mut self.hub;
+                let Context { net, core, .. } = &mut self.context;
                 self.consumers.ready(now, token, net, core);
             }
             Peer::Worker => {
-                let Hub {
+                let Context {
                     net, core, workers, ..
-                } = &mut self.hub;
+                } = &mut self.context;
                 workers.ready(now, token, net, core);
             }
             Peer::Directory => {
-                let Hub {
+                let Context {
                     net,
                     core,
                     directory,
                     fleet,
                     ..
-                } = &mut self.hub;
+                } = &mut self.context;
                 directory.ready(now, token, fleet, net, core);
             }
-            Peer::Party(number) => {
-                if let Some(party) = self.parties.get_mut(usize::from(number)) {
-                    party.ready(now, event, &mut self.hub);
+            Peer::Service(number) => {
+                if let Some(service) = self.services.get_mut(usize::from(number)) {
+                    service.ready(now, event, &mut self.context);
                 }
             }
             Peer::Operator => {
                 if let Some(ops) = &mut self.ops {
                     match event.listener {
-                        true => ops.accept(now, &mut self.hub.net),
+                        true => ops.accept(now, &mut self.context.net),
                         false => {
-                            if let Some(call) = ops.ready(token, &mut self.hub.net) {
+                            if let Some(call) = ops.ready(token, &mut self.context.net) {
                                 self.operate(now, token, call);
                             }
                         }
@@ -421,11 +425,11 @@
                 }
             }
             Peer::Partner if event.listener => {
-                let news = self.handover.accept(&mut self.hub.net);
+                let news = self.handover.accept(&mut self.context.net);
                 self.heard(now, news);
             }
             Peer::Partner => {
-                while let Some(news) = self.handover.ready(token, &mut self.hub.net) {
+                while let Some(news) = self.handover.ready(token, &mut self.context.net) {
                     self.heard(now, Some(news));
                 }
             }
@@ -440,37 +444,40 @@
         let answer = match call {
             Call::Check => self.serves(),
             Call::Vars => {
-                let (listed, avoided) = self.hub.fleet.count(|w| self.hub.core.rests(now, w));
-                let text = ops::figures(&self.hub.core, listed, avoided);
+                let (listed, avoided) = self
+                    .context
+                    .fleet
+                    .count(|w| self.context.core.rests(now, w));
+                let text = admin::figures(&self.context.core, listed, avoided);
                 if let Some(ops) = &mut self.ops {
-                    ops.say(caller, &text, &mut self.hub.net);
+                    ops.say(caller, &text, &mut self.context.net);
                 }
                 return;
             }
             Call::Members => {
-                let text = ops::members(&self.hub.fleet.members.views(now));
+                let text = admin::members(&self.context.fleet.members.views(now));
                 if let Some(ops) = &mut self.ops {
-                    ops.say(caller, &text, &mut self.hub.net);
+                    ops.say(caller, &text, &mut self.context.net);
                 }
                 return;
             }
             Call::SetDown(id) => self.set_out(now, id, true),
             Call::SetUp(id) => self.set_out(now, id, false),
             call @ (Call::Records | Call::Change(_)) => {
-                let mut parties = self.parties.iter_mut();
-                if parties.any(|party| party.operate(now, caller, &call, &mut self.hub)) {
+                let mut services = self.services.iter_mut();
+                if services.any(|service| service.operate(now, caller, &call, &mut self.context)) {
                     return;
                 }
                 Err("there is no part [agreement] in the operator file".into())
             }
         };
         if let Some(ops) = &mut self.ops {
-            ops.answer(caller, answer, &mut self.hub.net);
+            ops.answer(caller, answer, &mut self.context.net);
         }
     }
 
-    fn serves(&self) -> ops::Answer {
-        match (self.ending, self.hub.core.has_workers()) {
+    fn serves(&self) -> admin::Answer {
+        match (self.ending, self.context.core.has_workers()) {
             (Some(_), _) => Err("ending".into()),
             (_, false) => Err("no worker is known".into()),
             _ => Ok("serving".into()),
@@ -478,15 +485,15 @@
     }
 
     /// An operator takes a worker out or calls it back.
-    fn set_out(&mut self, now: Micros, id: String, out: bool) -> ops::Answer {
-        if !self.hub.fleet.members.knows(&id) {
+    fn set_out(&mut self, now: Micros, id: String, out: bool) -> admin::Answer {
+        if !self.context.fleet.members.is_known(&id) {
             return Err("unknown render worker".into());
         }
         let word = if out { "out" } else { "may serve" };
         let answer = format!("{id} {word}");
         self.mark_out(now, &id, out);
         let told = if out { Word::Out(id) } else { Word::Back(id) };
-        self.handover.tell(&told, &mut self.hub.net);
+        self.handover.tell(&told, &mut self.context.net);
         Ok(answer)
     }
 
@@ -494,7 +501,7 @@
     fn mark_out(&mut self, now: Micros, id: &str, out: bool) {
         let word = if out { "out" } else { "may serve" };
         log::info!("operators: {id} {word}");
-        let Hub { core, fleet, .. } = &mut self.hub;
+        let Context { core, fleet, .. } = &mut self.context;
         fleet.set_out(now, id, out, core);
     }
 
@@ -503,35 +510,38 @@
         match news {
             // What this one has closed cannot be handed on: the other starts by itself.
             Some(News::Successor(heir)) if self.closed => {
-                self.handover.drop_link(heir, &mut self.hub.net);
+                self.handover.drop_link(heir, &mut self.context.net);
             }
             Some(News::Successor(heir)) => {
                 log::info!("another process comes to replace this one");
-                let parties = self.parties.iter().flat_map(|party| party.listeners());
+                let services = self.services.iter().flat_map(|service| service.listeners());
                 let listeners: Vec<Token> = [self.consumers.listener]
                     .into_iter()
-                    .chain(parties)
+                    .chain(services)
                     .collect();
                 let bequest = Bequest {
-                    fleet: self.hub.directory.bequest(now, &self.hub.fleet.members),
-                    parties: self.parties.iter().map(|p| p.name().to_owned()).collect(),
-                    sources: directory::others(&self.hub.fleet.members),
+                    fleet: self
+                        .context
+                        .directory
+                        .bequest(now, &self.context.fleet.members),
+                    services: self.services.iter().map(|p| p.name().to_owned()).collect(),
+                    sources: discovery::others(&self.context.fleet.members),
                 };
                 // What was told to one that came before is told to this one anew.
                 self.heirs.clear();
-                self.parties
+                self.services
                     .iter_mut()
                     .for_each(|p| p.lost(now, Side::Successor));
-                let (handover, net) = (&mut self.handover, &mut self.hub.net);
+                let (handover, net) = (&mut self.handover, &mut self.context.net);
                 handover.bequeath(heir, &bequest, &listeners, net);
             }
             Some(News::Told(_, Word::Out(id))) => self.mark_out(now, &id, true),
             Some(News::Told(_, Word::Back(id))) => self.mark_out(now, &id, false),
             Some(News::Told(_, Word::Serving)) => {
                 log::info!("the other process serves");
-                for party in &mut self.parties {
-                    if self.heirs.iter().any(|name| name == party.name()) {
-                        party.hand_over(now, &mut self.hub);
+                for service in &mut self.services {
+                    if self.heirs.iter().any(|name| name == service.name()) {
+                        service.hand_over(now, &mut self.context);
                     }
                 }
                 if self.ending.is_some() {
@@ -539,19 +549,22 @@
                 }
             }
             Some(News::Told(_, Word::Ending)) => log::info!("the other process ends"),
-            Some(News::Told(Side::Successor, Word::Parties(names))) => self.heirs = names,
-            Some(News::Told(_, Word::Parties(_))) => {}
-            Some(News::Told(side, Word::Party(name, word))) => {
-                let mut named = self.parties.iter_mut().filter(|party| party.name() == name);
-                if let Some(party) = named.next() {
-                    party.told(now, side, word, &mut self.hub);
+            Some(News::Told(Side::Successor, Word::Services(names))) => self.heirs = names,
+            Some(News::Told(_, Word::Services(_))) => {}
+            Some(News::Told(side, Word::Service(name, word))) => {
+                let mut named = self
+                    .services
+                    .iter_mut()
+                    .filter(|service| service.name() == name);
+                if let Some(service) = named.next() {
+                    service.told(now, side, word, &mut self.context);
                 }
             }
             Some(News::Lost(side)) => {
                 log::info!("the other process is gone");
-                self.parties
+                self.services
                     .iter_mut()
-                    .for_each(|party| party.lost(now, side));
+                    .for_each(|service| service.lost(now, side));
             }
             None => {}
         }
@@ -562,7 +575,7 @@
     fn announce(&mut self) {
         if !self.announced && self.serves().is_ok() {
             self.announced = true;
-            self.handover.tell(&Word::Serving, &mut self.hub.net);
+            self.handover.tell(&Word::Serving, &mut self.context.net);
         }
     }
 
@@ -572,22 +585,23 @@
         let parts = 1 + usize::from(self.handover.paired());
         self.consumers.pot = self.limits.bodies / parts;
         self.consumers
-            .set_most(now, self.limits.consumers / parts, &mut self.hub.net);
-        self.hub
+            .set_most(now, self.limits.consumers / parts, &mut self.context.net);
+        self.context
             .workers
-            .set_most(self.limits.workers / parts, &mut self.hub.net);
+            .set_most(self.limits.workers / parts, &mut self.context.net);
         if let Some(ops) = &mut self.ops {
-            ops.most = ops::CALLERS / parts;
+            ops.most = admin::CALLERS / parts;
         }
         let sharing = 1 + u32::from(self.handover.shares());
         if std::mem::replace(&mut self.sharing, sharing) != sharing {
-            self.hub.core.share(now, sharing);
+            self.context.core.share(now, sharing);
         }
         if !self.closed {
             let succeeded = self.handover.succeeded();
-            self.consumers.set_succeeded(succeeded, &mut self.hub.net);
-            for party in &mut self.parties {
-                party.set_succeeded(succeeded, &mut self.hub);
+            self.consumers
+                .set_succeeded(succeeded, &mut self.context.net);
+            for service in &mut self.services {
+                service.set_succeeded(succeeded, &mut self.context);
             }
         }
     }
@@ -603,8 +617,10 @@
     /// Nothing is taken any more.
     fn close(&mut self, now: Micros) {
         self.closed = true;
-        self.consumers.close_idle(now, &mut self.hub.net);
-        self.parties.iter_mut().for_each(|party| party.abandon(now));
+        self.consumers.close_idle(now, &mut self.context.net);
+        self.services
+            .iter_mut()
+            .for_each(|service| service.abandon(now));
     }
 
     /// SIGTERM: what is open is finished, and what still comes is served.
@@ -612,13 +628,15 @@
         drain(&mut self.signals.end);
         if self.ending.is_none() {
             log::info!("ending");
-            let longest = self.hub.core.catalogue().longest().min(LONGEST);
+            let longest = self.context.core.catalogue().longest().min(LONGEST);
             let killed = now + longest + KILLED;
             (self.killed, self.settling) = (Some(killed), Some(killed - SETTLING));
             self.ending = Some(now + ENDING);
             self.consumers.ending = true;
-            self.parties.iter_mut().for_each(|party| party.end(now));
-            self.handover.tell(&Word::Ending, &mut self.hub.net);
+            self.services
+                .iter_mut()
+                .for_each(|service| service.end(now));
+            self.handover.tell(&Word::Ending, &mut self.context.net);
             if self.handover.succeeded() {
                 self.hand_over(now);
             }
@@ -640,7 +658,7 @@
         let named = config.directory_in_file;
         if let Some(addr) = named.filter(|_| named != self.directory_in_file) {
             self.directory_in_file = named;
-            let Hub { net, directory, .. } = &mut self.hub;
+            let Context { net, directory, .. } = &mut self.context;
             directory.move_to(now, addr, net);
         }
         log::info!("reload: done");
@@ -652,14 +670,14 @@
             if !self.closed {
                 self.close(now);
             } else {
-                self.consumers.drop_half_read(&mut self.hub.net);
+                self.consumers.drop_half_read(&mut self.context.net);
             }
         }
-        let told = |party: &dyn Party| party.is_handed_over();
+        let told = |service: &dyn Service| service.is_handed_over();
         let told = self.patience.is_none()
-            || self.parties.iter().all(|party| told(&**party))
-                && self.handover.is_flushed(&mut self.hub.net);
-        let Hub { net, core, .. } = &self.hub;
+            || self.services.iter().all(|service| told(&**service))
+                && self.handover.is_flushed(&mut self.context.net);
+        let Context { net, core, .. } = &self.context;
         let leaves = self.killed.is_some_and(|at| at - LEAVING <= now);
         let heard = net.is_closed() || leaves && net.is_flushed();
         self.closed && self.consumers.is_idle() && core.idle() && heard && told
@@ -668,12 +686,12 @@
     /// Carries out what the core wants done, writes it out and waits anew.
     fn settle(&mut self, now: Micros) {
         self.carry_out(now);
-        if self.hub.workers.is_writing() {
+        if self.context.workers.is_writing() {
             self.look_again();
         }
-        let Hub {
+        let Context {
             net, core, workers, ..
-        } = &mut self.hub;
+        } = &mut self.context;
         net.settle(now);
         workers.written(net, core);
     }
@@ -682,16 +700,20 @@
     /// before: what forbids a call counts though it came after the call was decided. All bytes leave right after this.
     fn look_again(&mut self) {
         let now = self.clock.now();
-        let hub = &mut self.hub;
-        hub.now = now;
-        let (fleet, net, core) = (&mut hub.fleet, &mut hub.net, &mut hub.core);
-        hub.directory.wake(now, fleet, net, core);
-        if let Some(ready) = hub.directory.awaited().and_then(|token| net.look(token)) {
-            hub.directory.ready(now, ready.token, fleet, net, core);
-        }
-        let leaving = hub.workers.leaving(net);
+        let context = &mut self.context;
+        context.now = now;
+        let (fleet, net, core) = (&mut context.fleet, &mut context.net, &mut context.core);
+        context.directory.wake(now, fleet, net, core);
+        if let Some(ready) = context
+            .directory
+            .awaited()
+            .and_then(|token| net.look(token))
+        {
+            context.directory.ready(now, ready.token, fleet, net, core);
+        }
+        let leaving = context.workers.leaving(net);
         self.consumers.look(now, leaving, net, core);
-        hub.workers.withdraw(now, fleet, net, core);
+        context.workers.withdraw(now, fleet, net, core);
         // What becomes of their jobs is not left to the next turn.
         self.carry_out(now);
     }
@@ -700,29 +722,29 @@
         // First, so that the other process knows of a job that is handed on before any worker does.
         self.tell_partners(now);
         self.commands(now);
-        for party in &mut self.parties {
-            party.settled(now, &mut self.hub);
-            while let (Some(ops), Some((caller, text))) = (&mut self.ops, party.reply()) {
-                ops.say(caller, &text, &mut self.hub.net);
+        for service in &mut self.services {
+            service.settled(now, &mut self.context);
+            while let (Some(ops), Some((caller, text))) = (&mut self.ops, service.reply()) {
+                ops.say(caller, &text, &mut self.context.net);
             }
         }
         self.tell_partners(now);
     }
 
-    /// Carries the parties' words to the other processes, as far as those read.
+    /// Carries the services' words to the other processes, as far as those read.
     fn tell_partners(&mut self, now: Micros) {
         for side in Side::BOTH {
-            for at in 0..self.parties.len() {
-                while self.handover.has_room(side, &mut self.hub.net) {
-                    let party = &mut self.parties[at];
-                    let Some(word) = party.next_word(side) else {
+            for at in 0..self.services.len() {
+                while self.handover.has_room(side, &mut self.context.net) {
+                    let service = &mut self.services[at];
+                    let Some(word) = service.next_word(side) else {
                         break;
                     };
-                    let word = Word::Party(party.name().to_owned(), word);
-                    if !self.handover.tell_to(side, &word, &mut self.hub.net) {
-                        self.parties
+                    let word = Word::Service(service.name().to_owned(), word);
+                    if !self.handover.tell_to(side, &word, &mut self.context.net) {
+                        self.services
                             .iter_mut()
-                            .for_each(|party| party.lost(now, side));
+                            .for_each(|service| service.lost(now, side));
                     }
                 }
             }
@@ -731,14 +753,14 @@
 
     fn commands(&mut self, now: Micros) {
         loop {
-            let Hub {
+            let Context {
                 net,
                 core,
                 workers,
                 directory,
                 fleet,
                 ..
-            } = &mut self.hub;
+            } = &mut self.context;
             for worker in std::mem::take(&mut fleet.stale) {
                 workers.forget(worker, net);
             }
@@ -747,46 +769,46 @@
             };
             match command {
                 Command::Call(call) => {
-                    let parties = self.parties.iter_mut();
-                    parties.for_each(|party| party.called(now, call.worker));
+                    let services = self.services.iter_mut();
+                    services.for_each(|service| service.called(now, call.worker));
                     let aim = fleet.aim(call.worker);
                     workers.call(now, &call, aim, net, core);
                 }
                 Command::GiveUp { id, attempt } => workers.give_up(id, attempt, net),
                 Command::Probe(worker) => {
-                    for party in &mut self.parties {
-                        party.probes(now, worker, &mut self.hub);
+                    for service in &mut self.services {
+                        service.probes(now, worker, &mut self.context);
                     }
-                    let Hub {
+                    let Context {
                         net,
                         core,
                         workers,
                         fleet,
                         ..
-                    } = &mut self.hub;
+                    } = &mut self.context;
                     let aim = fleet.aim(worker);
                     workers.probe(now, worker, aim, net, core);
                 }
                 Command::CameBack(worker) => {
-                    let parties = self.parties.iter_mut();
-                    parties.for_each(|party| party.came_back(now, worker));
+                    let services = self.services.iter_mut();
+                    services.for_each(|service| service.came_back(now, worker));
                 }
                 Command::Watch => directory.watch(now, net),
                 Command::Answer { id, verdict, sent } => {
                     if !self.consumers.answer(now, id, &verdict, net, core) {
-                        let mut parties = self.parties.iter_mut();
-                        parties.any(|party| party.answer(now, id, &verdict, sent));
+                        let mut services = self.services.iter_mut();
+                        services.any(|service| service.answer(now, id, &verdict, sent));
                     }
                 }
                 Command::Running(id, worker) => {
-                    for party in &mut self.parties {
-                        party.running(now, id, worker, &self.hub);
+                    for service in &mut self.services {
+                        service.running(now, id, worker, &self.context);
                     }
                 }
                 Command::Requeued(id) => {
-                    self.parties
+                    self.services
                         .iter_mut()
-                        .for_each(|party| party.requeued(now, id));
+                        .for_each(|service| service.requeued(now, id));
                 }
             }
         }
--- a/crates/node/src/submission/desk.rs
+++ b/crates/node/src/submission/desk.rs
@@ -1,15 +1,15 @@
 //! The core and the workers as the submission server sees them.
 
 use crate::core::{Malformed, Order as CoreOrder, Work};
-use crate::party::Hub;
-use crate::sites::Where;
+use crate::federation::Where;
+use crate::service::Context;
 use marbledeck_dispatcher::{Idempotency, Micros, RequestId, WorkerState};
 use marbledeck_platform_settings::worker_id;
 use marbledeck_submission::message::{ErrorId, Machine, Problem, Queue};
 use marbledeck_submission::{ClassFacts, Desk, Order, Template, Whereabouts};
 
 /// Lends the node's parts to the server for one step.
-pub struct NodeDesk<'a>(pub &'a mut Hub);
+pub struct NodeDesk<'a>(pub &'a mut Context);
 
 fn refused(why: Malformed) -> Problem {
     match why {
@@ -38,7 +38,7 @@
     }
 
     fn place(&self, template: &Template) -> Result<Whereabouts, Problem> {
-        let Hub {
+        let Context {
             outbox,
             agreed,
             now,
@@ -122,7 +122,7 @@
     }
 
     fn machines(&self, now: Micros) -> Vec<Machine> {
-        let Hub {
+        let Context {
             core,
             workers,
             fleet,
@@ -130,11 +130,11 @@
         } = &*self.0;
         let out = workers.out();
         let views = fleet.members.views(now).into_iter();
-        let machine = |view: marbledeck_membership::View| {
+        let machine = |view: marbledeck_membership::WorkerView| {
             let worker = worker_id(&view.id);
             let told = workers.told(worker);
-            let by_hand = fleet.members.out().contains(&view.id);
-            let word = fleet.members.word(&view.id);
+            let by_hand = fleet.members.out_of_service().contains(&view.id);
+            let word = fleet.members.report(&view.id);
             let state = match (by_hand, view.state, core.rests(now, worker)) {
                 (true, ..) => "out".to_owned(),
                 (_, WorkerState::Ready, true) => "resting".to_owned(),
@@ -146,7 +146,7 @@
                 state,
                 zone: word.map_or(String::new(), |word| word.zone.clone()),
                 kind: word.map_or(String::new(), |word| word.kind.clone()),
-                address: view.addr.map_or(String::new(), |addr| addr.to_string()),
+                address: view.address.map_or(String::new(), |addr| addr.to_string()),
                 calls: out.get(&worker).copied().unwrap_or_default(),
                 free_slots: told.and_then(|(_, report)| report.free_slots),
                 report_age_ms: told.map(|(at, _)| (now - at).0 / 1000),
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -8,7 +8,7 @@
 use crate::core::Verdict;
 use crate::handover;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::party::{Hub, Party};
+use crate::service::{Context, Service};
 use desk::NodeDesk;
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use marbledeck_submission::frame::{self, TooLong};
@@ -86,8 +86,8 @@
         })
     }
 
-    fn accept(&mut self, now: Micros, hub: &mut Hub) {
-        let net = &mut hub.net;
+    fn accept(&mut self, now: Micros, context: &mut Context) {
+        let net = &mut context.net;
         for _ in 0..ACCEPTS {
             match net.accept(self.listener) {
                 Ok(None) => return,
@@ -118,13 +118,13 @@
     }
 
     /// Handles the lines that have come, as long as their answers leave.
-    fn read(&mut self, now: Micros, peer: u64, hub: &mut Hub) {
+    fn read(&mut self, now: Micros, peer: u64, context: &mut Context) {
         for _ in 0..LINES {
-            self.flush(now, peer, hub);
+            self.flush(now, peer, context);
             let Some(link) = self.links.get_mut(&peer) else {
                 return;
             };
-            let Some(conn) = hub.net.get(link.token) else {
+            let Some(conn) = context.net.get(link.token) else {
                 return;
             };
             if !self.server.wants_line(peer) {
@@ -141,23 +141,23 @@
                         conn.input.consume(usize::MAX);
                     }
                     link.more = false;
-                    return self.let_go(now, peer, hub);
+                    return self.let_go(now, peer, context);
                 }
                 Ok(Some(length)) => {
                     let line = held[..length].trim_ascii().to_vec();
                     conn.input.consume(length + 1);
-                    hub.net.touch(link.token);
+                    context.net.touch(link.token);
                     if !line.is_empty() {
-                        self.server.line(now, peer, &line, &mut NodeDesk(hub));
+                        self.server.line(now, peer, &line, &mut NodeDesk(context));
                     }
                 }
                 Err(TooLong) => {
                     // Where the next line begins is not known.
                     let problem = Problem::invalid("the line is too long");
                     let token = link.token;
-                    let _ = hub.net.write(token, &frame::line(&problem));
+                    let _ = context.net.write(token, &frame::line(&problem));
                     self.forget(now, peer);
-                    return hub.net.finish(token);
+                    return context.net.finish(token);
                 }
             }
         }
@@ -168,49 +168,49 @@
     }
 
     /// Writes what the submitter is to be told, as far as it takes it.
-    fn flush(&mut self, now: Micros, peer: u64, hub: &mut Hub) {
+    fn flush(&mut self, now: Micros, peer: u64, context: &mut Context) {
         let Some(token) = self.links.get(&peer).map(|link| link.token) else {
             return;
         };
-        while hub.net.has_room(token, BACKLOG) {
+        while context.net.has_room(token, BACKLOG) {
             let Some(line) = self.server.pull(peer) else {
                 return;
             };
-            if !hub.net.write(token, &line) {
+            if !context.net.write(token, &line) {
                 log::warn!("an answer to a submitter does not fit");
                 self.forget(now, peer);
-                return hub.net.close(token);
+                return context.net.close(token);
             }
         }
     }
 
     /// Closes on a submitter that sends nothing more and is owed nothing more.
-    fn let_go(&mut self, now: Micros, peer: u64, hub: &mut Hub) {
+    fn let_go(&mut self, now: Micros, peer: u64, context: &mut Context) {
         let Some(link) = self.links.get(&peer) else {
             return;
         };
         let token = link.token;
-        let silent = hub
+        let silent = context
             .net
             .get(token)
             .is_some_and(|c| c.eof && c.input.is_empty());
         if silent && self.server.is_done_with(peer) {
             self.forget(now, peer);
-            hub.net.finish(token);
+            context.net.finish(token);
         }
     }
 
     /// Writes to all who have something to read, and goes on with their lines.
-    fn speak(&mut self, now: Micros, hub: &mut Hub) {
+    fn speak(&mut self, now: Micros, context: &mut Context) {
         for peer in self.server.take_talkative() {
-            self.flush(now, peer, hub);
+            self.flush(now, peer, context);
             if !self.server.wants_line(peer) {
                 continue;
             }
             let link = self.links.get_mut(&peer);
             match link.map(|link| std::mem::take(&mut link.more)) {
                 Some(true) => self.waiting.push(peer),
-                Some(false) => self.let_go(now, peer, hub),
+                Some(false) => self.let_go(now, peer, context),
                 None => {}
             }
         }
@@ -225,7 +225,7 @@
     }
 }
 
-impl Party for Submissions {
+impl Service for Submissions {
     fn name(&self) -> &'static str {
         "submission"
     }
@@ -235,17 +235,17 @@
     }
 
     /// Something has come from a submitter, or can be sent to it, or it is lost. Its jobs go on all the same.
-    fn ready(&mut self, now: Micros, event: Ready, hub: &mut Hub) {
+    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
         if event.listener {
-            return self.accept(now, hub);
+            return self.accept(now, context);
         }
         let peer = event.token.number();
         let known = self.links.contains_key(&peer);
-        match hub.net.get(event.token) {
-            Some(conn) if known && !conn.broken => self.read(now, peer, hub),
+        match context.net.get(event.token) {
+            Some(conn) if known && !conn.broken => self.read(now, peer, context),
             _ => {
                 self.forget(now, peer);
-                hub.net.close(event.token);
+                context.net.close(event.token);
             }
         }
     }
@@ -256,24 +256,24 @@
         wakes.into_iter().flatten().min()
     }
 
-    fn wake(&mut self, now: Micros, hub: &mut Hub) {
+    fn wake(&mut self, now: Micros, context: &mut Context) {
         if self.resting.is_some_and(|until| until <= now) {
             self.resting = None;
-            hub.net.listening(self.listener, !self.succeeded);
+            context.net.listening(self.listener, !self.succeeded);
         }
         let was_deaf = self.server.is_deaf();
-        self.server.wake(now, &mut NodeDesk(hub));
+        self.server.wake(now, &mut NodeDesk(context));
         if was_deaf && !self.server.is_deaf() {
             self.waiting.extend(self.links.keys());
         }
         for peer in std::mem::take(&mut self.waiting) {
-            self.read(now, peer, hub);
+            self.read(now, peer, context);
         }
     }
 
-    fn settled(&mut self, now: Micros, hub: &mut Hub) {
+    fn settled(&mut self, now: Micros, context: &mut Context) {
         self.server.admitted(now);
-        self.speak(now, hub);
+        self.speak(now, context);
     }
 
     fn answer(
@@ -291,8 +291,8 @@
         self.server.answer(now, id, verdict, sent)
     }
 
-    fn running(&mut self, now: Micros, id: RequestId, worker: WorkerId, hub: &Hub) {
-        let place = hub.fleet.place(worker);
+    fn running(&mut self, now: Micros, id: RequestId, worker: WorkerId, context: &Context) {
+        let place = context.fleet.place(worker);
         let name = place.map(|place| Rc::from(place.name.as_str()));
         self.server.running(now, id, name);
     }
@@ -301,9 +301,10 @@
         self.server.requeued(now, id);
     }
 
-    fn set_succeeded(&mut self, succeeded: bool, hub: &mut Hub) {
+    fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
         self.succeeded = succeeded;
-        hub.net
+        context
+            .net
             .listening(self.listener, !succeeded && self.resting.is_none());
     }
 
@@ -321,18 +322,18 @@
         self.server.expect_transfer(now);
     }
 
-    fn hand_over(&mut self, now: Micros, hub: &mut Hub) {
+    fn hand_over(&mut self, now: Micros, context: &mut Context) {
         if self.server.is_giving() {
             return;
         }
         log::info!("submissions: handed over to the other process");
-        self.speak(now, hub);
+        self.speak(now, context);
         self.server.begin_transfer();
         // Their jobs go on there: what they hear next is that they are to connect anew.
         for peer in self.links.keys().copied().collect::<Vec<_>>() {
-            self.flush(now, peer, hub);
+            self.flush(now, peer, context);
             if let Some(link) = self.forget(now, peer) {
-                hub.net.finish(link.token);
+                context.net.finish(link.token);
             }
         }
     }
@@ -346,11 +347,11 @@
         serde_json::to_value(told).ok()
     }
 
-    fn told(&mut self, now: Micros, side: handover::Side, word: Value, hub: &mut Hub) {
+    fn told(&mut self, now: Micros, side: handover::Side, word: Value, context: &mut Context) {
         match serde_json::from_value::<Transfer>(word) {
             Ok(told) => {
                 let was_deaf = self.server.is_deaf();
-                let desk = &mut NodeDesk(hub);
+                let desk = &mut NodeDesk(context);
                 self.server.take_transfer(now, partner(side), told, desk);
                 if was_deaf && !self.server.is_deaf() {
                     self.waiting.extend(self.links.keys());
--- a/crates/node/src/workers/mod.rs
+++ b/crates/node/src/workers/mod.rs
@@ -10,7 +10,7 @@
 use crate::net::conn::Connection;
 use crate::net::{Net, Peer, Token};
 use marbledeck_dispatcher::{LoadReport, Micros, Outcome, RequestId, WorkerId};
-use marbledeck_membership::{Place, Sign};
+use marbledeck_membership::{Endpoint, HealthEvidence};
 use marbledeck_platform_settings::ReportFields;
 use outcomes::{Answer, End, News};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -139,7 +139,7 @@
     told: HashMap<WorkerId, (Micros, LoadReport)>,
     /// Whether anybody wants to know which workers are there, and what shows it.
     pub wants_signs: bool,
-    pub signs: Vec<(WorkerId, Sign)>,
+    pub signs: Vec<(WorkerId, HealthEvidence)>,
 }
 
 impl Workers {
@@ -160,18 +160,18 @@
 
     /// Asks whether a doubtful worker is there; the answer is a [sign](Workers::signs). One that is spoken to by
     /// submission cannot be asked.
-    pub fn look(&mut self, now: Micros, worker: WorkerId, place: Option<&Place>, net: &mut Net) {
+    pub fn look(&mut self, now: Micros, worker: WorkerId, place: Option<&Endpoint>, net: &mut Net) {
         if self.figures.by_submission.contains(&worker) {
             return;
         }
         let sent = place.is_some_and(|place| {
-            let bytes = outcomes::probe(&place.addr.to_string(), false);
+            let bytes = outcomes::probe(&place.address.to_string(), false);
             let speech = Speech::Http(Answer::new(None, self.figures.reads));
             let link = Link::new(worker, Errand::Look, speech, now);
             self.say(now, place, link, &bytes, net)
         });
         if !sent {
-            self.signs.push((worker, Sign::Death));
+            self.signs.push((worker, HealthEvidence::Unreachable));
         }
     }
 
@@ -182,9 +182,9 @@
         }
         let sign = match (errand, outcome) {
             (Errand::Tail | Errand::Idle, _) | (_, Outcome::NotSent) => return,
-            (_, Outcome::Served | Outcome::Rejected | Outcome::Failed) => Sign::Life,
-            (_, Outcome::ConnectFailed) => Sign::Death,
-            (Errand::Look | Errand::Probe, _) => Sign::Death,
+            (_, Outcome::Served | Outcome::Rejected | Outcome::Failed) => HealthEvidence::Alive,
+            (_, Outcome::ConnectFailed) => HealthEvidence::Unreachable,
+            (Errand::Look | Errand::Probe, _) => HealthEvidence::Unreachable,
             // What broke or was given up may have many reasons.
             _ => return,
         };
@@ -232,7 +232,7 @@
         &mut self,
         now: Micros,
         call: &InvokerCall,
-        aim: Option<(Aim, &Place)>,
+        aim: Option<(Aim, &Endpoint)>,
         net: &mut Net,
         core: &mut Core,
     ) {
@@ -247,7 +247,7 @@
                 )
             } else {
                 let answer = Answer::new(Some(work.txn.clone()), self.figures.reads);
-                let bytes = outcomes::request(work, &place.addr.to_string(), remaining);
+                let bytes = outcomes::request(work, &place.address.to_string(), remaining);
                 (bytes, Speech::Http(answer))
             };
             let mut link = Link::new(call.worker, Errand::Call(id, attempt), speech, now);
@@ -264,7 +264,7 @@
         &mut self,
         now: Micros,
         worker: WorkerId,
-        aim: Option<(Aim, &Place)>,
+        aim: Option<(Aim, &Endpoint)>,
         net: &mut Net,
         core: &mut Core,
     ) {
@@ -272,7 +272,7 @@
             return core.probed(now, worker, Outcome::Served, None);
         }
         let sent = aim.is_some_and(|(aim, place)| {
-            let bytes = outcomes::probe(&place.addr.to_string(), self.figures.reports);
+            let bytes = outcomes::probe(&place.address.to_string(), self.figures.reports);
             let speech = Speech::Http(Answer::new(None, self.figures.reads));
             let mut link = Link::new(worker, Errand::Probe, speech, now);
             link.aim = Some(aim);
@@ -287,7 +287,7 @@
     fn say(
         &mut self,
         now: Micros,
-        place: &Place,
+        place: &Endpoint,
         mut link: Link,
         bytes: &[u8],
         net: &mut Net,
@@ -323,7 +323,7 @@
         &mut self,
         now: Micros,
         worker: WorkerId,
-        place: &Place,
+        place: &Endpoint,
         net: &mut Net,
     ) -> Option<Token> {
         while let Some(token) = self.idle.get_mut(&worker).and_then(Vec::pop) {
@@ -341,7 +341,7 @@
         if self.links.len() >= self.figures.most && !self.make_room(net) {
             return None;
         }
-        let token = net.connect(place.addr, Peer::Worker);
+        let token = net.connect(place.address, Peer::Worker);
         token
             .inspect_err(|e| log::debug!("{}: {e}", place.name))
             .ok()
--- a/crates/node/tests/directory.rs
+++ b/crates/node/tests/directory.rs
@@ -2,7 +2,7 @@
 //! rule's clocks are counted here anew, from the protocol page: no node may hold a drained worker as usable past them.
 
 use marbledeck_dispatcher::Micros;
-use marbledeck_node::directory::{Ask, Clocks, Fault};
+use marbledeck_node::discovery::{Ask, Clocks, Fault};
 use std::collections::VecDeque;
 
 const NODES: usize = 300;
--- a/crates/node/tests/golden/operator_file.rs
+++ b/crates/node/tests/golden/operator_file.rs
@@ -367,11 +367,11 @@
         describe_submission(front, &mut text);
     }
     let guard = &site.guard;
-    let _ = writeln!(text, "membership.keep_s: {} us", guard.keep.0);
-    let _ = writeln!(text, "membership.stale_s: {} us", guard.stale.0);
-    let _ = writeln!(text, "membership.probe_s: {} us", guard.probe.0);
-    let _ = writeln!(text, "membership.fails: {}", guard.fails);
-    let _ = writeln!(text, "membership.budget: {}", guard.budget);
+    let _ = writeln!(text, "membership.keep_s: {} us", guard.retention.0);
+    let _ = writeln!(text, "membership.stale_s: {} us", guard.silence_timeout.0);
+    let _ = writeln!(text, "membership.probe_s: {} us", guard.probe_interval.0);
+    let _ = writeln!(text, "membership.fails: {}", guard.max_failures);
+    let _ = writeln!(text, "membership.budget: {}", guard.probe_budget);
     let _ = writeln!(text, "membership.probes: {}", guard.probes);
     let _ = writeln!(text, "peers.share: {}", site.peers);
     describe_eureka(site, &mut text);
@@ -380,7 +380,7 @@
             .cell
             .map_or("none".to_owned(), |cell| cell.0.to_string());
         let address = worker
-            .addr
+            .address
             .map_or("none".to_owned(), |address| address.to_string());
         let (id, zone, kind) = (&worker.id, &worker.zone, &worker.kind);
         let _ = writeln!(
--- a/crates/node/tests/seats.rs
+++ b/crates/node/tests/seats.rs
@@ -3,7 +3,7 @@
 use marbledeck_dispatcher::{Micros, Outcome, WorkerEntry, WorkerId, WorkerListKind};
 use marbledeck_licensing::{Part, Reading};
 use marbledeck_node::config::SeatsConfig;
-use marbledeck_node::core::seating::Seating;
+use marbledeck_node::core::licensing::Licensing;
 use marbledeck_node::core::{
     Catalogue, Command, Core, InvokerCall, Malformed, Order, Verdict, Work,
 };
@@ -35,21 +35,21 @@
         classes: [("encode".to_owned(), vec!["av1".to_owned()])].into(),
         idle: Micros(60_000_000),
     };
-    let mut seating = Seating::new(config, core.catalogue()).expect("classes that there are");
+    let mut licensing = Licensing::new(config, core.catalogue()).expect("classes that there are");
     let part = |pool: &str, seats| Part {
         pool: pool.into(),
         tenant: String::new(),
         seats,
         recalled: 0,
     };
-    seating.desk.read(&Reading {
+    licensing.desk.read(&Reading {
         free: Vec::new(),
         until: Micros(10_000_000),
         done: 0,
         parts: vec![part("av1", 1), part("aac", 2)],
         pools: vec![("av1".into(), RUN), ("aac".into(), RUN)],
     });
-    core.seating = Some(seating);
+    core.licensing = Some(licensing);
     core
 }
 
