--- a/crates/membership/examples/bad_days.rs
+++ b/crates/membership/examples/bad_days.rs
@@ -1,4 +1,4 @@
-//! What a registry's bad days cost, with the guard and without it, in virtual time: 100 workers, of which ten die at
+//! What a registry's bad days cost, with the policy and without it, in virtual time: 100 workers, of which ten die at
 //! different moments of ten minutes. Prints Markdown; the same figures at every run.
 
 use marbledeck_dispatcher::{Micros, WorkerState};
@@ -29,30 +29,33 @@
 }
 
 fn expires_half(second: u64, worker: usize, dies: Option<u64>) -> Option<bool> {
-    match (120..300).contains(&second) && worker.is_multiple_of(2) {
-        true => Some(false),
-        false => well(second, worker, dies),
+    if (120..300).contains(&second) && worker.is_multiple_of(2) {
+        Some(false)
+    } else {
+        well(second, worker, dies)
     }
 }
 
 fn silent(second: u64, worker: usize, dies: Option<u64>) -> Option<bool> {
-    match (60..500).contains(&second) {
-        true => None,
-        false => well(second, worker, dies),
+    if (60..500).contains(&second) {
+        None
+    } else {
+        well(second, worker, dies)
     }
 }
 
 fn flaps(second: u64, worker: usize, dies: Option<u64>) -> Option<bool> {
-    match (120..360).contains(&second) && (second / POLL).is_multiple_of(2) {
-        true => Some(false),
-        false => well(second, worker, dies),
+    if (120..360).contains(&second) && (second / POLL).is_multiple_of(2) {
+        Some(false)
+    } else {
+        well(second, worker, dies)
     }
 }
 
-fn play(name: &str, day: Day, guard: Option<SelfPreservation>) {
-    let guarded = guard.is_some();
+fn play(name: &str, day: Day, policy: Option<SelfPreservation>) {
+    let protected = policy.is_some();
     let mut members = Membership::new(Vec::new(), Vec::new());
-    let registry = members.add_source("registry", guard);
+    let registry = members.add_source("registry", policy);
     let ids: Vec<String> = (0..WORKERS).map(|n| format!("w{n:02}")).collect();
     let dies: Vec<Option<u64>> = (0..WORKERS)
         .map(|n| (n % 10 == 3).then(|| 30 + (n as u64 * 37) % 500))
@@ -72,24 +75,24 @@
         let list: Option<Vec<bool>> = (0..WORKERS).map(|n| day(second, n, dies[n])).collect();
         if let Some(list) = list.filter(|_| second % POLL == 0) {
             let named = (0..WORKERS).filter(|n| list[*n]);
-            let word = |n: usize| {
+            let report = |n: usize| {
                 SourceReport::new(&ids[n], &format!("127.0.0.1:{}", 8000 + n), Status::Up)
             };
             entries.extend(
                 members
-                    .apply_full_list(now, registry, named.map(word).collect())
+                    .apply_full_list(now, registry, named.map(report).collect())
                     .entries,
             );
         }
         entries.extend(members.wake(now).entries);
         for worker in members.take_due_probes() {
             probes += 1;
-            let sign = if lives(by_worker[&worker]) {
+            let evidence = if lives(by_worker[&worker]) {
                 HealthEvidence::Alive
             } else {
                 HealthEvidence::Unreachable
             };
-            entries.extend(members.record_evidence(now, worker, sign).entries);
+            entries.extend(members.record_evidence(now, worker, evidence).entries);
         }
         for entry in entries {
             let n = by_worker[&entry.worker];
@@ -106,14 +109,14 @@
     let longest = dead_in.iter().max().copied().unwrap_or(0);
     println!(
         "| {name} | {} | {:.1} % | {wrong} | {longest} s | {probes} |",
-        if guarded { "with" } else { "without" },
+        if protected { "with" } else { "without" },
         served as f64 * 100.0 / alive as f64
     );
 }
 
 fn main() {
     println!(
-        "| day | guard | living workers in | wrongly taken out | a dead one in, at most | probes |"
+        "| day | policy | living workers in | wrongly taken out | a dead one in, at most | probes |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     let days: [(&str, Day); 5] = [
@@ -124,8 +127,8 @@
         ("every other list is empty, for 240 s", flaps),
     ];
     for (name, day) in days {
-        for guard in [None, Some(SelfPreservation::default())] {
-            play(name, day, guard);
+        for policy in [None, Some(SelfPreservation::default())] {
+            play(name, day, policy);
         }
     }
 }
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -1,4 +1,4 @@
-//! The precedence and the guard, case by case.
+//! Precedence and self-preservation, case by case.
 
 use marbledeck_dispatcher::{Micros, WorkerEntry, WorkerState};
 use marbledeck_membership::{
@@ -14,8 +14,8 @@
     SourceReport::new(id, &format!("127.0.0.1:{port}"), Status::Up)
 }
 
-fn state(told: &MembershipChange, id: &str) -> Option<WorkerState> {
-    let entry = told
+fn state(change: &MembershipChange, id: &str) -> Option<WorkerState> {
+    let entry = change
         .entries
         .iter()
         .rev()
@@ -23,16 +23,16 @@
     entry.map(|entry| entry.state)
 }
 
-fn guarded() -> (Membership, SourceId) {
+fn with_self_preservation() -> (Membership, SourceId) {
     let mut members = Membership::new(vec!["east".into(), "west".into()], vec!["std".into()]);
     let registry = members.add_source("registry", Some(SelfPreservation::default()));
     (members, registry)
 }
 
-/// A registry that restarts empty and fills in any order takes nobody out, and nothing is told twice.
+/// A registry that restarts empty and fills in any order takes nobody out, and nothing is change twice.
 #[test]
 fn an_empty_list_at_a_restart() {
-    let (mut members, registry) = guarded();
+    let (mut members, registry) = with_self_preservation();
     let all: Vec<SourceReport> = (0..100).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
     assert_eq!(
         members
@@ -46,10 +46,10 @@
         .entries
         .is_empty());
     assert_eq!(members.suspected(), 100);
-    for (n, word) in all.into_iter().rev().enumerate() {
-        let told = members.apply_report(secs(11), registry, word);
+    for (n, report) in all.into_iter().rev().enumerate() {
+        let change = members.apply_report(secs(11), registry, report);
         assert!(
-            told.entries.is_empty() && told.stale_workers.is_empty(),
+            change.entries.is_empty() && change.stale_workers.is_empty(),
             "{n}"
         );
     }
@@ -60,28 +60,30 @@
 /// within it.
 #[test]
 fn a_registry_cut_off() {
-    let (mut members, registry) = guarded();
+    let (mut members, registry) = with_self_preservation();
     let all: Vec<SourceReport> = (0..10).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
     members.apply_full_list(secs(0), registry, all.clone());
     members.apply_full_list(secs(1), registry, all[..5].to_vec());
-    let guard = SelfPreservation::default();
+    let policy = SelfPreservation::default();
     let mut gone = Vec::new();
     for second in 1..400 {
         let now = secs(second);
-        let mut told = members.wake(now);
+        let mut change = members.wake(now);
         // 5 to 7 answer their probes, 8 and 9 are dead.
         for worker in members.take_due_probes() {
             let dead = [worker_id("w8"), worker_id("w9")].contains(&worker);
-            let sign = if dead {
+            let evidence = if dead {
                 HealthEvidence::Unreachable
             } else {
                 HealthEvidence::Alive
             };
-            told.entries
-                .extend(members.record_evidence(now, worker, sign).entries);
+            change
+                .entries
+                .extend(members.record_evidence(now, worker, evidence).entries);
         }
         gone.extend(
-            told.entries
+            change
+                .entries
                 .iter()
                 .map(|entry| (second, entry.worker, entry.state)),
         );
@@ -94,7 +96,7 @@
     for dead in ["w8", "w9"] {
         let at = when(dead).expect("the dead go");
         assert!(
-            at <= 1 + u64::from(guard.max_failures) * 2 + 1,
+            at <= 1 + u64::from(policy.max_failures) * 2 + 1,
             "{dead} at {at}"
         );
     }
@@ -107,15 +109,15 @@
         .all(|(.., state)| *state == WorkerState::Removed));
 }
 
-/// A budget of probes: with more doubtful workers than it allows in a span, all have their turn.
+/// A budget of probes: with more suspected workers than it allows in a span, all have their turn.
 #[test]
 fn a_budget_of_probes() {
     let mut members = Membership::new(Vec::new(), Vec::new());
-    let guard = SelfPreservation {
+    let policy = SelfPreservation {
         probe_budget: 10,
         ..SelfPreservation::default()
     };
-    let registry = members.add_source("registry", Some(guard));
+    let registry = members.add_source("registry", Some(policy));
     members.apply_full_list(
         secs(0),
         registry,
@@ -150,18 +152,18 @@
     );
 }
 
-/// Explicit words are never held back, whatever the guard thinks of the source.
+/// Explicit reports are never held back, whatever the policy thinks of the source.
 #[test]
-fn explicit_words() {
-    let (mut members, registry) = guarded();
+fn explicit_reports_are_applied_at_once() {
+    let (mut members, registry) = with_self_preservation();
     members.apply_full_list(secs(0), registry, vec![up("w1", 8001), up("w2", 8002)]);
     members.apply_full_list(secs(1), registry, Vec::new());
-    let word = SourceReport {
+    let report = SourceReport {
         status: Status::OutOfService,
         ..up("w1", 8001)
     };
     assert_eq!(
-        state(&members.apply_report(secs(1), registry, word), "w1"),
+        state(&members.apply_report(secs(1), registry, report), "w1"),
         Some(WorkerState::Draining)
     );
     assert_eq!(
@@ -175,10 +177,10 @@
     );
 }
 
-/// A silent registry changes nothing; its workers go by their own signs, and come back with its next word.
+/// A silent registry changes nothing; its workers go by their own health evidence, and come back with its next report.
 #[test]
 fn a_silent_registry() {
-    let (mut members, registry) = guarded();
+    let (mut members, registry) = with_self_preservation();
     members.apply_full_list(secs(0), registry, vec![up("w1", 8001), up("w2", 8002)]);
     let mut now = secs(0);
     while now < secs(1000) {
@@ -188,13 +190,13 @@
             .max(now + Micros(1));
         assert!(members.wake(now).entries.is_empty());
         for worker in members.take_due_probes() {
-            let sign = if worker == worker_id("w2") && now > secs(500) {
+            let evidence = if worker == worker_id("w2") && now > secs(500) {
                 HealthEvidence::Unreachable
             } else {
                 HealthEvidence::Alive
             };
-            let told = members.record_evidence(now, worker, sign);
-            assert!(told
+            let change = members.record_evidence(now, worker, evidence);
+            assert!(change
                 .entries
                 .iter()
                 .all(|entry| entry.worker == worker_id("w2") && now > secs(500)));
@@ -204,9 +206,9 @@
         (members.is_known("w1"), members.is_known("w2")),
         (true, false)
     );
-    let told = members.apply_full_list(now, registry, vec![up("w1", 8001), up("w2", 8002)]);
+    let change = members.apply_full_list(now, registry, vec![up("w1", 8001), up("w2", 8002)]);
     assert_eq!(
-        (told.entries.len(), state(&told, "w2")),
+        (change.entries.len(), state(&change, "w2")),
         (1, Some(WorkerState::Ready))
     );
     assert_eq!(members.suspected(), 0);
@@ -224,9 +226,9 @@
         ..up("w1", port)
     };
     members.apply_report(secs(9), first, started(5, 8001));
-    let told = members.apply_report(secs(9), second, started(7, 8002));
-    assert_eq!(told.entries[0].started_at, Some(secs(7)));
-    assert_eq!(told.stale_workers, [worker_id("w1")], "it has moved");
+    let change = members.apply_report(secs(9), second, started(7, 8002));
+    assert_eq!(change.entries[0].started_at, Some(secs(7)));
+    assert_eq!(change.stale_workers, [worker_id("w1")], "it has moved");
     assert_eq!(
         members.endpoint(worker_id("w1")).unwrap().address.port(),
         8002
@@ -274,22 +276,22 @@
     let first = members.add_source("directory", None);
     let second = members.add_source("registry", None);
     members.apply_report(secs(0), second, up("host:8001", 8001));
-    let told = members.apply_report(secs(0), first, up("w1", 8001));
+    let change = members.apply_report(secs(0), first, up("w1", 8001));
     assert_eq!(
-        (state(&told, "w1"), state(&told, "host:8001")),
+        (state(&change, "w1"), state(&change, "host:8001")),
         (Some(WorkerState::Ready), Some(WorkerState::Draining))
     );
-    let told = members.remove_worker(secs(0), first, "w1", true);
+    let change = members.remove_worker(secs(0), first, "w1", true);
     assert_eq!(
-        (state(&told, "w1"), state(&told, "host:8001")),
+        (state(&change, "w1"), state(&change, "host:8001")),
         (Some(WorkerState::Removed), Some(WorkerState::Ready))
     );
 }
 
-/// A word of before is no news; an id twice in a list is told off if either says so.
+/// A report of before is no news; an id twice in a list is out if either says so.
 #[test]
-fn old_words_and_double_ones() {
-    let (mut members, registry) = guarded();
+fn outdated_and_duplicate_reports() {
+    let (mut members, registry) = with_self_preservation();
     let dirty = |dirty, status| SourceReport {
         version: dirty,
         status,
@@ -317,7 +319,7 @@
 /// A list in parts misses nobody before its end, and looks at no more than it is asked to.
 #[test]
 fn a_list_in_parts() {
-    let (mut members, registry) = guarded();
+    let (mut members, registry) = with_self_preservation();
     members.apply_full_list(
         secs(0),
         registry,
@@ -332,8 +334,8 @@
     }
     let (mut after, mut sweeps) = (None, 0);
     loop {
-        let (told, next) = members.sweep_missing(secs(1), registry, after.as_deref(), 64);
-        assert!(told.entries.is_empty());
+        let (change, next) = members.sweep_missing(secs(1), registry, after.as_deref(), 64);
+        assert!(change.entries.is_empty());
         sweeps += 1;
         after = next;
         if after.is_none() {
