--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,39 +1,45 @@
-//! Reads batches of events line by line and answers each with one line of actions.
-#![forbid(unsafe_code)]
+//! The simulator's adapter: reads batches of events line by line and answers each with one line of actions.
 
+mod error;
 mod host;
-mod wire;
+mod instance;
+mod message;
+mod parse;
+mod requests;
 
+use error::AdapterError;
+use host::Host;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("marbledeck-adapter: {what}");
+        Err(error) => {
+            eprintln!("marbledeck-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let (mut host, mut line, mut reply) = (host::Host::default(), String::new(), Vec::new());
+/// Answers every line of the input, until it ends.
+fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut host = Host::default();
+    let mut line = String::new();
+    let mut reply = Vec::new();
     for number in 1u64.. {
         line.clear();
-        match input.read_line(&mut line) {
-            Ok(0) => break,
-            Ok(_) => {}
-            Err(e) => return Err(format!("line {number}: {e}")),
+        let length = input.read_line(&mut line);
+        let length = length.map_err(|source| AdapterError::Input { number, source })?;
+        if length == 0 {
+            break;
         }
         reply.clear();
-        host.answer(line.trim_end(), &mut reply)
-            .map_err(|e| format!("line {number}: {e}"))?;
+        let answered = host.answer(line.trim_end(), &mut reply);
+        answered.map_err(|source| AdapterError::Batch { number, source })?;
         reply.push(b'\n');
-        output
-            .write_all(&reply)
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("standard output: {e}"))?;
+        let written = output.write_all(&reply).and_then(|()| output.flush());
+        written.map_err(AdapterError::Output)?;
     }
     Ok(())
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The host as a process: lines in, lines out.
+//! The adapter as a process: lines in, lines out.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,12 +9,12 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the host starts");
+        .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("piped");
-    // The host may stop reading at a malformed line, so a broken pipe is no failure here.
+    // The adapter may stop reading at a malformed line, so a broken pipe is no failure here.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    child.wait_with_output().expect("the host ends")
+    child.wait_with_output().expect("the adapter ends")
 }
 
 const FACTS: &str = r#"{"balancers":1,"new-key":[1,{"a":2}],"profiles":[{"effect":"safe","promise-us":400000,
@@ -83,9 +83,9 @@
     let order = |n, class| {
         format!(r#"["order","rq_{n}",{class},0,9,5000000,null,1,null,false,false,false]"#)
     };
-    let ended = |n, code, go| {
+    let ended = |n, code, attempt| {
         ["worker-a", "worker-b"]
-            .map(|w| format!(r#"["completed","rq_{n}",{code},false,"{w}",{go},null,10,null]"#))
+            .map(|w| format!(r#"["completed","rq_{n}",{code},false,"{w}",{attempt},null,10,null]"#))
     };
     for (code, expected) in [(251, r#"["lose","rq_1"]"#), (254, r#"["try","rq_1","#)] {
         let first = run(&format!("{}\n{}\n", start(), batch(1000000, &order(1, 1))));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn malformed_lines_end_the_host_with_one_message() {
+fn malformed_lines_end_the_adapter_with_one_message() {
     let cases = [
         ("not json", "expected"),
         (r#"{"wall-us":-4,"schedulers":[]}"#, "invalid value"),
@@ -148,7 +148,7 @@
 
 /// A value that is not known is no reason to stop: such an outcome may have run, such a worker gets nothing.
 #[test]
-fn unknown_values_are_taken_with_care() {
+fn unknown_values_are_handled_conservatively() {
     let list = r#"["topology","delta",2,[["resting",0,1,0,"worker-a",null,0]]],["topology","partial",3,[]]"#;
     let order = r#"["order","rq_1",1,0,9,5000000,null,1,null,false,false,false]"#;
     let end = r#"["completed","rq_1",77,false,"worker-b",0,null,10,null]"#;
