--- a/crates/consensus/src/book.rs
+++ b/crates/consensus/src/book.rs
@@ -397,7 +397,7 @@
             }
         }
         ("sites", _, Some(Body::Site(site))) => match site.catalog.validate() {
-            Err(wrong) => value(&format!("catalog.{}", wrong.key), wrong.what),
+            Err(wrong) => value(&format!("catalog.{}", wrong.key), wrong.problem),
             Ok(()) => Ok(()),
         },
         ("settings" | "workers" | "seats" | "sites", _, Some(_)) => name("it cannot hold this"),
--- a/crates/federation/tests/golden.rs
+++ b/crates/federation/tests/golden.rs
@@ -4,8 +4,8 @@
 //! changes is a change of the protocol.
 
 use marbledeck_federation::{
-    check, Catalog, Errand, Fit, Heard, Known, Malformed, Manifest, Misfit, Step, LONGEST_NAME,
-    MOST_ENTRIES,
+    check, BoundsError, CandidateSite, Catalog, Manifest, MatchResult, Mismatch, Placement,
+    PlacementStep, SiteResponse, MAX_ENTRIES, MAX_NAME_LENGTH,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -189,18 +189,18 @@
 #[test]
 fn reasons_and_their_advice() {
     let reasons = [
-        Misfit::Missing {
-            what: "codecs",
+        Mismatch::Missing {
+            need: "codecs",
             name: "vvc".into(),
         },
-        Misfit::NoKind,
-        Misfit::TooMuch {
-            what: "slots",
+        Mismatch::NoKind,
+        Mismatch::ExceedsLimit {
+            need: "slots",
             wanted: 4.0,
-            most: 1.0,
+            limit: 1.0,
         },
-        Misfit::Region("us-east".into()),
-        Misfit::NoRegion,
+        Mismatch::Region("us-east".into()),
+        Mismatch::NoRegion,
     ];
     let mut text = String::new();
     for reason in reasons {
@@ -211,17 +211,17 @@
 
 #[test]
 fn bounds_are_told_in_these_words() {
-    let many: BTreeSet<String> = (0..=MOST_ENTRIES).map(|n| n.to_string()).collect();
-    let long = names(&["x".repeat(LONGEST_NAME + 1).as_str()]);
-    let mut text = format!("entries at most: {MOST_ENTRIES}\nlongest name: {LONGEST_NAME}\n");
-    let mut tell = |label: &str, outcome: Result<(), Malformed>| {
+    let many: BTreeSet<String> = (0..=MAX_ENTRIES).map(|n| n.to_string()).collect();
+    let long = names(&["x".repeat(MAX_NAME_LENGTH + 1).as_str()]);
+    let mut text = format!("entries at most: {MAX_ENTRIES}\nlongest name: {MAX_NAME_LENGTH}\n");
+    let mut tell = |label: &str, outcome: Result<(), BoundsError>| {
         let word = outcome.map_or_else(|malformed| malformed.to_string(), |()| "valid".to_owned());
         writeln!(text, "{label}: {word}").expect("a string takes it");
     };
     tell("full catalog", full_catalog().validate());
     tell("full manifest", full_manifest().validate());
     tell("default manifest", Manifest::default().validate());
-    let long_class = "x".repeat(LONGEST_NAME + 1);
+    let long_class = "x".repeat(MAX_NAME_LENGTH + 1);
     let manifest = Manifest {
         class: long_class,
         ..full_manifest()
@@ -272,49 +272,52 @@
 /// What is sent to which site, and the text of a refusal, after every kind of answer.
 #[test]
 fn hand_over_of_a_job() {
-    fn word(step: Step) -> String {
+    fn word(step: PlacementStep) -> String {
         match step {
-            Step::Ask { site, version } => format!("ask {site} with catalog version {version}"),
-            Step::Wait => "wait".to_owned(),
-            Step::Refused(why) => format!("refused: {why}"),
+            PlacementStep::Forward {
+                site,
+                catalog_version,
+            } => format!("ask {site} with catalog version {catalog_version}"),
+            PlacementStep::Wait => "wait".to_owned(),
+            PlacementStep::Rejected(why) => format!("refused: {why}"),
         }
     }
-    let known = |name: &str, version: u64, fit: Fit| Known {
+    let known = |name: &str, version: u64, fit: MatchResult| CandidateSite {
         name: name.into(),
-        version,
-        fit,
+        catalog_version: version,
+        result: fit,
     };
     let sites = [
-        known("east", 3, Fit::Fits),
-        known("north", 5, Fit::Fits),
-        known("south", 1, Fit::Misfits(vec![Misfit::NoKind])),
-        known("west", 2, Fit::Fits),
+        known("east", 3, MatchResult::Matches),
+        known("north", 5, MatchResult::Matches),
+        known("south", 1, MatchResult::Mismatches(vec![Mismatch::NoKind])),
+        known("west", 2, MatchResult::Matches),
     ];
     let mut text = String::new();
-    let mut errand = Errand::default();
+    let mut errand = Placement::default();
     let answers = [
-        ("lost", Heard::Lost),
-        ("later", Heard::Later),
-        ("outdated 9", Heard::Outdated(9)),
-        ("denied", Heard::Denied("no room".into())),
-        ("none", Heard::Lost),
-        ("denied", Heard::Denied("closed".into())),
+        ("lost", SiteResponse::NoAnswer),
+        ("later", SiteResponse::RetryLater),
+        ("outdated 9", SiteResponse::Outdated(9)),
+        ("denied", SiteResponse::Rejected("no room".into())),
+        ("none", SiteResponse::NoAnswer),
+        ("denied", SiteResponse::Rejected("closed".into())),
     ];
     for (label, answer) in answers {
-        let step = word(errand.next(&sites));
+        let step = word(errand.next_step(&sites));
         writeln!(text, "{step}\n  answer: {label}").expect("a string takes it");
-        errand.heard(answer);
+        errand.handle_response(answer);
     }
-    writeln!(text, "{}", word(errand.next(&sites))).expect("a string takes it");
-    let mut accepted = Errand::default();
-    writeln!(text, "another job: {}", word(accepted.next(&sites))).expect("a string takes it");
-    accepted.heard(Heard::Accepted);
-    let taken_by = accepted.taken_by().unwrap_or("nobody").to_owned();
-    let step = word(accepted.next(&sites));
+    writeln!(text, "{}", word(errand.next_step(&sites))).expect("a string takes it");
+    let mut accepted = Placement::default();
+    writeln!(text, "another job: {}", word(accepted.next_step(&sites))).expect("a string takes it");
+    accepted.handle_response(SiteResponse::Accepted);
+    let taken_by = accepted.accepted_by().unwrap_or("nobody").to_owned();
+    let step = word(accepted.next_step(&sites));
     writeln!(text, "  answer: accepted by {taken_by}\n{step}").expect("a string takes it");
-    let mut alone = Errand::default();
-    writeln!(text, "no sites: {}", word(alone.next(&[]))).expect("a string takes it");
-    let unknown = [known("east", u64::MAX, Fit::Unknown)];
-    writeln!(text, "unknown site: {}", word(alone.next(&unknown))).expect("a string takes it");
+    let mut alone = Placement::default();
+    writeln!(text, "no sites: {}", word(alone.next_step(&[]))).expect("a string takes it");
+    let unknown = [known("east", u64::MAX, MatchResult::Unknown)];
+    writeln!(text, "unknown site: {}", word(alone.next_step(&unknown))).expect("a string takes it");
     assert_golden("hand_over", &text);
 }
--- a/crates/federation/tests/check.rs
+++ b/crates/federation/tests/matching.rs
@@ -1,6 +1,6 @@
 //! The check of a manifest against a catalog.
 
-use marbledeck_federation::{check, Catalog, Fit, Manifest, Misfit, MOST_ENTRIES};
+use marbledeck_federation::{check, Catalog, Manifest, MatchResult, Mismatch, MAX_ENTRIES};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_need_that_is_not_known_refuses() {
+fn a_manifest_with_an_unknown_key_is_rejected() {
     let read = serde_json::from_str::<Manifest>(r#"{"class":"preview","gpu":true}"#);
     let why = read.expect_err("no such need").to_string();
     assert!(why.contains("gpu"), "{why}");
@@ -46,7 +46,7 @@
         key_window_ms: Some(5001),
         run_ms: Some(60_001),
     };
-    let Fit::Misfits(why) = check(&manifest, Some(&site())) else {
+    let MatchResult::Mismatches(why) = check(&manifest, Some(&site())) else {
         panic!("it fits nowhere");
     };
     assert_eq!(why.len(), 10, "{why:?}");
@@ -54,19 +54,19 @@
         regions: BTreeSet::new(),
         ..site()
     };
-    let Fit::Misfits(more) = check(&manifest, Some(&none)) else {
+    let MatchResult::Mismatches(more) = check(&manifest, Some(&none)) else {
         panic!("it fits nowhere");
     };
-    assert!(more.contains(&Misfit::NoRegion));
+    assert!(more.contains(&Mismatch::NoRegion));
     for reason in why.iter().chain(&more) {
         assert!(reason.advice().contains(' ') && !reason.to_string().is_empty());
     }
-    assert_eq!(check(&manifest, None), Fit::Unknown);
+    assert_eq!(check(&manifest, None), MatchResult::Unknown);
 }
 
 #[test]
-fn what_is_too_large_is_named() {
-    let many = (0..=MOST_ENTRIES).map(|n| n.to_string()).collect();
+fn values_over_the_bounds_are_named() {
+    let many = (0..=MAX_ENTRIES).map(|n| n.to_string()).collect();
     let wrong = Catalog {
         codecs: many,
         ..site()
@@ -105,13 +105,13 @@
         let missing: usize = wanted.iter().map(|set| set.difference(&there).count()).sum();
         let reasons = missing + usize::from(slots > 2.0);
         match check(&manifest, Some(&catalog)) {
-            Fit::Fits => prop_assert_eq!(reasons, 0),
-            Fit::Misfits(why) => prop_assert_eq!(why.len(), reasons),
-            Fit::Unknown => prop_assert!(false, "the catalog is there"),
+            MatchResult::Matches => prop_assert_eq!(reasons, 0),
+            MatchResult::Mismatches(why) => prop_assert_eq!(why.len(), reasons),
+            MatchResult::Unknown => prop_assert!(false, "the catalog is there"),
         }
         let less = Manifest { licences: BTreeSet::new(), ..manifest.clone() };
-        if check(&manifest, Some(&catalog)) == Fit::Fits {
-            prop_assert_eq!(check(&less, Some(&catalog)), Fit::Fits);
+        if check(&manifest, Some(&catalog)) == MatchResult::Matches {
+            prop_assert_eq!(check(&less, Some(&catalog)), MatchResult::Matches);
         }
     }
 }
--- a/crates/node/src/federation.rs
+++ b/crates/node/src/federation.rs
@@ -7,7 +7,9 @@
 use crate::service::{Agreed, Context, Service};
 use marbledeck_consensus::{Acting, Body, Record};
 use marbledeck_dispatcher::{Micros, RequestId};
-use marbledeck_federation::{check, Catalog, Errand, Fit, Heard, Known, Manifest, Step};
+use marbledeck_federation::{
+    check, CandidateSite, Catalog, Manifest, MatchResult, Placement, PlacementStep, SiteResponse,
+};
 use marbledeck_submission::frame;
 use marbledeck_submission::message::{ErrorId, JobInfo, Op, Problem, Request, Submitted};
 use marbledeck_submission::template::Forwarded;
@@ -71,7 +73,7 @@
 
 /// A job for another site.
 struct Job {
-    errand: Errand,
+    errand: Placement,
     template: Template,
     until: Micros,
     /// Its id at the site that has it.
@@ -137,23 +139,23 @@
                         format!("the catalog has version {version}"),
                     )
                 }),
-                (_, Fit::Fits) => Ok(Where::Here),
-                (_, Fit::Unknown) => Err(Problem::later(
+                (_, MatchResult::Matches) => Ok(Where::Here),
+                (_, MatchResult::Unknown) => Err(Problem::later(
                     "this site's catalog cannot be known now",
                     1000,
                 )),
                 (_, misfits) => Err(Problem::new(ErrorId::DeniedByDrms, misfits.to_string())),
             };
         }
-        if here == Fit::Fits {
+        if here == MatchResult::Matches {
             return Ok(Where::Here);
         }
-        let others: Vec<(&str, Fit)> = known
+        let others: Vec<(&str, MatchResult)> = known
             .iter()
             .filter(|site| site.name != self.own)
             .map(|site| (site.name, check(manifest, Some(site.catalog))))
             .collect();
-        if others.iter().any(|(_, fit)| *fit == Fit::Fits) {
+        if others.iter().any(|(_, fit)| *fit == MatchResult::Matches) {
             let room = self.jobs.len() < MOST && self.bytes + template.size() <= MOST_BYTES;
             return match room {
                 true => Ok(Where::Elsewhere),
@@ -205,7 +207,7 @@
         template.set_input(order.body.clone());
         self.bytes += template.size();
         let job = Job {
-            errand: Errand::default(),
+            errand: Placement::default(),
             template,
             until: now + order.time_left,
             there: None,
@@ -249,7 +251,7 @@
         let free = self
             .jobs
             .get(&id)
-            .is_some_and(|job| !job.errand.may_be_taken());
+            .is_some_and(|job| !job.errand.may_be_placed());
         if free {
             self.remove(id);
         }
@@ -353,7 +355,7 @@
         job.asked = None;
         let Some(line) = line else {
             if question == Question::Run {
-                job.errand.heard(Heard::Lost);
+                job.errand.handle_response(SiteResponse::NoAnswer);
             }
             return;
         };
@@ -362,19 +364,19 @@
                 let said = match serde_json::from_value::<Submitted>(line) {
                     Ok(Submitted::Accepted(accepted)) => {
                         job.there = Some(accepted.job_id);
-                        Heard::Accepted
+                        SiteResponse::Accepted
                     }
                     Ok(Submitted::Not(problem)) => match (problem.error, problem.catalog_version) {
-                        (ErrorId::TryLater, _) => Heard::Later,
-                        (_, Some(version)) => Heard::Outdated(version),
-                        _ => Heard::Denied(problem.message),
+                        (ErrorId::TryLater, _) => SiteResponse::RetryLater,
+                        (_, Some(version)) => SiteResponse::Outdated(version),
+                        _ => SiteResponse::Rejected(problem.message),
                     },
                     // What makes no sense may be the answer of one that has the job.
-                    Err(_) => Heard::Lost,
+                    Err(_) => SiteResponse::NoAnswer,
                 };
                 // After one that put it off, all have been asked before there is a pause.
-                let lost = said == Heard::Lost;
-                job.errand.heard(said);
+                let lost = said == SiteResponse::NoAnswer;
+                job.errand.handle_response(said);
                 if !lost {
                     outbox.schedule(id, now);
                 }
@@ -423,9 +425,9 @@
         let Some(job) = outbox.jobs.get_mut(&id) else {
             return;
         };
-        if now >= job.until || job.unwanted && !job.errand.may_be_taken() {
+        if now >= job.until || job.unwanted && !job.errand.may_be_placed() {
             // What a site may have may have run.
-            let verdict = match job.errand.may_be_taken() {
+            let verdict = match job.errand.may_be_placed() {
                 true => Verdict::Failed,
                 false => Verdict::Rejected(Some(AGAIN)),
             };
@@ -435,35 +437,40 @@
             return;
         }
         let manifest = job.template.manifest.clone().unwrap_or_default();
-        let mut others: Vec<Known> = known
+        let mut others: Vec<CandidateSite> = known
             .iter()
             .filter(|site| site.name != own)
-            .map(|site| Known {
+            .map(|site| CandidateSite {
                 name: site.name.to_owned(),
-                version: site.catalog.version,
-                fit: fit(&manifest, site),
+                catalog_version: site.catalog.version,
+                result: fit(&manifest, site),
             })
             .collect();
-        let cut_off = |name: &&str| Known {
+        let cut_off = |name: &&str| CandidateSite {
             name: (*name).to_owned(),
-            version: u64::MAX,
-            fit: Fit::Unknown,
+            catalog_version: u64::MAX,
+            result: MatchResult::Unknown,
         };
         others.extend(unknown.iter().filter(|name| **name != own).map(cut_off));
-        let step = job.errand.next(&others);
+        let step = job.errand.next_step(&others);
         let at = match &step {
-            Step::Ask { site, .. } => Some(site.as_str()),
-            _ => job.errand.taken_by(),
+            PlacementStep::Forward { site, .. } => Some(site.as_str()),
+            _ => job.errand.accepted_by(),
         };
         // Where the site was when it was asked first may be known no more; then it is asked again once it is.
         let address = at
             .and_then(|at| known.iter().find(|site| site.name == at))
             .map(|site| site.address);
         let (op, question) = match (step, &job.there) {
-            (Step::Ask { version, .. }, _) => {
+            (
+                PlacementStep::Forward {
+                    catalog_version, ..
+                },
+                _,
+            ) => {
                 let forwarded = Some(Forwarded {
                     from: own,
-                    catalog: version,
+                    catalog: catalog_version,
                 });
                 let template = Template {
                     forwarded,
@@ -478,7 +485,7 @@
                     Question::Run,
                 )
             }
-            (Step::Wait, Some(there)) => {
+            (PlacementStep::Wait, Some(there)) => {
                 let job_id = there.clone();
                 (
                     Op::WaitTerminated {
@@ -488,8 +495,8 @@
                     Question::Wait,
                 )
             }
-            (Step::Wait, None) => return,
-            (Step::Refused(why), _) => {
+            (PlacementStep::Wait, None) => return,
+            (PlacementStep::Rejected(why), _) => {
                 log::info!("sites: no site takes a job: {why}");
                 return self.end(id, Verdict::Rejected(Some(AGAIN)), context);
             }
@@ -528,7 +535,7 @@
     }
 }
 
-fn fit(manifest: &Manifest, site: &Site) -> Fit {
+fn fit(manifest: &Manifest, site: &Site) -> MatchResult {
     check(manifest, Some(site.catalog))
 }
 
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -5,7 +5,7 @@
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
 use marbledeck_dispatcher::{Micros, WorkerId};
-use marbledeck_gossip::{message, QueryOutcome, InFlightGossip, PendingQueries};
+use marbledeck_gossip::{message, InFlightGossip, PendingQueries, QueryOutcome};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -158,7 +158,9 @@
     while seen.last() != Some(&0) {
         let (len, node) = peer.recv_from(&mut bytes).expect("told");
         match Message::decode(&bytes[..len]) {
-            Some(Message::Count { worker, in_flight, .. }) if worker == word => seen.push(in_flight),
+            Some(Message::Count {
+                worker, in_flight, ..
+            }) if worker == word => seen.push(in_flight),
             other => panic!("{other:?}"),
         }
         let stranger = UdpSocket::bind("127.0.0.1:0").expect("a free port");
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -88,12 +88,16 @@
             .map(|w| format!(r#"["completed","rq_{n}",{code},false,"{w}",{attempt},null,10,null]"#))
     };
     for (code, expected) in [(251, r#"["lose","rq_1"]"#), (254, r#"["try","rq_1","#)] {
-        let first = run(&format!("{}\n{}\n", start(), batch(1000000, &order(1, 1))));
+        let first = run(&format!(
+            "{}\n{}\n",
+            start(),
+            batch(1_000_000, &order(1, 1))
+        ));
         let to = usize::from(lines(&first)[1].contains("worker-b"));
         let input = [
             start(),
-            batch(1000000, &order(1, 1)),
-            batch(1100000, &ended(1, code, 0)[to]),
+            batch(1_000_000, &order(1, 1)),
+            batch(1_100_000, &ended(1, code, 0)[to]),
         ];
         let output = run(&(input.join("\n") + "\n"));
         assert!(lines(&output)[2].contains(expected), "{output:?}");
@@ -155,8 +159,8 @@
     let input = [
         start(),
         batch(2000, list),
-        batch(1000000, order),
-        batch(1100000, end),
+        batch(1_000_000, order),
+        batch(1_100_000, end),
     ];
     let output = run(&(input.join("\n") + "\n"));
     assert!(output.status.success(), "{output:?}");
