--- a/Makefile
+++ b/Makefile
@@ -25,7 +25,8 @@
 
 lint:
 	cargo fmt --all --check
-	cargo clippy --locked --all-targets -- -D warnings
+	cargo clippy --locked --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps
 
 # The files that hold the decisions, as the deploy file names them: 650 lines that are not blank at most, of 110
 # characters at most.
