--- a/crates/eureka/src/read.rs
+++ b/crates/eureka/src/answer.rs
@@ -1,10 +1,9 @@
 //! Reads a registry's answer as it comes: JSON or XML, plain or gzip.
 
-use crate::instance::{from_json, from_xml};
-use crate::json::Found;
-use crate::{json, xml, Instance};
+use crate::error::{AnswerError, MalformedAnswer};
+use crate::json_splitter::{self, Found};
+use crate::{instance_json, instance_xml, xml_splitter, Instance};
 use flate2::write::GzDecoder;
-use std::fmt;
 use std::io::Write;
 
 /// The most bytes of an answer, unpacked: four times what 10,000 instances take.
@@ -14,72 +13,53 @@
 /// The most instances of an answer.
 const MAX_INSTANCES: usize = 65_536;
 
-/// What is wrong with an answer.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
-    TooDeep,
-    TooLong,
-    TooMany,
-    /// It ended before it was whole.
-    Cut,
-    Malformed(String),
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Fault::TooDeep => f.write_str("nested too deep"),
-            Fault::TooLong => f.write_str("too long"),
-            Fault::TooMany => f.write_str("too many instances"),
-            Fault::Cut => f.write_str("cut short"),
-            Fault::Malformed(what) => f.write_str(what),
-        }
-    }
-}
-
-impl std::error::Error for Fault {}
-
-/// How an answer is written.
+/// The format of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum AnswerFormat {
+    /// JSON.
     Json,
+    /// XML.
     Xml,
 }
 
-/// How it is packed.
+/// How an answer is packed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Encoding {
+    /// Not at all.
     Plain,
+    /// By gzip.
     Gzip,
 }
 
 /// A part of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
+pub enum AnswerItem {
+    /// An instance.
     Instance(Box<Instance>),
-    /// The code of all that the registry holds.
+    /// The hash code of all that the registry holds.
     Hash(String),
 }
 
 enum Splitter {
-    Json(json::Splitter),
-    Xml(xml::Splitter),
+    Json(json_splitter::Splitter),
+    Xml(xml_splitter::Splitter),
 }
 
 /// Reads one answer.
-pub struct Reader {
+pub struct AnswerReader {
     splitter: Splitter,
     gzip: Option<GzDecoder<Vec<u8>>>,
     bytes: usize,
     instances: usize,
 }
 
-impl Reader {
-    pub fn new(form: Form, encoding: Encoding) -> Self {
-        Reader {
-            splitter: match form {
-                Form::Json => Splitter::Json(json::Splitter::default()),
-                Form::Xml => Splitter::Xml(xml::Splitter::default()),
+impl AnswerReader {
+    /// A reader of an answer in this format.
+    pub fn new(format: AnswerFormat, encoding: Encoding) -> Self {
+        AnswerReader {
+            splitter: match format {
+                AnswerFormat::Json => Splitter::Json(json_splitter::Splitter::default()),
+                AnswerFormat::Xml => Splitter::Xml(xml_splitter::Splitter::default()),
             },
             gzip: (encoding == Encoding::Gzip).then(|| GzDecoder::new(Vec::new())),
             bytes: 0,
@@ -87,36 +67,38 @@
         }
     }
 
-    /// Takes the bytes that have come; tells the parts that end in them.
+    /// Takes the bytes that have come, and gives the parts that end in them.
     ///
     /// # Errors
     /// What is wrong with the answer: nothing more is to be pushed.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Item>, Fault> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<AnswerItem>, AnswerError> {
         let Some(gzip) = &mut self.gzip else {
-            return self.plain(bytes);
+            return self.push_plain(bytes);
         };
         let mut items = Vec::new();
         // A little at a time: a few bytes may stand for a thousand times as many.
         let mut pieces = Vec::new();
         for piece in bytes.chunks(512) {
             let wrote = gzip.write_all(piece);
-            wrote.map_err(|e| Fault::Malformed(format!("gzip: {e}")))?;
+            wrote.map_err(|error| MalformedAnswer::Gzip {
+                detail: error.to_string(),
+            })?;
             pieces.push(std::mem::take(gzip.get_mut()));
             let unpacked: usize = pieces.iter().map(Vec::len).sum();
             if self.bytes + unpacked > MAX_ANSWER {
-                return Err(Fault::TooLong);
+                return Err(AnswerError::TooLong);
             }
         }
         for piece in pieces {
-            items.extend(self.plain(&piece)?);
+            items.extend(self.push_plain(&piece)?);
         }
         Ok(items)
     }
 
-    fn plain(&mut self, bytes: &[u8]) -> Result<Vec<Item>, Fault> {
+    fn push_plain(&mut self, bytes: &[u8]) -> Result<Vec<AnswerItem>, AnswerError> {
         self.bytes += bytes.len();
         if self.bytes > MAX_ANSWER {
-            return Err(Fault::TooLong);
+            return Err(AnswerError::TooLong);
         }
         let mut parts = Vec::new();
         let found = |part: Found| parts.push(part);
@@ -127,47 +109,45 @@
         let mut items = Vec::with_capacity(parts.len());
         for part in parts {
             items.push(match part {
-                Found::Hash(hash) => Item::Hash(hash),
+                Found::Hash(hash) => AnswerItem::Hash(hash),
                 Found::Instance(bytes) => {
                     self.instances += 1;
                     if self.instances > MAX_INSTANCES {
-                        return Err(Fault::TooMany);
+                        return Err(AnswerError::TooMany);
                     }
-                    Item::Instance(Box::new(self.instance(&bytes).map_err(Fault::Malformed)?))
+                    AnswerItem::Instance(Box::new(self.instance(&bytes)?))
                 }
             });
         }
         Ok(items)
     }
 
-    fn instance(&self, bytes: &[u8]) -> Result<Instance, String> {
+    fn instance(&self, bytes: &[u8]) -> Result<Instance, MalformedAnswer> {
         match self.splitter {
-            Splitter::Json(_) => from_json(bytes),
-            Splitter::Xml(_) => {
-                let text = std::str::from_utf8(bytes).map_err(|e| e.to_string())?;
-                from_xml(text)
-            }
+            Splitter::Json(_) => instance_json::parse(bytes),
+            Splitter::Xml(_) => instance_xml::parse(bytes),
         }
     }
 
     /// The answer has ended.
     ///
     /// # Errors
-    /// It is not whole.
-    pub fn finish(&mut self) -> Result<Vec<Item>, Fault> {
+    /// It is not complete.
+    pub fn finish(&mut self) -> Result<Vec<AnswerItem>, AnswerError> {
         let mut items = Vec::new();
         if let Some(mut gzip) = self.gzip.take() {
-            gzip.try_finish().map_err(|_| Fault::Cut)?;
+            gzip.try_finish().map_err(|_| AnswerError::Truncated)?;
             let rest = std::mem::take(gzip.get_mut());
-            items = self.plain(&rest)?;
+            items = self.push_plain(&rest)?;
         }
-        let whole = match &self.splitter {
-            Splitter::Json(splitter) => splitter.is_whole(),
-            Splitter::Xml(splitter) => splitter.is_whole(),
+        let is_complete = match &self.splitter {
+            Splitter::Json(splitter) => splitter.is_complete(),
+            Splitter::Xml(splitter) => splitter.is_complete(),
         };
-        match whole {
-            true => Ok(items),
-            false => Err(Fault::Cut),
+        if is_complete {
+            Ok(items)
+        } else {
+            Err(AnswerError::Truncated)
         }
     }
 }
--- a/crates/eureka/src/json.rs
+++ b/crates/eureka/src/json_splitter.rs
@@ -1,11 +1,11 @@
 //! Finds the instances in a registry's JSON as its bytes come, without holding more than one of them.
 
-use crate::read::Fault;
+use crate::error::{AnswerError, MalformedAnswer};
 
 /// How deep an answer may be nested; the registry's own are not half as deep.
 const MAX_DEPTH: usize = 64;
 /// The longest key or code that is of interest.
-const MAX_WORD: usize = 4096;
+const MAX_TEXT: usize = 4096;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Kind {
@@ -16,12 +16,12 @@
 struct Level {
     kind: Kind,
     /// The key whose value this is, or that the array has in which it is.
-    named: Named,
+    key_name: KeyName,
 }
 
 /// The keys that matter.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-enum Named {
+enum KeyName {
     Instance,
     Hash,
     #[default]
@@ -41,47 +41,50 @@
     in_string: bool,
     escaped: bool,
     /// The text of the string that is being read, where it may matter.
-    word: Vec<u8>,
+    text: Vec<u8>,
     /// The string that is being read is a key.
     is_key: bool,
     /// A key is expected next.
     wants_key: bool,
     /// The last key of the innermost object.
-    key: Named,
+    key: KeyName,
     /// The bytes of the instance that is being read, and the depth at which it began.
     capture: Option<(usize, Vec<u8>)>,
-    begun: bool,
+    has_begun: bool,
 }
 
 impl Splitter {
-    /// Whether a whole value has been read.
-    pub fn is_whole(&self) -> bool {
-        self.begun && self.levels.is_empty() && !self.in_string
+    /// Whether a complete value has been read.
+    pub fn is_complete(&self) -> bool {
+        self.has_begun && self.levels.is_empty() && !self.in_string
     }
 
-    /// Takes bytes; tells what ends in them.
+    /// Takes bytes, and hands out what ends in them.
+    ///
+    /// # Errors
+    /// Input that is not well-formed, nested too deep, or an instance over `max_instance` bytes.
     pub fn push(
         &mut self,
         bytes: &[u8],
-        longest: usize,
+        max_instance: usize,
         mut found: impl FnMut(Found),
-    ) -> Result<(), Fault> {
+    ) -> Result<(), AnswerError> {
         for byte in bytes {
-            if let Some((_, held)) = &mut self.capture {
-                if held.len() >= longest {
-                    return Err(Fault::TooLong);
+            if let Some((_, captured)) = &mut self.capture {
+                if captured.len() >= max_instance {
+                    return Err(AnswerError::TooLong);
                 }
-                held.push(*byte);
+                captured.push(*byte);
             }
             if self.in_string {
-                self.in_a_string(*byte, &mut found);
+                self.push_in_string(*byte, &mut found);
                 continue;
             }
             match byte {
                 b'"' => {
                     self.in_string = true;
                     self.is_key = self.wants_key && self.is_in(Kind::Object);
-                    self.word.clear();
+                    self.text.clear();
                 }
                 b'{' => self.open(Kind::Object)?,
                 b'[' => self.open(Kind::Array)?,
@@ -93,7 +96,7 @@
                 // Numbers and words: whoever reads an instance checks them.
                 b'0'..=b'9' | b'a'..=b'z' | b'A'..=b'Z' | b'+' | b'-' | b'.'
                     if !self.levels.is_empty() => {}
-                _ => return Err(Fault::Malformed("no JSON".to_owned())),
+                _ => return Err(MalformedAnswer::NotJson.into()),
             }
         }
         Ok(())
@@ -103,7 +106,7 @@
         self.levels.last().is_some_and(|level| level.kind == kind)
     }
 
-    fn in_a_string(&mut self, byte: u8, found: &mut impl FnMut(Found)) {
+    fn push_in_string(&mut self, byte: u8, found: &mut impl FnMut(Found)) {
         if self.escaped {
             self.escaped = false;
         } else if byte == b'\\' {
@@ -111,59 +114,62 @@
         } else if byte == b'"' {
             self.in_string = false;
             if self.is_key {
-                self.key = match self.word.as_slice() {
-                    b"instance" => Named::Instance,
-                    b"apps__hashcode" => Named::Hash,
-                    _ => Named::Other,
+                self.key = match self.text.as_slice() {
+                    b"instance" => KeyName::Instance,
+                    b"apps__hashcode" => KeyName::Hash,
+                    _ => KeyName::Other,
                 };
-            } else if self.key == Named::Hash && self.capture.is_none() && self.is_in(Kind::Object)
+            } else if self.key == KeyName::Hash
+                && self.capture.is_none()
+                && self.is_in(Kind::Object)
             {
                 found(Found::Hash(
-                    String::from_utf8_lossy(&self.word).into_owned(),
+                    String::from_utf8_lossy(&self.text).into_owned(),
                 ));
             }
             return;
         }
-        if self.capture.is_none() && self.word.len() < MAX_WORD {
-            self.word.push(byte);
+        if self.capture.is_none() && self.text.len() < MAX_TEXT {
+            self.text.push(byte);
         }
     }
 
-    fn open(&mut self, kind: Kind) -> Result<(), Fault> {
+    fn open(&mut self, kind: Kind) -> Result<(), AnswerError> {
         if self.levels.len() >= MAX_DEPTH {
-            return Err(Fault::TooDeep);
+            return Err(AnswerError::TooDeep);
         }
-        if self.levels.is_empty() && self.begun {
-            return Err(Fault::Malformed("more than one value".to_owned()));
+        if self.levels.is_empty() && self.has_begun {
+            return Err(MalformedAnswer::SeveralValues.into());
         }
-        let named = match self.levels.last() {
-            Some(level) if level.kind == Kind::Array => level.named,
+        let key_name = match self.levels.last() {
+            Some(level) if level.kind == Kind::Array => level.key_name,
             Some(_) => self.key,
-            None => Named::Other,
+            None => KeyName::Other,
         };
-        self.begun = true;
-        self.levels.push(Level { kind, named });
-        if kind == Kind::Object && named == Named::Instance && self.capture.is_none() {
+        self.has_begun = true;
+        self.levels.push(Level { kind, key_name });
+        if kind == Kind::Object && key_name == KeyName::Instance && self.capture.is_none() {
             self.capture = Some((self.levels.len(), vec![b'{']));
         }
         self.wants_key = kind == Kind::Object;
-        self.key = Named::Other;
+        self.key = KeyName::Other;
         Ok(())
     }
 
-    fn close(&mut self, kind: Kind, found: &mut impl FnMut(Found)) -> Result<(), Fault> {
+    fn close(&mut self, kind: Kind, found: &mut impl FnMut(Found)) -> Result<(), AnswerError> {
         if !self.is_in(kind) {
-            return Err(Fault::Malformed("brackets do not match".to_owned()));
+            return Err(MalformedAnswer::UnmatchedBrackets.into());
         }
-        if let Some((depth, held)) = self.capture.take() {
-            match depth == self.levels.len() {
-                true => found(Found::Instance(held)),
-                false => self.capture = Some((depth, held)),
+        if let Some((depth, captured)) = self.capture.take() {
+            if depth == self.levels.len() {
+                found(Found::Instance(captured));
+            } else {
+                self.capture = Some((depth, captured));
             }
         }
         self.levels.pop();
         self.wants_key = false;
-        self.key = Named::Other;
+        self.key = KeyName::Other;
         Ok(())
     }
 }
--- a/crates/eureka/src/lease.rs
+++ b/crates/eureka/src/lease.rs
@@ -5,115 +5,127 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// What is registered.
+/// What is registered, and where.
 #[derive(Clone, Debug)]
 pub struct LeaseSettings {
+    /// How many registries there are; the first is called first.
     pub registries: usize,
     /// The service path under which a registry answers, as `/eureka`.
     pub path: String,
+    /// The application that the node is an instance of.
     pub app: String,
+    /// The instance's id.
     pub id: String,
     /// Where the node serves.
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
     /// How often it is renewed; the registry may drop it after three times as long.
-    pub renew: Micros,
+    pub renewal_interval: Micros,
     /// How long an answer may take.
     pub timeout: Micros,
 }
 
-/// A question, to be answered by [`Lease::answered`] or [`Lease::failed`].
+/// A request, to be answered by [`Lease::handle_answer`] or [`Lease::handle_failure`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LeaseAsk {
+pub struct LeaseRequest {
+    /// Answers to an earlier request are dropped by this.
     pub number: u64,
+    /// Which registry.
     pub registry: usize,
+    /// The HTTP method.
     pub method: &'static str,
+    /// The path, from the root.
     pub path: String,
+    /// The body, as JSON; empty where there is none.
     pub body: String,
-    pub until: Micros,
+    /// When it is to be given up.
+    pub deadline: Micros,
 }
 
+/// Where the entry stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// To be registered.
-    New,
-    Held,
-    /// The node ends: to be told `DOWN`, then cancelled.
+    Unregistered,
+    /// It is there, and renewed.
+    Registered,
+    /// The node ends: to be set to `DOWN`, then cancelled.
     Leaving,
+    /// To be cancelled.
     Cancelling,
-    /// Nothing more is said: cancelled, or another process renews it.
-    Over,
+    /// Nothing more is sent: cancelled, or another process renews it.
+    Ended,
 }
 
-/// The lease.
+/// The node's lease on its entry.
 pub struct Lease {
     settings: LeaseSettings,
     state: State,
-    open: Option<LeaseAsk>,
-    next: Micros,
+    open: Option<LeaseRequest>,
+    next_at: Micros,
     number: u64,
     registry: usize,
 }
 
 /// The pause after a failure.
-const PAUSE: Micros = Micros(1_000_000);
+const RETRY_PAUSE: Micros = Micros(1_000_000);
 
 impl Lease {
-    /// Registers as soon as it is asked.
+    /// A lease that registers at its first request.
     pub fn new(settings: LeaseSettings, now: Micros) -> Self {
         Lease {
             settings,
-            state: State::New,
+            state: State::Unregistered,
             open: None,
-            next: now,
+            next_at: now,
             number: 0,
             registry: 0,
         }
     }
 
-    /// When [`Lease::ask`] is next wanted; none where nothing more is said.
+    /// When [`Lease::next_request`] is next wanted; none where nothing more is sent.
     pub fn next_wake(&self) -> Option<Micros> {
-        let open = self.open.as_ref().map(|open| open.until);
-        open.or((self.state != State::Over).then_some(self.next))
+        let open = self.open.as_ref().map(|open| open.deadline);
+        open.or((self.state != State::Ended).then_some(self.next_at))
     }
 
-    /// The question to ask now, if there is one. One that took too long is given up.
-    pub fn ask(&mut self, now: Micros) -> Option<LeaseAsk> {
+    /// The request to send now, if there is one. One that took too long is given up.
+    pub fn next_request(&mut self, now: Micros) -> Option<LeaseRequest> {
         if let Some(open) = &self.open {
-            if now < open.until {
+            if now < open.deadline {
                 return None;
             }
             let number = open.number;
-            self.failed(now, number);
+            self.handle_failure(now, number);
         }
-        if self.state == State::Over || now < self.next {
+        if self.state == State::Ended || now < self.next_at {
             return None;
         }
         let settings = &self.settings;
         let app = format!("{}/apps/{}", settings.path, settings.app);
         let own = format!("{app}/{}", settings.id);
         let (method, path, body) = match self.state {
-            State::New => ("POST", app, self.instance()),
-            State::Held => ("PUT", own, String::new()),
+            State::Unregistered => ("POST", app, self.registration()),
+            State::Registered => ("PUT", own, String::new()),
             State::Leaving => ("PUT", format!("{own}/status?value=DOWN"), String::new()),
-            State::Cancelling | State::Over => ("DELETE", own, String::new()),
+            State::Cancelling | State::Ended => ("DELETE", own, String::new()),
         };
         self.number += 1;
-        let ask = LeaseAsk {
+        let request = LeaseRequest {
             number: self.number,
             registry: self.registry,
             method,
             path,
             body,
-            until: now + settings.timeout,
+            deadline: now + settings.timeout,
         };
-        self.open = Some(ask.clone());
-        Some(ask)
+        self.open = Some(request.clone());
+        Some(request)
     }
 
-    fn instance(&self) -> String {
+    fn registration(&self) -> String {
         let settings = &self.settings;
-        let ip = settings.addr.ip().to_string();
-        let renew = (settings.renew.0 / 1_000_000).max(1);
+        let ip = settings.address.ip().to_string();
+        let renewal_secs = (settings.renewal_interval.0 / 1_000_000).max(1);
         json!({"instance": {
             "instanceId": settings.id,
             "hostName": ip,
@@ -121,14 +133,14 @@
             "ipAddr": ip,
             "vipAddress": settings.app,
             "status": "UP",
-            "port": {"$": settings.addr.port(), "@enabled": "true"},
+            "port": {"$": settings.address.port(), "@enabled": "true"},
             "securePort": {"$": 443, "@enabled": "false"},
             "countryId": 1,
             "dataCenterInfo": {
                 "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
                 "name": "MyOwn",
             },
-            "leaseInfo": {"renewalIntervalInSecs": renew, "durationInSecs": 3 * renew},
+            "leaseInfo": {"renewalIntervalInSecs": renewal_secs, "durationInSecs": 3 * renewal_secs},
             "metadata": {},
         }})
         .to_string()
@@ -138,137 +150,65 @@
         self.open.take_if(|open| open.number == number).is_some()
     }
 
-    /// A question was answered with this status.
-    pub fn answered(&mut self, now: Micros, number: u64, status: u16) {
+    /// A request was answered with this status.
+    pub fn handle_answer(&mut self, now: Micros, number: u64, status: u16) {
         if !self.is_open(number) {
             return;
         }
-        let well = (200..300).contains(&status);
-        (self.state, self.next) = match (self.state, status) {
-            (State::New, _) if well => (State::Held, now + self.settings.renew),
-            (State::Held, _) if well => (State::Held, now + self.settings.renew),
+        let is_success = (200..300).contains(&status);
+        (self.state, self.next_at) = match (self.state, status) {
+            (State::Unregistered, _) if is_success => {
+                (State::Registered, now + self.settings.renewal_interval)
+            }
+            (State::Registered, _) if is_success => {
+                (State::Registered, now + self.settings.renewal_interval)
+            }
             // It has forgotten this node: at once.
-            (State::Held, 404) => (State::New, now),
-            (State::Leaving, _) if well || status == 404 => (State::Cancelling, now),
-            (State::Cancelling, _) if well || status == 404 => (State::Over, now),
+            (State::Registered, 404) => (State::Unregistered, now),
+            (State::Leaving, _) if is_success || status == 404 => (State::Cancelling, now),
+            (State::Cancelling, _) if is_success || status == 404 => (State::Ended, now),
             (state, _) => {
                 self.registry = (self.registry + 1) % self.settings.registries.max(1);
-                (state, now + PAUSE)
+                (state, now + RETRY_PAUSE)
             }
         };
     }
 
-    /// A question got no answer: the next registry is asked.
-    pub fn failed(&mut self, now: Micros, number: u64) {
+    /// A request got no answer: the next registry is called.
+    pub fn handle_failure(&mut self, now: Micros, number: u64) {
         if self.is_open(number) {
             self.registry = (self.registry + 1) % self.settings.registries.max(1);
-            self.next = now + PAUSE;
+            self.next_at = now + RETRY_PAUSE;
         }
     }
 
-    /// The node ends: it is taken out. What is being asked is no longer waited for.
-    pub fn leave(&mut self, now: Micros) {
-        if matches!(self.state, State::New | State::Held) {
+    /// The node ends: its entry is taken out. An open request is no longer waited for.
+    pub fn deregister(&mut self, now: Micros) {
+        if matches!(self.state, State::Unregistered | State::Registered) {
             // One that was never registered, as far as is known, may have been.
-            (self.state, self.open, self.next) = (State::Leaving, None, now);
+            self.state = State::Leaving;
+            self.open = None;
+            self.next_at = now;
         }
     }
 
     /// Another process of this node renews it from now on, or no longer does.
-    pub fn set_handed_on(&mut self, now: Micros, handed_on: bool) {
-        match (handed_on, self.state) {
-            (true, State::New | State::Held) => (self.state, self.open) = (State::Over, None),
-            (false, State::Over) => (self.state, self.next) = (State::New, now),
+    pub fn set_handed_over(&mut self, now: Micros, handed_over: bool) {
+        match (handed_over, self.state) {
+            (true, State::Unregistered | State::Registered) => {
+                self.state = State::Ended;
+                self.open = None;
+            }
+            (false, State::Ended) => {
+                self.state = State::Unregistered;
+                self.next_at = now;
+            }
             _ => {}
         }
     }
 
-    /// Whether nothing more is to be said.
-    pub fn is_over(&self) -> bool {
-        self.state == State::Over
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn lease(registries: usize) -> Lease {
-        let settings = LeaseSettings {
-            registries,
-            path: "/eureka".to_owned(),
-            app: "marbledeck".to_owned(),
-            id: "n0".to_owned(),
-            addr: "127.0.0.1:8000".parse().expect("an address"),
-            renew: Micros(30_000_000),
-            timeout: Micros(1_000_000),
-        };
-        Lease::new(settings, Micros(0))
-    }
-
-    fn step(lease: &mut Lease, status: u16) -> (Micros, String) {
-        let now = lease.next_wake().expect("it goes on");
-        let ask = lease.ask(now).expect("it is due");
-        lease.answered(now, ask.number, status);
-        (now, format!("{} {}", ask.method, ask.path))
-    }
-
-    /// Registered, renewed, forgotten and registered anew, then told down and cancelled.
-    #[test]
-    fn a_life() {
-        let mut lease = lease(1);
-        assert_eq!(step(&mut lease, 204).1, "POST /eureka/apps/marbledeck");
-        let (at, renewal) = step(&mut lease, 200);
-        assert_eq!(
-            (at, renewal.as_str()),
-            (Micros(30_000_000), "PUT /eureka/apps/marbledeck/n0")
-        );
-        assert_eq!(step(&mut lease, 404).0, Micros(60_000_000));
-        assert_eq!(
-            step(&mut lease, 204),
-            (
-                Micros(60_000_000),
-                "POST /eureka/apps/marbledeck".to_owned()
-            )
-        );
-        lease.leave(Micros(61_000_000));
-        assert_eq!(
-            step(&mut lease, 200).1,
-            "PUT /eureka/apps/marbledeck/n0/status?value=DOWN"
-        );
-        assert_eq!(step(&mut lease, 200).1, "DELETE /eureka/apps/marbledeck/n0");
-        assert!(lease.is_over() && lease.next_wake().is_none());
-    }
-
-    /// A registry that fails or says nothing: the next one is asked, and nothing is lost.
-    #[test]
-    fn failures() {
-        let mut lease = lease(2);
-        let ask = lease.ask(Micros(0)).expect("due");
-        assert!(lease.ask(ask.until).is_none(), "given up, and a pause");
-        let next = lease.ask(ask.until + PAUSE).expect("due");
-        assert_eq!((ask.registry, next.registry), (0, 1));
-        lease.answered(Micros(1), ask.number, 204);
-        assert_eq!(lease.state, State::New, "an answer to an earlier question");
-        lease.answered(next.until, next.number, 503);
-        assert_eq!(
-            lease.ask(next.until + PAUSE).map(|ask| ask.registry),
-            Some(0)
-        );
-    }
-
-    /// Over an upgrade the old process says nothing more; where the new one is lost, it registers again.
-    #[test]
-    fn an_upgrade() {
-        let mut lease = lease(1);
-        step(&mut lease, 204);
-        lease.set_handed_on(Micros(5), true);
-        lease.leave(Micros(6));
-        assert!(lease.is_over());
-        lease.set_handed_on(Micros(7), false);
-        assert_eq!(
-            step(&mut lease, 204),
-            (Micros(7), "POST /eureka/apps/marbledeck".to_owned())
-        );
+    /// Whether nothing more is to be sent.
+    pub fn is_ended(&self) -> bool {
+        self.state == State::Ended
     }
 }
--- a/crates/eureka/src/lib.rs
+++ b/crates/eureka/src/lib.rs
@@ -1,19 +1,23 @@
 //! A client of Eureka's REST API (as its wiki's page "Eureka REST operations" and its public client describe it), without
-//! sockets: [`Reader`] takes the bytes of an answer as they come and gives out instances, [`Poll`] says what to ask and
-//! when, and what the fleet's membership is to be told.
+//! sockets: [`AnswerReader`] takes the bytes of an answer as they come and gives out instances, [`Poll`] says what to ask
+//! and when, and what the membership is to be told; [`Lease`] keeps the node's own entry.
 //!
-//! Nothing that a registry says makes it panic, and all that it holds is bounded: depth, the length of an instance, the
+//! Nothing that a registry sends makes it panic, and all that it stores is bounded: depth, the length of an instance, the
 //! number of instances, the length of an answer.
 #![forbid(unsafe_code)]
 
+mod answer;
+mod error;
 mod instance;
-mod json;
+mod instance_json;
+mod instance_xml;
+mod json_splitter;
 mod lease;
 mod poll;
-mod read;
-mod xml;
+mod xml_splitter;
 
-pub use instance::{hash_code, Action, Instance, InstanceStatus, Keys};
-pub use lease::{Lease, LeaseAsk, LeaseSettings};
-pub use poll::{Ask, Change, Poll, Settings, What};
-pub use read::{Encoding, Fault, Form, Item, Reader};
+pub use answer::{AnswerFormat, AnswerItem, AnswerReader, Encoding};
+pub use error::{AnswerError, MalformedAnswer};
+pub use instance::{hash_code, DeltaAction, Instance, InstanceStatus, MetadataKeys};
+pub use lease::{Lease, LeaseRequest, LeaseSettings};
+pub use poll::{Change, Poll, PollRequest, PollSettings, ReadKind};
--- a/crates/eureka/src/poll.rs
+++ b/crates/eureka/src/poll.rs
@@ -1,55 +1,62 @@
-//! What to ask a registry and when: one question at a time, over several registries with failover, each answer taken in
-//! the order of the questions.
+//! What to request from a registry and when: one request at a time, over several registries with failover, each answer
+//! taken in the order of the requests.
 
-use crate::instance::{Action, Instance, InstanceStatus, Keys};
-use crate::read::{Encoding, Fault, Form, Item, Reader};
+use crate::answer::{AnswerFormat, AnswerItem, AnswerReader, Encoding};
+use crate::error::AnswerError;
+use crate::instance::{DeltaAction, Instance, InstanceStatus, MetadataKeys};
 use marbledeck_dispatcher::Micros;
 use marbledeck_membership::{SourceReport, Status};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// What the poll is told.
+/// What to poll, and how often.
 #[derive(Clone, Debug)]
-pub struct Settings {
-    /// How many registries there are; the first is asked first.
+pub struct PollSettings {
+    /// How many registries there are; the first is polled first.
     pub registries: usize,
     /// The service path under which a registry answers, as `/eureka`.
     pub path: String,
     /// The applications whose instances are workers; none for all.
     pub apps: Vec<String>,
-    /// The virtual address whose instances are workers, asked for in place of the applications: without deltas.
+    /// The virtual address whose instances are workers, read in place of the applications: without deltas.
     pub vip: Option<String>,
-    pub keys: Keys,
-    /// How often the registry is asked.
-    pub every: Micros,
+    /// Which metadata keys hold what the node needs to know.
+    pub keys: MetadataKeys,
+    /// How often the registry is polled.
+    pub interval: Micros,
     /// How long an answer may take.
     pub timeout: Micros,
     /// The least time between two whole reads that a wrong hash code asks for.
-    pub full: Micros,
+    pub min_full_interval: Micros,
     /// Whole reads only.
     pub deltas: bool,
 }
 
-/// What is asked.
+/// What is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum ReadKind {
+    /// The whole list.
     Full,
+    /// What has changed lately.
     Delta,
 }
 
-/// A question. It is answered by [`Poll::head`], then bytes, then [`Poll::end`]; or by [`Poll::failed`].
+/// A request. It is answered by [`Poll::handle_head`], then [`Poll::handle_bytes`], then [`Poll::handle_end`]; or by
+/// [`Poll::handle_failure`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
-    /// Answers to an earlier question are dropped by this.
+pub struct PollRequest {
+    /// Answers to an earlier request are dropped by this.
     pub number: u64,
     /// Which registry.
     pub registry: usize,
+    /// The path, from the root.
     pub path: String,
-    pub what: What,
+    /// What is read.
+    pub kind: ReadKind,
     /// When it is to be given up.
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
-/// What the membership is to be told, in order.
+/// A change for the membership; they come in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A whole list begins,
@@ -60,43 +67,54 @@
     End,
     /// A worker is named.
     Named(Box<SourceReport>),
-    /// A worker is no longer named; `explicit` where that was on purpose.
-    Removed { id: String, explicit: bool },
+    /// A worker is no longer named.
+    Removed {
+        /// The worker.
+        id: String,
+        /// Whether the registry says so on purpose; else the worker may only have been lost.
+        explicit: bool,
+    },
 }
 
 /// Instances of a list that are handed on together.
-const PART: usize = 200;
+const LIST_PART_SIZE: usize = 200;
 /// Changes of a delta that are taken in a turn.
-const STEPS: usize = 200;
-const MISMATCH: &str = "the hash code does not match";
+const MAX_ENTRIES_PER_TURN: usize = 200;
+const HASH_MISMATCH: &str = "the hash code does not match";
 /// Backoff after failures, from the first to the longest.
-const FIRST: Micros = Micros(500_000);
-const LONGEST: Micros = Micros(30_000_000);
+const MIN_BACKOFF: Micros = Micros(500_000);
+const MAX_BACKOFF: Micros = Micros(30_000_000);
 
-struct Open {
-    ask: Ask,
-    reader: Option<Reader>,
-    hash: Option<String>,
+struct OpenRequest {
+    request: PollRequest,
+    reader: Option<AnswerReader>,
+    hash_code: Option<String>,
     /// What a whole read has found.
-    found: HashMap<Key, Known>,
+    instances: HashMap<InstanceKey, KnownInstance>,
     part: Vec<SourceReport>,
     /// What a delta has found: nothing of it counts before its end.
-    delta: VecDeque<Step>,
+    delta: VecDeque<DeltaEntry>,
 }
 
 /// What a delta says of an instance, as far as it matters.
-struct Step {
-    key: Key,
+struct DeltaEntry {
+    key: InstanceKey,
     status: InstanceStatus,
-    word: Option<SourceReport>,
-    deleted: bool,
+    report: Option<SourceReport>,
+    is_deleted: bool,
+}
+
+/// A delta that has come, and the hash code that holds after it.
+struct PendingDelta {
+    entries: VecDeque<DeltaEntry>,
+    hash_code: Option<String>,
 }
 
 /// An application and an instance of it.
-type Key = (String, String);
+type InstanceKey = (String, String);
 
 #[derive(Clone, Debug, PartialEq)]
-struct Known {
+struct KnownInstance {
     status: InstanceStatus,
     /// The worker that it is, where it is one.
     worker: Option<String>,
@@ -104,177 +122,199 @@
 
 /// Follows a registry.
 pub struct Poll {
-    settings: Settings,
-    open: Option<Open>,
-    next: Micros,
+    settings: PollSettings,
+    open: Option<OpenRequest>,
+    next_at: Micros,
     number: u64,
     registry: usize,
     /// Failures in a row.
     failures: u32,
     /// A whole read is needed.
-    wants_full: bool,
-    /// When the last whole read was asked for.
-    last_full: Option<Micros>,
-    known: HashMap<Key, Known>,
+    needs_full: bool,
+    /// When the last whole read was requested.
+    last_full_at: Option<Micros>,
+    instances: HashMap<InstanceKey, KnownInstance>,
     /// How many of them have each status.
-    counts: BTreeMap<&'static str, usize>,
-    /// What a whole delta says, as it is taken bit by bit, and its hash code.
-    applying: Option<(VecDeque<Step>, Option<String>)>,
+    status_counts: BTreeMap<&'static str, usize>,
+    /// A complete delta that is being applied, some entries a turn.
+    applying: Option<PendingDelta>,
     changes: Vec<Change>,
-    /// Whole reads asked for by a wrong hash code, in a row.
+    /// Whole reads requested because of a wrong hash code, in a row.
     pub mismatches: u32,
-    /// Why the last question failed.
-    pub trouble: Option<String>,
+    /// Why the last request failed, for operators.
+    pub last_failure: Option<String>,
     /// Draws jitter.
     seed: u64,
 }
 
 impl Poll {
-    /// Asks for the whole list at once.
-    pub fn new(settings: Settings, now: Micros, seed: u64) -> Self {
+    /// A poll that reads the whole list first.
+    pub fn new(settings: PollSettings, now: Micros, seed: u64) -> Self {
         Poll {
             settings,
             open: None,
-            next: now,
+            next_at: now,
             number: 0,
             registry: 0,
             failures: 0,
-            wants_full: true,
-            last_full: None,
-            known: HashMap::new(),
-            counts: BTreeMap::new(),
+            needs_full: true,
+            last_full_at: None,
+            instances: HashMap::new(),
+            status_counts: BTreeMap::new(),
             applying: None,
             changes: Vec::new(),
             mismatches: 0,
-            trouble: None,
+            last_failure: None,
             seed: seed | 1,
         }
     }
 
-    /// When [`Poll::ask`] is next wanted, or the open question is to be given up.
+    /// When [`Poll::next_request`] is next wanted, or the open request is to be given up.
     pub fn next_wake(&self) -> Micros {
         match self.applying {
             Some(_) => Micros(0),
-            None => self.open.as_ref().map_or(self.next, |open| open.ask.until),
+            None => self
+                .open
+                .as_ref()
+                .map_or(self.next_at, |open| open.request.deadline),
         }
     }
 
-    /// The question to ask now, if there is one. One that took too long is given up. A delta that has come is taken a
+    /// The request to send now, if there is one. One that took too long is given up. A delta that has come is applied a
     /// bit at a time first.
-    pub fn ask(&mut self, now: Micros) -> Option<Ask> {
+    pub fn next_request(&mut self, now: Micros) -> Option<PollRequest> {
         if self.applying.is_some() {
-            self.apply(now);
+            self.apply_delta(now);
             return None;
         }
         if let Some(open) = &self.open {
-            if now < open.ask.until {
+            if now < open.request.deadline {
                 return None;
             }
-            let number = open.ask.number;
-            self.failed(now, number, "no answer in time");
+            let number = open.request.number;
+            self.handle_failure(now, number, "no answer in time");
         }
-        if now < self.next {
+        if now < self.next_at {
             return None;
         }
-        let delta = self.settings.deltas && self.settings.vip.is_none() && !self.wants_full;
-        let what = if delta { What::Delta } else { What::Full };
-        if what == What::Full {
-            self.last_full = Some(now);
+        let delta = self.settings.deltas && self.settings.vip.is_none() && !self.needs_full;
+        let kind = if delta {
+            ReadKind::Delta
+        } else {
+            ReadKind::Full
+        };
+        if kind == ReadKind::Full {
+            self.last_full_at = Some(now);
         }
         self.number += 1;
         let base = &self.settings.path;
-        let path = match (&self.settings.vip, what) {
+        let path = match (&self.settings.vip, kind) {
             (Some(vip), _) => format!("{base}/vips/{vip}"),
-            (None, What::Delta) => format!("{base}/apps/delta"),
-            (None, What::Full) => format!("{base}/apps"),
+            (None, ReadKind::Delta) => format!("{base}/apps/delta"),
+            (None, ReadKind::Full) => format!("{base}/apps"),
         };
-        let ask = Ask {
+        let request = PollRequest {
             number: self.number,
             registry: self.registry,
             path,
-            what,
-            until: now + self.settings.timeout,
+            kind,
+            deadline: now + self.settings.timeout,
         };
-        self.open = Some(Open {
-            ask: ask.clone(),
+        self.open = Some(OpenRequest {
+            request: request.clone(),
             reader: None,
-            hash: None,
-            found: HashMap::new(),
+            hash_code: None,
+            instances: HashMap::new(),
             part: Vec::new(),
             delta: VecDeque::new(),
         });
-        Some(ask)
+        Some(request)
     }
 
     fn is_open(&self, number: u64) -> bool {
         self.open
             .as_ref()
-            .is_some_and(|open| open.ask.number == number)
+            .is_some_and(|open| open.request.number == number)
     }
 
     /// The head of an answer has come.
-    pub fn head(&mut self, now: Micros, number: u64, status: u16, form: Form, encoding: Encoding) {
-        let Some(open) = self.open.as_mut().filter(|open| open.ask.number == number) else {
+    pub fn handle_head(
+        &mut self,
+        now: Micros,
+        number: u64,
+        status: u16,
+        format: AnswerFormat,
+        encoding: Encoding,
+    ) {
+        let Some(open) = self
+            .open
+            .as_mut()
+            .filter(|open| open.request.number == number)
+        else {
             return;
         };
         match status {
             200 => {
-                open.reader = Some(Reader::new(form, encoding));
-                if open.ask.what == What::Full {
+                open.reader = Some(AnswerReader::new(format, encoding));
+                if open.request.kind == ReadKind::Full {
                     self.changes.push(Change::Begin);
                 }
             }
             // Deltas may be switched off.
-            403 | 404 if open.ask.what == What::Delta => {
-                self.wants_full = true;
-                self.failed(now, number, "no deltas");
-                self.next = now;
+            403 | 404 if open.request.kind == ReadKind::Delta => {
+                self.needs_full = true;
+                self.handle_failure(now, number, "no deltas");
+                self.next_at = now;
             }
-            _ => self.failed(now, number, &format!("status {status}")),
+            _ => self.handle_failure(now, number, &format!("status {status}")),
         }
     }
 
     /// Bytes of an answer have come.
-    pub fn bytes(&mut self, now: Micros, number: u64, bytes: &[u8]) {
-        let Some(open) = self.open.as_mut().filter(|open| open.ask.number == number) else {
+    pub fn handle_bytes(&mut self, now: Micros, number: u64, bytes: &[u8]) {
+        let Some(open) = self
+            .open
+            .as_mut()
+            .filter(|open| open.request.number == number)
+        else {
             return;
         };
         let Some(reader) = &mut open.reader else {
             return;
         };
         match reader.push(bytes) {
-            Ok(items) => self.items(items),
-            Err(fault) => self.failed(now, number, &fault.to_string()),
+            Ok(items) => self.take_items(items),
+            Err(fault) => self.handle_failure(now, number, &fault.to_string()),
         }
     }
 
-    fn items(&mut self, items: Vec<Item>) {
+    fn take_items(&mut self, items: Vec<AnswerItem>) {
         let Some(open) = &mut self.open else {
             return;
         };
         for item in items {
             match item {
-                Item::Hash(hash) => open.hash = Some(hash),
-                Item::Instance(instance) if open.ask.what == What::Delta => {
+                AnswerItem::Hash(hash) => open.hash_code = Some(hash),
+                AnswerItem::Instance(instance) if open.request.kind == ReadKind::Delta => {
                     let worker = is_worker(&self.settings, &instance);
-                    open.delta.push_back(Step {
+                    open.delta.push_back(DeltaEntry {
                         status: instance.status,
-                        word: worker.then(|| instance.word(&self.settings.keys)),
-                        deleted: instance.action == Action::Deleted,
+                        report: worker.then(|| instance.source_report(&self.settings.keys)),
+                        is_deleted: instance.action == DeltaAction::Deleted,
                         key: (instance.app, instance.id),
                     });
                 }
-                Item::Instance(instance) => {
+                AnswerItem::Instance(instance) => {
                     let key = (instance.app.clone(), instance.id.clone());
-                    let word = is_worker(&self.settings, &instance)
-                        .then(|| instance.word(&self.settings.keys));
-                    let known = Known {
+                    let report = is_worker(&self.settings, &instance)
+                        .then(|| instance.source_report(&self.settings.keys));
+                    let known = KnownInstance {
                         status: instance.status,
-                        worker: word.as_ref().map(|word| word.id.clone()),
+                        worker: report.as_ref().map(|report| report.id.clone()),
                     };
-                    open.found.insert(key, known);
-                    open.part.extend(word);
-                    if open.part.len() >= PART {
+                    open.instances.insert(key, known);
+                    open.part.extend(report);
+                    if open.part.len() >= LIST_PART_SIZE {
                         self.changes
                             .push(Change::Part(std::mem::take(&mut open.part)));
                     }
@@ -284,143 +324,159 @@
     }
 
     /// An answer has ended.
-    pub fn end(&mut self, now: Micros, number: u64) {
+    pub fn handle_end(&mut self, now: Micros, number: u64) {
         if !self.is_open(number) {
             return;
         }
         let rest = match self.open.as_mut().and_then(|open| open.reader.as_mut()) {
             Some(reader) => reader.finish(),
-            None => Err(Fault::Cut),
+            None => Err(AnswerError::Truncated),
         };
         match rest {
-            Ok(items) => self.items(items),
-            Err(fault) => return self.failed(now, number, &fault.to_string()),
+            Ok(items) => self.take_items(items),
+            Err(fault) => return self.handle_failure(now, number, &fault.to_string()),
         }
         let Some(open) = self.open.take() else {
             return;
         };
-        (self.failures, self.trouble) = (0, None);
-        self.next = now + self.jittered(self.settings.every);
-        let told = open.hash;
-        match open.ask.what {
-            What::Full => {
-                self.known = open.found;
-                self.counts.clear();
-                for known in self.known.values() {
-                    *self.counts.entry(known.status.word()).or_default() += 1;
+        (self.failures, self.last_failure) = (0, None);
+        self.next_at = now + self.jittered(self.settings.interval);
+        let announced = open.hash_code;
+        match open.request.kind {
+            ReadKind::Full => {
+                self.instances = open.instances;
+                self.status_counts.clear();
+                for known in self.instances.values() {
+                    *self
+                        .status_counts
+                        .entry(known.status.wire_name())
+                        .or_default() += 1;
                 }
                 self.changes.push(Change::Part(open.part));
                 self.changes.push(Change::End);
-                self.wants_full = false;
+                self.needs_full = false;
                 // A list that does not match its own code is taken all the same; the next delta shows whether it is right.
-                if told.is_none_or(|told| told == self.hash()) {
+                if announced.is_none_or(|announced| announced == self.hash_code()) {
                     self.mismatches = 0;
                 } else {
-                    self.trouble = Some(MISMATCH.to_owned());
+                    self.last_failure = Some(HASH_MISMATCH.to_owned());
                 }
             }
-            What::Delta => self.applying = Some((open.delta, told)),
+            ReadKind::Delta => {
+                self.applying = Some(PendingDelta {
+                    entries: open.delta,
+                    hash_code: announced,
+                });
+            }
         }
     }
 
     /// Takes some of a delta; at its end its code is checked.
-    fn apply(&mut self, now: Micros) {
-        let Some((mut steps, told)) = self.applying.take() else {
+    fn apply_delta(&mut self, now: Micros) {
+        let Some(mut delta) = self.applying.take() else {
             return;
         };
-        for _ in 0..STEPS {
-            match steps.pop_front() {
-                Some(step) => self.step(step),
+        for _ in 0..MAX_ENTRIES_PER_TURN {
+            match delta.entries.pop_front() {
+                Some(entry) => self.apply_entry(entry),
                 None => break,
             }
         }
-        if !steps.is_empty() {
-            self.applying = Some((steps, told));
-        } else if told.is_some_and(|told| told != self.hash()) {
+        if !delta.entries.is_empty() {
+            self.applying = Some(delta);
+            return;
+        }
+        let announced = delta.hash_code;
+        if announced.is_some_and(|announced| announced != self.hash_code()) {
             self.mismatches += 1;
-            self.wants_full = true;
-            self.trouble = Some(MISMATCH.to_owned());
-            let earliest = self.last_full.map_or(now, |last| last + self.settings.full);
-            self.next = earliest.max(now);
+            self.needs_full = true;
+            self.last_failure = Some(HASH_MISMATCH.to_owned());
+            let earliest = self
+                .last_full_at
+                .map_or(now, |last| last + self.settings.min_full_interval);
+            self.next_at = earliest.max(now);
         } else {
             self.mismatches = 0;
         }
     }
 
-    fn step(&mut self, step: Step) {
-        if step.deleted {
-            if let Some(old) = self.known.remove(&step.key) {
+    fn apply_entry(&mut self, entry: DeltaEntry) {
+        if entry.is_deleted {
+            if let Some(old) = self.instances.remove(&entry.key) {
                 self.uncount(old.status);
             }
-            if let Some(word) = step.word {
+            if let Some(report) = entry.report {
                 // Who leaves on purpose says so before; a lease that ran out leaves it up.
-                let explicit = word.status != Status::Up;
+                let explicit = report.status != Status::Up;
                 self.changes.push(Change::Removed {
-                    id: word.id,
+                    id: report.id,
                     explicit,
                 });
             }
             return;
         }
-        let known = Known {
-            status: step.status,
-            worker: step.word.as_ref().map(|word| word.id.clone()),
+        let known = KnownInstance {
+            status: entry.status,
+            worker: entry.report.as_ref().map(|report| report.id.clone()),
         };
-        *self.counts.entry(step.status.word()).or_default() += 1;
-        let old = self.known.insert(step.key, known);
+        *self
+            .status_counts
+            .entry(entry.status.wire_name())
+            .or_default() += 1;
+        let old = self.instances.insert(entry.key, known);
         if let Some(old) = &old {
             self.uncount(old.status);
         }
         // Its id among the workers may have changed with its metadata.
         let left = old.and_then(|old| old.worker);
-        let same = |id: &String| step.word.as_ref().is_some_and(|word| word.id == *id);
+        let same = |id: &String| entry.report.as_ref().is_some_and(|report| report.id == *id);
         if let Some(id) = left.filter(|id| !same(id)) {
             self.changes.push(Change::Removed { id, explicit: true });
         }
-        let named = step.word.map(|word| Change::Named(Box::new(word)));
+        let named = entry.report.map(|report| Change::Named(Box::new(report)));
         self.changes.extend(named);
     }
 
     fn uncount(&mut self, status: InstanceStatus) {
-        if let Some(count) = self.counts.get_mut(status.word()) {
+        if let Some(count) = self.status_counts.get_mut(status.wire_name()) {
             *count -= 1;
             if *count == 0 {
-                self.counts.remove(status.word());
+                self.status_counts.remove(status.wire_name());
             }
         }
     }
 
-    fn hash(&self) -> String {
-        let each = self.counts.iter();
-        each.map(|(word, count)| format!("{word}_{count}_"))
+    fn hash_code(&self) -> String {
+        let each = self.status_counts.iter();
+        each.map(|(report, count)| format!("{report}_{count}_"))
             .collect()
     }
 
-    /// A question has failed: the next registry is asked, after a while that grows.
-    pub fn failed(&mut self, now: Micros, number: u64, why: &str) {
+    /// A request has failed: the next registry is polled, with backoff.
+    pub fn handle_failure(&mut self, now: Micros, number: u64, reason: &str) {
         if !self.is_open(number) {
             return;
         }
         self.open = None;
-        self.trouble = Some(why.to_owned());
+        self.last_failure = Some(reason.to_owned());
         self.failures += 1;
         self.registry = (self.registry + 1) % self.settings.registries.max(1);
         if self.settings.registries > 1 {
-            // What another registry has told may be older or newer than a delta of this one says.
-            self.wants_full = true;
+            // What another registry reports may be older or newer than a delta of this one says.
+            self.needs_full = true;
         }
         // All registries are tried at once before it waits.
         let round = (self.failures - 1) / self.settings.registries.max(1) as u32;
-        let fresh = !(self.failures as usize).is_multiple_of(self.settings.registries.max(1));
-        let bound = Micros((FIRST.0 << round.min(10)).min(LONGEST.0));
-        self.next = if fresh {
+        let is_untried = !(self.failures as usize).is_multiple_of(self.settings.registries.max(1));
+        let bound = Micros((MIN_BACKOFF.0 << round.min(10)).min(MAX_BACKOFF.0));
+        self.next_at = if is_untried {
             now
         } else {
             now + self.jittered(bound)
         };
     }
 
-    /// Half of a span and up to as much again, so that nodes do not ask in step.
+    /// Half of a span and up to as much again, so that nodes do not poll in step.
     fn jittered(&mut self, span: Micros) -> Micros {
         self.seed ^= self.seed << 13;
         self.seed ^= self.seed >> 7;
@@ -428,28 +484,28 @@
         Micros(span.0 / 2 + self.seed % (span.0 / 2 + 1))
     }
 
-    /// What the membership is to be told since this was last asked.
+    /// The changes for the membership since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
     /// How many instances the registry holds.
     pub fn instances(&self) -> usize {
-        self.known.len()
+        self.instances.len()
     }
 
-    /// Which registry is asked.
+    /// Which registry is polled.
     pub fn registry(&self) -> usize {
         self.registry
     }
 
-    /// How many questions have failed in a row.
+    /// How many requests have failed in a row.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 }
 
-fn is_worker(settings: &Settings, instance: &Instance) -> bool {
+fn is_worker(settings: &PollSettings, instance: &Instance) -> bool {
     let apps = &settings.apps;
     let vip = settings.vip.as_ref();
     let named = apps.is_empty()
--- a/crates/eureka/src/xml.rs
+++ b/crates/eureka/src/xml_splitter.rs
@@ -1,14 +1,14 @@
 //! Finds the instances in a registry's XML as its bytes come, without holding more than one of them. What Eureka never
 //! sends, document types above all, is refused: entities are not to be had.
 
-use crate::json::Found;
-use crate::read::Fault;
+use crate::error::{AnswerError, MalformedAnswer};
+use crate::json_splitter::Found;
 
 const MAX_DEPTH: usize = 64;
 /// The longest tag.
 const MAX_TAG: usize = 4096;
 /// The longest code that is of interest.
-const MAX_WORD: usize = 4096;
+const MAX_TEXT: usize = 4096;
 
 #[derive(Default, PartialEq, Eq)]
 enum State {
@@ -26,36 +26,39 @@
     state: State,
     /// The tag that is being read, without its brackets.
     tag: Vec<u8>,
-    /// The quote that an attribute's value has begun with.
+    /// The quote that an attribute's value has has_begun with.
     quote: Option<u8>,
     /// The last bytes of a comment or of character data, which may be its end.
     tail: [u8; 2],
     depth: usize,
-    begun: bool,
+    has_begun: bool,
     capture: Option<(usize, Vec<u8>)>,
     /// The text of the hash code, while it is read.
     hash: Option<Vec<u8>>,
 }
 
 impl Splitter {
-    /// Whether a whole document has been read.
-    pub fn is_whole(&self) -> bool {
-        self.begun && self.depth == 0 && self.state == State::Text
+    /// Whether a complete document has been read.
+    pub fn is_complete(&self) -> bool {
+        self.has_begun && self.depth == 0 && self.state == State::Text
     }
 
-    /// Takes bytes; tells what ends in them.
+    /// Takes bytes, and hands out what ends in them.
+    ///
+    /// # Errors
+    /// Input that is not well-formed, nested too deep, or an instance over `max_instance` bytes.
     pub fn push(
         &mut self,
         bytes: &[u8],
-        longest: usize,
+        max_instance: usize,
         mut found: impl FnMut(Found),
-    ) -> Result<(), Fault> {
+    ) -> Result<(), AnswerError> {
         for byte in bytes {
-            if let Some((_, held)) = &mut self.capture {
-                if held.len() >= longest {
-                    return Err(Fault::TooLong);
+            if let Some((_, captured)) = &mut self.capture {
+                if captured.len() >= max_instance {
+                    return Err(AnswerError::TooLong);
                 }
-                held.push(*byte);
+                captured.push(*byte);
             }
             match self.state {
                 State::Text if *byte == b'<' => {
@@ -65,13 +68,13 @@
                 State::Text => {
                     let blank = byte.is_ascii_whitespace() || matches!(*byte, 0xef | 0xbb | 0xbf);
                     if self.depth == 0 && !blank {
-                        return Err(Fault::Malformed("no XML".to_owned()));
+                        return Err(MalformedAnswer::NotXml.into());
                     }
-                    if let Some(hash) = self.hash.as_mut().filter(|hash| hash.len() < MAX_WORD) {
+                    if let Some(hash) = self.hash.as_mut().filter(|hash| hash.len() < MAX_TEXT) {
                         hash.push(*byte);
                     }
                 }
-                State::Tag => self.in_a_tag(*byte, &mut found)?,
+                State::Tag => self.push_in_tag(*byte, &mut found)?,
                 State::Comment | State::Data => {
                     let end = if self.state == State::Comment {
                         b'-'
@@ -88,7 +91,7 @@
         Ok(())
     }
 
-    fn in_a_tag(&mut self, byte: u8, found: &mut impl FnMut(Found)) -> Result<(), Fault> {
+    fn push_in_tag(&mut self, byte: u8, found: &mut impl FnMut(Found)) -> Result<(), AnswerError> {
         if let Some(quote) = self.quote {
             if byte == quote {
                 self.quote = None;
@@ -96,26 +99,26 @@
         } else if byte == b'>' {
             return self.end_of_tag(found);
         } else if byte == b'<' {
-            return Err(Fault::Malformed("a tag in a tag".to_owned()));
+            return Err(MalformedAnswer::TagInTag.into());
         } else if (byte == b'"' || byte == b'\'') && !self.tag.starts_with(b"!") {
             self.quote = Some(byte);
         }
         if self.tag.len() >= MAX_TAG {
-            return Err(Fault::TooLong);
+            return Err(AnswerError::TooLong);
         }
         self.tag.push(byte);
         match self.tag.as_slice() {
             b"!--" => (self.state, self.tail) = (State::Comment, [0; 2]),
             b"![CDATA[" if self.depth > 0 => (self.state, self.tail) = (State::Data, [0; 2]),
             [b'!', b'D' | b'E' | b'A' | b'N', ..] => {
-                return Err(Fault::Malformed("a document type".to_owned()))
+                return Err(MalformedAnswer::DocumentType.into())
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn end_of_tag(&mut self, found: &mut impl FnMut(Found)) -> Result<(), Fault> {
+    fn end_of_tag(&mut self, found: &mut impl FnMut(Found)) -> Result<(), AnswerError> {
         self.state = State::Text;
         let tag = std::mem::take(&mut self.tag);
         let name_of = |tag: &[u8]| {
@@ -126,18 +129,18 @@
         };
         match tag.as_slice() {
             [b'?', ..] => Ok(()),
-            [b'!', ..] | [] => Err(Fault::Malformed("an odd tag".to_owned())),
+            [b'!', ..] | [] => Err(MalformedAnswer::UnexpectedTag.into()),
             [b'/', name @ ..] => {
                 if self.depth == 0 {
-                    return Err(Fault::Malformed("tags do not match".to_owned()));
+                    return Err(MalformedAnswer::UnmatchedTags.into());
                 }
-                if let Some((depth, held)) = self.capture.take() {
+                if let Some((depth, captured)) = self.capture.take() {
                     if depth != self.depth {
-                        self.capture = Some((depth, held));
+                        self.capture = Some((depth, captured));
                     } else if name_of(name) == b"instance" {
-                        found(Found::Instance(held));
+                        found(Found::Instance(captured));
                     } else {
-                        return Err(Fault::Malformed("tags do not match".to_owned()));
+                        return Err(MalformedAnswer::UnmatchedTags.into());
                     }
                 }
                 if let Some(hash) = self.hash.take() {
@@ -149,24 +152,24 @@
                 Ok(())
             }
             [.., b'/'] if !tag.starts_with(b"/") => {
-                self.begun = true;
+                self.has_begun = true;
                 Ok(())
             }
             _ => {
                 if self.depth >= MAX_DEPTH {
-                    return Err(Fault::TooDeep);
+                    return Err(AnswerError::TooDeep);
                 }
-                if self.depth == 0 && self.begun {
-                    return Err(Fault::Malformed("more than one document".to_owned()));
+                if self.depth == 0 && self.has_begun {
+                    return Err(MalformedAnswer::SeveralDocuments.into());
                 }
-                self.begun = true;
+                self.has_begun = true;
                 self.depth += 1;
                 match name_of(&tag).as_slice() {
                     b"instance" if self.capture.is_none() => {
-                        let mut held = vec![b'<'];
-                        held.extend_from_slice(&tag);
-                        held.push(b'>');
-                        self.capture = Some((self.depth, held));
+                        let mut captured = vec![b'<'];
+                        captured.extend_from_slice(&tag);
+                        captured.push(b'>');
+                        self.capture = Some((self.depth, captured));
                     }
                     b"apps__hashcode" if self.capture.is_none() => self.hash = Some(Vec::new()),
                     _ => {}
--- a/crates/eureka/tests/golden.rs
+++ b/crates/eureka/tests/golden.rs
@@ -4,8 +4,8 @@
 use insta::assert_snapshot;
 use marbledeck_dispatcher::Micros;
 use marbledeck_eureka::{
-    Action, Ask, Change, Encoding, Form, Instance, InstanceStatus, Item, Keys, Lease,
-    LeaseSettings, Poll, Reader, Settings, What,
+    AnswerFormat, AnswerItem, AnswerReader, Change, DeltaAction, Encoding, Instance,
+    InstanceStatus, Lease, LeaseSettings, MetadataKeys, Poll, PollRequest, PollSettings, ReadKind,
 };
 use marbledeck_membership::{SourceReport, Status};
 use std::fmt::Write;
@@ -49,8 +49,8 @@
         path: "/eureka".to_owned(),
         app: "marbledeck".to_owned(),
         id: "n0".to_owned(),
-        addr: "127.0.0.1:8000".parse().expect("an address"),
-        renew: Micros(30_000_000),
+        address: "127.0.0.1:8000".parse().expect("an address"),
+        renewal_interval: Micros(30_000_000),
         timeout: Micros(1_000_000),
     }
 }
@@ -61,7 +61,7 @@
         let _ = writeln!(text, "nothing more is said");
         return;
     };
-    let Some(ask) = lease.ask(due) else {
+    let Some(ask) = lease.next_request(due) else {
         let _ = writeln!(text, "at {}: given up", due.0);
         return;
     };
@@ -69,14 +69,14 @@
     let _ = writeln!(
         text,
         "at {} until {}, registry {registry}: {method} {path}",
-        due.0, ask.until.0
+        due.0, ask.deadline.0
     );
     if !body.is_empty() {
         let _ = writeln!(text, "{body}");
     }
     if let Some(status) = status {
         let _ = writeln!(text, "  answered with {status}");
-        lease.answered(due, ask.number, status);
+        lease.handle_answer(due, ask.number, status);
     }
 }
 
@@ -93,13 +93,13 @@
         lease_step(&mut lease, status, &mut text);
     }
     text += "the node ends\n";
-    lease.leave(Micros(100_000_000));
+    lease.deregister(Micros(100_000_000));
     for status in [Some(200), Some(500), Some(200), None] {
         lease_step(&mut lease, status, &mut text);
     }
     let six = LeaseSettings {
-        addr: "[::1]:8001".parse().expect("an address"),
-        renew: Micros(500_000),
+        address: "[::1]:8001".parse().expect("an address"),
+        renewal_interval: Micros(500_000),
         path: String::new(),
         ..lease_settings()
     };
@@ -108,29 +108,29 @@
     text += "handed to another process and back\n";
     let mut lease = Lease::new(lease_settings(), Micros(0));
     lease_step(&mut lease, Some(204), &mut text);
-    lease.set_handed_on(Micros(5), true);
+    lease.set_handed_over(Micros(5), true);
     lease_step(&mut lease, None, &mut text);
-    lease.set_handed_on(Micros(7), false);
+    lease.set_handed_over(Micros(7), false);
     lease_step(&mut lease, Some(204), &mut text);
     assert_snapshot!("lease_requests", text);
 }
 
-fn settings() -> Settings {
-    Settings {
+fn settings() -> PollSettings {
+    PollSettings {
         registries: 1,
         path: "/eureka".to_owned(),
         apps: vec!["RENDER".to_owned()],
         vip: None,
-        keys: Keys::default(),
-        every: Micros(10_000_000),
+        keys: MetadataKeys::default(),
+        interval: Micros(10_000_000),
         timeout: Micros(2_000_000),
-        full: Micros(30_000_000),
+        min_full_interval: Micros(30_000_000),
         deltas: true,
     }
 }
 
-fn keys() -> Keys {
-    Keys {
+fn keys() -> MetadataKeys {
+    MetadataKeys {
         id: Some("worker".to_owned()),
         zone: Some("zone".to_owned()),
         kind: Some("kind".to_owned()),
@@ -161,39 +161,47 @@
 
 fn shown_instance(instance: &Instance) -> String {
     let action = match instance.action {
-        Action::Added => "added",
-        Action::Modified => "modified",
-        Action::Deleted => "deleted",
+        DeltaAction::Added => "added",
+        DeltaAction::Modified => "modified",
+        DeltaAction::Deleted => "deleted",
     };
     let port = |port: Option<u16>| port.map_or("none".to_owned(), |p| p.to_string());
     let mut text = format!(
         "instance {}\n  app {}, status {}, overridden {}, effective {}, action {action}\n  ip {}, port {}, secure port {}, vip '{}'\n  dirty {}, up since {}\n",
         instance.id,
         instance.app,
-        instance.status.word(),
-        instance.overridden.word(),
-        instance.effective().word(),
+        instance.status.wire_name(),
+        instance.overridden_status.wire_name(),
+        instance.effective().wire_name(),
         instance.ip,
         port(instance.port),
         port(instance.secure_port),
         instance.vip,
-        instance.dirty_ms,
+        instance.last_dirty_ms,
         instance.up_since_ms,
     );
     for (name, value) in &instance.metadata {
         let _ = writeln!(text, "  {name} = {value}");
     }
-    let secure = Keys {
+    let secure = MetadataKeys {
         secure: true,
-        ..Keys::default()
+        ..MetadataKeys::default()
     };
-    let _ = writeln!(text, "  with keys: {}", shown_word(&instance.word(&keys())));
-    let _ = writeln!(text, "  secure:    {}", shown_word(&instance.word(&secure)));
+    let _ = writeln!(
+        text,
+        "  with keys: {}",
+        shown_word(&instance.source_report(&keys()))
+    );
+    let _ = writeln!(
+        text,
+        "  secure:    {}",
+        shown_word(&instance.source_report(&secure))
+    );
     text
 }
 
-fn shown_answer(form: Form, bytes: &[u8]) -> String {
-    let mut reader = Reader::new(form, Encoding::Plain);
+fn shown_answer(form: AnswerFormat, bytes: &[u8]) -> String {
+    let mut reader = AnswerReader::new(form, Encoding::Plain);
     let read = reader.push(bytes).and_then(|mut items| {
         items.extend(reader.finish()?);
         Ok(items)
@@ -205,21 +213,21 @@
     items
         .iter()
         .map(|item| match item {
-            Item::Hash(hash) => format!("hash code {hash}\n"),
-            Item::Instance(instance) => shown_instance(instance),
+            AnswerItem::Hash(hash) => format!("hash code {hash}\n"),
+            AnswerItem::Instance(instance) => shown_instance(instance),
         })
         .collect()
 }
 
 #[test]
 fn an_answer_in_json() {
-    let text = shown_answer(Form::Json, FULL_JSON.as_bytes());
+    let text = shown_answer(AnswerFormat::Json, FULL_JSON.as_bytes());
     assert_snapshot!("an_answer_in_json", text);
 }
 
 #[test]
 fn an_answer_in_xml() {
-    let text = shown_answer(Form::Xml, FULL_XML.as_bytes());
+    let text = shown_answer(AnswerFormat::Xml, FULL_XML.as_bytes());
     assert_snapshot!("an_answer_in_xml", text);
 }
 
@@ -275,14 +283,14 @@
         let _ = write!(
             text,
             "JSON, {name}: {}",
-            shown_answer(Form::Json, answer.as_bytes())
+            shown_answer(AnswerFormat::Json, answer.as_bytes())
         );
     }
     for (name, answer) in xml {
         let _ = write!(
             text,
             "XML, {name}: {}",
-            shown_answer(Form::Xml, answer.as_bytes())
+            shown_answer(AnswerFormat::Xml, answer.as_bytes())
         );
     }
     assert_snapshot!("answers_that_are_refused", text);
@@ -296,7 +304,7 @@
 }
 
 impl Transcript {
-    fn new(settings: Settings) -> Self {
+    fn new(settings: PollSettings) -> Self {
         Transcript {
             poll: Poll::new(settings, Micros(0), 7),
             now: Micros(0),
@@ -305,18 +313,18 @@
     }
 
     /// Waits for the next question.
-    fn ask(&mut self) -> Ask {
+    fn ask(&mut self) -> PollRequest {
         for _ in 0..100 {
             self.now = self.now.max(self.poll.next_wake());
-            if let Some(ask) = self.poll.ask(self.now) {
-                let what = match ask.what {
-                    What::Full => "full",
-                    What::Delta => "delta",
+            if let Some(ask) = self.poll.next_request(self.now) {
+                let what = match ask.kind {
+                    ReadKind::Full => "full",
+                    ReadKind::Delta => "delta",
                 };
                 let _ = writeln!(
                     self.text,
                     "at {} until {}, registry {}: GET {} ({what})",
-                    self.now.0, ask.until.0, ask.registry, ask.path
+                    self.now.0, ask.deadline.0, ask.registry, ask.path
                 );
                 return ask;
             }
@@ -324,15 +332,16 @@
         panic!("nothing is asked");
     }
 
-    fn answer(&mut self, ask: &Ask, status: u16, form: Form, body: &str) {
+    fn answer(&mut self, ask: &PollRequest, status: u16, form: AnswerFormat, body: &str) {
         let _ = writeln!(self.text, "  answered with {status}");
         let (now, number) = (self.now, ask.number);
-        self.poll.head(now, number, status, form, Encoding::Plain);
-        self.poll.bytes(now, number, body.as_bytes());
-        self.poll.end(now, number);
+        self.poll
+            .handle_head(now, number, status, form, Encoding::Plain);
+        self.poll.handle_bytes(now, number, body.as_bytes());
+        self.poll.handle_end(now, number);
         // A delta is taken a bit at a time.
         while self.poll.next_wake() == Micros(0) && now > Micros(0) {
-            assert!(self.poll.ask(now).is_none());
+            assert!(self.poll.next_request(now).is_none());
         }
         for change in self.poll.take_changes() {
             let shown = match change {
@@ -348,7 +357,7 @@
             };
             let _ = writeln!(self.text, "  {shown}");
         }
-        if let Some(trouble) = &self.poll.trouble {
+        if let Some(trouble) = &self.poll.last_failure {
             let _ = writeln!(self.text, "  trouble: {trouble}");
         }
     }
@@ -369,24 +378,24 @@
 
 #[test]
 fn a_poll() {
-    let mut t = Transcript::new(Settings {
+    let mut t = Transcript::new(PollSettings {
         keys: keys(),
         ..settings()
     });
     let ask = t.ask();
-    t.answer(&ask, 200, Form::Json, FULL_JSON);
+    t.answer(&ask, 200, AnswerFormat::Json, FULL_JSON);
     let ask = t.ask();
     let changes = [
         ("c", "UP", "ADDED"),
         ("c", "DOWN", "MODIFIED"),
         ("h9", "UP", "DELETED"),
     ];
-    t.answer(&ask, 200, Form::Json, &delta("none", &changes));
+    t.answer(&ask, 200, AnswerFormat::Json, &delta("none", &changes));
     let ask = t.ask();
-    t.answer(&ask, 200, Form::Xml, FULL_XML);
+    t.answer(&ask, 200, AnswerFormat::Xml, FULL_XML);
     let ask = t.ask();
     let gone = [("h1:render:8000", "UP", "DELETED")];
-    t.answer(&ask, 200, Form::Json, &delta("UP_1_", &gone));
+    t.answer(&ask, 200, AnswerFormat::Json, &delta("UP_1_", &gone));
     for (status, body) in [
         (404, ""),
         (503, ""),
@@ -394,12 +403,12 @@
         (200, &*delta("UP_1_", &[])),
     ] {
         let ask = t.ask();
-        t.answer(&ask, status, Form::Json, body);
+        t.answer(&ask, status, AnswerFormat::Json, body);
     }
     let ask = t.ask();
-    t.now = ask.until;
+    t.now = ask.deadline;
     let ask = t.ask();
-    t.answer(&ask, 200, Form::Json, &delta("", &[]));
+    t.answer(&ask, 200, AnswerFormat::Json, &delta("", &[]));
     assert_snapshot!("a_poll", t.text);
 }
 
@@ -408,16 +417,16 @@
 fn other_polls() {
     let mut text = String::new();
     for settings in [
-        Settings {
+        PollSettings {
             deltas: false,
             ..settings()
         },
-        Settings {
+        PollSettings {
             vip: Some("render".to_owned()),
             path: "/eureka/v2".to_owned(),
             ..settings()
         },
-        Settings {
+        PollSettings {
             registries: 2,
             path: String::new(),
             ..settings()
@@ -425,11 +434,11 @@
     ] {
         let mut t = Transcript::new(settings);
         let ask = t.ask();
-        t.answer(&ask, 200, Form::Json, FULL_JSON);
+        t.answer(&ask, 200, AnswerFormat::Json, FULL_JSON);
         let ask = t.ask();
-        t.answer(&ask, 500, Form::Json, "");
+        t.answer(&ask, 500, AnswerFormat::Json, "");
         let ask = t.ask();
-        t.answer(&ask, 200, Form::Json, FULL_JSON);
+        t.answer(&ask, 200, AnswerFormat::Json, FULL_JSON);
         let _ = writeln!(text, "{}", t.text);
     }
     assert_snapshot!("other_polls", text);
--- a/crates/eureka/tests/poll.rs
+++ b/crates/eureka/tests/poll.rs
@@ -3,16 +3,16 @@
 use marbledeck_dispatcher::Micros;
 use marbledeck_eureka::*;
 
-fn settings(registries: usize) -> Settings {
-    Settings {
+fn settings(registries: usize) -> PollSettings {
+    PollSettings {
         registries,
         path: "/eureka".to_owned(),
         apps: vec!["RENDER".to_owned()],
         vip: None,
-        keys: Keys::default(),
-        every: Micros(10_000_000),
+        keys: MetadataKeys::default(),
+        interval: Micros(10_000_000),
         timeout: Micros(2_000_000),
-        full: Micros(30_000_000),
+        min_full_interval: Micros(30_000_000),
         deltas: true,
     }
 }
@@ -43,27 +43,32 @@
         }
     }
 
-    /// Waits for the next question.
-    fn ask(&mut self) -> Ask {
+    /// Waits for the next request.
+    fn next_request(&mut self) -> PollRequest {
         for _ in 0..100 {
             self.now = self.now.max(self.poll.next_wake());
-            if let Some(ask) = self.poll.ask(self.now) {
-                return ask;
+            if let Some(request) = self.poll.next_request(self.now) {
+                return request;
             }
         }
-        panic!("nothing is asked");
+        panic!("nothing is requested");
     }
 
-    fn answer(&mut self, ask: &Ask, text: &str) -> Vec<Change> {
-        self.poll
-            .head(self.now, ask.number, 200, Form::Json, Encoding::Plain);
+    fn answer(&mut self, request: &PollRequest, text: &str) -> Vec<Change> {
+        self.poll.handle_head(
+            self.now,
+            request.number,
+            200,
+            AnswerFormat::Json,
+            Encoding::Plain,
+        );
         for part in text.as_bytes().chunks(50) {
-            self.poll.bytes(self.now, ask.number, part);
+            self.poll.handle_bytes(self.now, request.number, part);
         }
-        self.poll.end(self.now, ask.number);
+        self.poll.handle_end(self.now, request.number);
         // A delta is taken a bit at a time.
         while self.poll.next_wake() == Micros(0) && self.now > Micros(0) {
-            assert!(self.poll.ask(self.now).is_none());
+            assert!(self.poll.next_request(self.now).is_none());
         }
         self.poll.take_changes()
     }
@@ -79,14 +84,17 @@
     changes.iter().flat_map(id).collect()
 }
 
-/// A whole read first, then deltas; a cancel is told from a lease that ran out.
+/// A whole read first, then deltas; a cancel is reported from a lease that ran out.
 #[test]
-fn whole_then_deltas() {
+fn a_whole_list_is_followed_by_deltas() {
     let mut w = World::new(1);
-    let ask = w.ask();
-    assert_eq!((ask.path.as_str(), ask.what), ("/eureka/apps", What::Full));
+    let request = w.next_request();
+    assert_eq!(
+        (request.path.as_str(), request.kind),
+        ("/eureka/apps", ReadKind::Full)
+    );
     let changes = w.answer(
-        &ask,
+        &request,
         &body(
             "UP_2_",
             &[instance("a", "UP", "ADDED"), instance("b", "UP", "ADDED")],
@@ -97,10 +105,10 @@
         (Some(&Change::Begin), Some(&Change::End))
     );
     assert_eq!(ids(&changes), ["a", "b"]);
-    let ask = w.ask();
+    let request = w.next_request();
     assert_eq!(
-        (ask.path.as_str(), ask.what),
-        ("/eureka/apps/delta", What::Delta)
+        (request.path.as_str(), request.kind),
+        ("/eureka/apps/delta", ReadKind::Delta)
     );
     assert!((5_000_000..=10_000_000).contains(&w.now.0));
     let delta = [
@@ -109,7 +117,7 @@
         instance("b", "DOWN", "DELETED"),
     ];
     assert_eq!(
-        ids(&w.answer(&ask, &body("UP_1_", &delta))),
+        ids(&w.answer(&request, &body("UP_1_", &delta))),
         ["c", "-a false", "-b true"]
     );
     assert_eq!((w.poll.mismatches, w.poll.instances()), (0, 1));
@@ -117,17 +125,17 @@
 
 /// A lost delta shows in the hash code: a whole read, and at most one in a while where it never matches.
 #[test]
-fn a_hash_that_does_not_match() {
+fn a_hash_mismatch_requests_a_whole_list() {
     let mut w = World::new(1);
-    let ask = w.ask();
-    w.answer(&ask, &body("UP_1_", &[instance("a", "UP", "ADDED")]));
+    let request = w.next_request();
+    w.answer(&request, &body("UP_1_", &[instance("a", "UP", "ADDED")]));
     let mut fulls = Vec::new();
     for _ in 0..40 {
-        let ask = w.ask();
-        if ask.what == What::Full {
+        let request = w.next_request();
+        if request.kind == ReadKind::Full {
             fulls.push(w.now);
         }
-        w.answer(&ask, &body("UP_9_", &[instance("a", "UP", "MODIFIED")]));
+        w.answer(&request, &body("UP_9_", &[instance("a", "UP", "MODIFIED")]));
     }
     assert!(fulls.len() >= 8);
     assert!(
@@ -136,7 +144,7 @@
             .all(|pair| pair[1] - pair[0] >= Micros(30_000_000)),
         "{fulls:?}"
     );
-    assert!(w.poll.mismatches > 1 && w.poll.trouble.is_some());
+    assert!(w.poll.mismatches > 1 && w.poll.last_failure.is_some());
 }
 
 /// Registries are tried in turn, at once; after a round of failures it waits, longer each time, up to a bound.
@@ -145,15 +153,18 @@
     let mut w = World::new(3);
     let mut rounds = Vec::new();
     for _ in 0..12 {
-        let round: Vec<Ask> = (0..3)
+        let round: Vec<PollRequest> = (0..3)
             .map(|_| {
-                let ask = w.ask();
-                w.poll.failed(w.now, ask.number, "refused");
-                ask
+                let request = w.next_request();
+                w.poll.handle_failure(w.now, request.number, "refused");
+                request
             })
             .collect();
         assert_eq!(
-            round.iter().map(|ask| ask.registry).collect::<Vec<_>>(),
+            round
+                .iter()
+                .map(|request| request.registry)
+                .collect::<Vec<_>>(),
             [0, 1, 2]
         );
         rounds.push(w.now);
@@ -167,36 +178,41 @@
         "{waits:?}"
     );
     // The first answer ends it; after a failover all is read anew.
-    let ask = w.ask();
-    w.answer(&ask, &body("UP_1_", &[instance("a", "UP", "ADDED")]));
+    let request = w.next_request();
+    w.answer(&request, &body("UP_1_", &[instance("a", "UP", "ADDED")]));
     assert_eq!(w.poll.failures(), 0);
-    let ask = w.ask();
-    w.poll
-        .head(w.now, ask.number, 503, Form::Json, Encoding::Plain);
-    let ask = w.ask();
-    assert_eq!((ask.registry, ask.what), (1, What::Full));
+    let request = w.next_request();
+    w.poll.handle_head(
+        w.now,
+        request.number,
+        503,
+        AnswerFormat::Json,
+        Encoding::Plain,
+    );
+    let request = w.next_request();
+    assert_eq!((request.registry, request.kind), (1, ReadKind::Full));
 }
 
-/// An answer that comes after its time, and an old list after a newer question, count for nothing; nor does a delta that
+/// An answer that comes after its time, and an old list after a newer request, count for nothing; nor does a delta that
 /// is cut.
 #[test]
-fn late_and_cut_answers() {
+fn late_and_truncated_answers() {
     let mut w = World::new(1);
-    let first = w.ask();
-    w.now = first.until;
-    assert!(w.poll.ask(w.now).is_none(), "given up: it waits");
+    let first = w.next_request();
+    w.now = first.deadline;
+    assert!(w.poll.next_request(w.now).is_none(), "given up: it waits");
     assert!(w
         .answer(&first, &body("UP_1_", &[instance("old", "UP", "ADDED")]))
         .is_empty());
-    let ask = w.ask();
+    let request = w.next_request();
     assert_eq!(
-        ids(&w.answer(&ask, &body("UP_1_", &[instance("a", "UP", "ADDED")]))),
+        ids(&w.answer(&request, &body("UP_1_", &[instance("a", "UP", "ADDED")]))),
         ["a"]
     );
-    let ask = w.ask();
+    let request = w.next_request();
     let delta = body("UP_2_", &[instance("b", "UP", "ADDED")]);
-    assert!(w.answer(&ask, &delta[..delta.len() - 3]).is_empty());
-    assert_eq!(w.poll.trouble.as_deref(), Some("cut short"));
+    assert!(w.answer(&request, &delta[..delta.len() - 3]).is_empty());
+    assert_eq!(w.poll.last_failure.as_deref(), Some("cut short"));
     assert_eq!(w.poll.instances(), 1);
 }
 
@@ -204,16 +220,21 @@
 #[test]
 fn broken_lists_and_no_deltas() {
     let mut w = World::new(1);
-    let ask = w.ask();
+    let request = w.next_request();
     let text = body("UP_1_", &[instance("a", "UP", "ADDED")]);
-    let changes = w.answer(&ask, &text[..text.len() - 2]);
+    let changes = w.answer(&request, &text[..text.len() - 2]);
     assert!(!changes.contains(&Change::End));
-    let ask = w.ask();
-    w.answer(&ask, &text);
-    let ask = w.ask();
-    w.poll
-        .head(w.now, ask.number, 404, Form::Json, Encoding::Plain);
-    assert_eq!(w.ask().what, What::Full);
+    let request = w.next_request();
+    w.answer(&request, &text);
+    let request = w.next_request();
+    w.poll.handle_head(
+        w.now,
+        request.number,
+        404,
+        AnswerFormat::Json,
+        Encoding::Plain,
+    );
+    assert_eq!(w.next_request().kind, ReadKind::Full);
 }
 
 #[test]
--- a/crates/eureka/tests/wire.rs
+++ b/crates/eureka/tests/wire.rs
@@ -35,8 +35,13 @@
 <application><name>OTHER</name><instance><hostName>h3</hostName><app>OTHER</app><ipAddr>no address</ipAddr>
 <status>SLEEPING</status></instance></application></applications>"#;
 
-fn read(form: Form, encoding: Encoding, bytes: &[u8], piece: usize) -> Result<Vec<Item>, Fault> {
-    let mut reader = Reader::new(form, encoding);
+fn read(
+    form: AnswerFormat,
+    encoding: Encoding,
+    bytes: &[u8],
+    piece: usize,
+) -> Result<Vec<AnswerItem>, AnswerError> {
+    let mut reader = AnswerReader::new(form, encoding);
     let mut items = Vec::new();
     for part in bytes.chunks(piece.max(1)) {
         items.extend(reader.push(part)?);
@@ -51,30 +56,33 @@
     gzip.finish().unwrap()
 }
 
-fn keys() -> Keys {
-    Keys {
+fn keys() -> MetadataKeys {
+    MetadataKeys {
         id: Some("worker".to_owned()),
         zone: Some("zone".to_owned()),
         rack: Some("rack".to_owned()),
-        ..Keys::default()
+        ..MetadataKeys::default()
     }
 }
 
 /// Both forms come to the same, in whatever pieces they come.
 #[test]
-fn both_forms() {
-    for (form, text) in [(Form::Json, JSON), (Form::Xml, XML)] {
+fn json_and_xml_give_the_same_instances() {
+    for (form, text) in [(AnswerFormat::Json, JSON), (AnswerFormat::Xml, XML)] {
         let whole = read(form, Encoding::Plain, text.as_bytes(), usize::MAX).unwrap();
         assert_eq!(whole.len(), 4, "{form:?}");
-        assert_eq!(whole[0], Item::Hash("UP_2_OUT_OF_SERVICE_1_".to_owned()));
+        assert_eq!(
+            whole[0],
+            AnswerItem::Hash("UP_2_OUT_OF_SERVICE_1_".to_owned())
+        );
         let instances: Vec<&Instance> = whole
             .iter()
             .filter_map(|item| match item {
-                Item::Instance(instance) => Some(&**instance),
-                Item::Hash(_) => None,
+                AnswerItem::Instance(instance) => Some(&**instance),
+                AnswerItem::Hash(_) => None,
             })
             .collect();
-        let word = instances[0].word(&keys());
+        let word = instances[0].source_report(&keys());
         assert_eq!(
             (word.id.as_str(), word.status, word.zone.as_str()),
             ("w1", Status::Up, "keller-ost")
@@ -86,12 +94,12 @@
         );
         assert_eq!(word.started_at, Some(Micros(1_416_441_443_000_000)));
         assert_eq!(instances[0].secure_port, None);
-        let word = instances[1].word(&keys());
+        let word = instances[1].source_report(&keys());
         assert_eq!(
             (word.id.as_str(), word.status),
             ("h2:render:8000", Status::OutOfService)
         );
-        let word = instances[2].word(&keys());
+        let word = instances[2].source_report(&keys());
         assert_eq!(
             (word.id.as_str(), word.status, word.address),
             ("h3", Status::Unknown, None)
@@ -113,8 +121,8 @@
 
 /// Cut anywhere, an answer is a failed read and nothing worse.
 #[test]
-fn cut_at_every_byte() {
-    for (form, text) in [(Form::Json, JSON), (Form::Xml, XML)] {
+fn answers_truncated_at_every_byte() {
+    for (form, text) in [(AnswerFormat::Json, JSON), (AnswerFormat::Xml, XML)] {
         for cut in 0..text.len() {
             assert!(
                 read(form, Encoding::Plain, &text.as_bytes()[..cut], 64).is_err(),
@@ -133,27 +141,29 @@
 
 /// Depth, length, bombs: each breaks a bound and ends the read.
 #[test]
-fn hostile_bodies() {
-    let json = |text: &str| read(Form::Json, Encoding::Plain, text.as_bytes(), 4096).unwrap_err();
-    let xml = |text: &str| read(Form::Xml, Encoding::Plain, text.as_bytes(), 4096).unwrap_err();
-    assert_eq!(json(&"[".repeat(100_000)), Fault::TooDeep);
-    assert_eq!(xml(&"<a>".repeat(100_000)), Fault::TooDeep);
+fn hostile_answers_are_rejected() {
+    let json =
+        |text: &str| read(AnswerFormat::Json, Encoding::Plain, text.as_bytes(), 4096).unwrap_err();
+    let xml =
+        |text: &str| read(AnswerFormat::Xml, Encoding::Plain, text.as_bytes(), 4096).unwrap_err();
+    assert_eq!(json(&"[".repeat(100_000)), AnswerError::TooDeep);
+    assert_eq!(xml(&"<a>".repeat(100_000)), AnswerError::TooDeep);
     let long = "x".repeat(70_000);
     assert_eq!(
         json(&format!(r#"{{"instance":{{"instanceId":"{long}"}}}}"#)),
-        Fault::TooLong
+        AnswerError::TooLong
     );
     assert_eq!(
         xml(&format!(
             "<a><instance><instanceId>{long}</instanceId></instance></a>"
         )),
-        Fault::TooLong
+        AnswerError::TooLong
     );
     let bomb = r#"<!DOCTYPE a [<!ENTITY x "xxxxxxxx">]><a><instance><instanceId>&x;</instanceId></instance></a>"#;
-    assert!(matches!(xml(bomb), Fault::Malformed(_)));
+    assert!(matches!(xml(bomb), AnswerError::Malformed(_)));
     assert!(matches!(
         xml("<a><instance><instanceId>&lol;</instanceId></instance></a>"),
-        Fault::Malformed(_)
+        AnswerError::Malformed(_)
     ));
     for wrong in [
         "",
@@ -165,7 +175,7 @@
         r#"{"instance":{"a":1e}}"#,
     ] {
         assert!(
-            read(Form::Json, Encoding::Plain, wrong.as_bytes(), 9).is_err(),
+            read(AnswerFormat::Json, Encoding::Plain, wrong.as_bytes(), 9).is_err(),
             "{wrong}"
         );
     }
@@ -173,15 +183,15 @@
         "[{}]",
         vec![r#"{"instance":{"instanceId":"i","port":99999999999999999999}}"#; 70_000].join(",")
     );
-    assert_eq!(json(&many), Fault::TooMany);
+    assert_eq!(json(&many), AnswerError::TooMany);
     // 60 MB and more in a few kilobytes.
     let blank = zipped(&format!("[{}]", " ".repeat(70 << 20)));
     assert!(blank.len() < 1 << 20);
     assert_eq!(
-        read(Form::Json, Encoding::Gzip, &blank, 1 << 16),
-        Err(Fault::TooLong)
+        read(AnswerFormat::Json, Encoding::Gzip, &blank, 1 << 16),
+        Err(AnswerError::TooLong)
     );
-    assert!(read(Form::Json, Encoding::Gzip, b"not gzip at all", 4).is_err());
+    assert!(read(AnswerFormat::Json, Encoding::Gzip, b"not gzip at all", 4).is_err());
 }
 
 proptest! {
@@ -189,8 +199,8 @@
 
     /// Mutated in any way, an answer panics nowhere.
     #[test]
-    fn mutated(xml in any::<bool>(), piece in 1..500usize, cuts in proptest::collection::vec((0..4000usize, any::<u8>()), 0..8)) {
-        let (form, text) = if xml { (Form::Xml, XML) } else { (Form::Json, JSON) };
+    fn mutated_answers_do_not_panic(xml in any::<bool>(), piece in 1..500usize, cuts in proptest::collection::vec((0..4000usize, any::<u8>()), 0..8)) {
+        let (form, text) = if xml { (AnswerFormat::Xml, XML) } else { (AnswerFormat::Json, JSON) };
         let mut bytes = text.as_bytes().to_vec();
         for (at, byte) in cuts {
             let at = at % bytes.len();
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -5,7 +5,7 @@
 use crate::discovery::Listing;
 use marbledeck_consensus::Terms;
 use marbledeck_dispatcher::{CellId, Micros, Settings};
-use marbledeck_eureka::{Form, Keys};
+use marbledeck_eureka::{AnswerFormat, MetadataKeys};
 use marbledeck_membership::{SelfPreservation, SourceReport, Status};
 use marbledeck_platform_settings::{PlatformSettings, ReportFields};
 use serde::de::DeserializeOwned;
@@ -800,8 +800,8 @@
     pub timeout: Micros,
     pub full: Micros,
     pub deltas: bool,
-    pub form: Form,
-    pub keys: Keys,
+    pub form: AnswerFormat,
+    pub keys: MetadataKeys,
     /// The node's own entry; none where it is not to register.
     pub register: Option<Registration>,
 }
@@ -955,8 +955,8 @@
             return err(format!("{source}: vip"), "want a plain word");
         }
         let form = match self.form.as_str() {
-            "json" => Form::Json,
-            "xml" => Form::Xml,
+            "json" => AnswerFormat::Json,
+            "xml" => AnswerFormat::Xml,
             _ => return err(format!("{source}: form"), "want json or xml"),
         };
         let secs = |s: usize| Micros(s as u64 * 1_000_000);
@@ -988,7 +988,7 @@
             full: secs(self.full_s),
             deltas: self.deltas,
             form,
-            keys: Keys {
+            keys: MetadataKeys {
                 id: self.id_key,
                 zone: self.zone_key,
                 kind: self.kind_key,
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -7,7 +7,9 @@
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
 use marbledeck_dispatcher::Micros;
-use marbledeck_eureka::{Change, Encoding, Form, Lease, LeaseAsk, LeaseSettings, Poll, Settings};
+use marbledeck_eureka::{
+    AnswerFormat, Change, Encoding, Lease, LeaseRequest, LeaseSettings, Poll, PollSettings,
+};
 use marbledeck_membership::{MembershipChange, SourceId};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -39,7 +41,7 @@
     }
 
     fn ask(&mut self, now: Micros, registries: &[SocketAddr], peer: Peer, net: &mut Net) {
-        while let Some(ask) = self.lease.ask(now) {
+        while let Some(ask) = self.lease.next_request(now) {
             self.close(net);
             let addr = registries[ask.registry];
             match net.connect(addr, peer) {
@@ -50,7 +52,7 @@
                 }
                 Err(e) => {
                     log::warn!("eureka: {e}");
-                    self.lease.failed(now, ask.number);
+                    self.lease.handle_failure(now, ask.number);
                 }
             }
         }
@@ -66,18 +68,18 @@
                 if !(200..300).contains(&head.status) {
                     log::warn!("eureka: status {} on the node's own entry", head.status);
                 }
-                self.lease.answered(now, number, head.status);
+                self.lease.handle_answer(now, number, head.status);
                 self.close(net);
             }
             _ => {
-                self.lease.failed(now, number);
+                self.lease.handle_failure(now, number);
                 self.close(net);
             }
         }
     }
 }
 
-fn said(ask: &LeaseAsk, addr: SocketAddr) -> Vec<u8> {
+fn said(ask: &LeaseRequest, addr: SocketAddr) -> Vec<u8> {
     let (method, path, body) = (ask.method, &ask.path, &ask.body);
     let kind = match body.is_empty() {
         true => "",
@@ -95,7 +97,7 @@
     source: SourceId,
     poll: Poll,
     registries: Vec<SocketAddr>,
-    form: Form,
+    form: AnswerFormat,
     peer: Peer,
     call: Option<Call>,
     /// What the membership is still to be told.
@@ -109,7 +111,7 @@
 impl Eureka {
     pub fn new(config: EurekaConfig, source: SourceId, peer: Peer, now: Micros, seed: u64) -> Self {
         let registries: Vec<SocketAddr> = config.urls.iter().map(|url| url.addr).collect();
-        let settings = Settings {
+        let settings = PollSettings {
             registries: registries.len(),
             path: config
                 .urls
@@ -118,9 +120,9 @@
             apps: config.apps,
             vip: config.vip,
             keys: config.keys,
-            every: config.poll,
+            interval: config.poll,
             timeout: config.timeout,
-            full: config.full,
+            min_full_interval: config.full,
             deltas: config.deltas,
         };
         let own = config.register.map(|own| Own {
@@ -130,8 +132,8 @@
                     path: settings.path.clone(),
                     app: own.app,
                     id: own.id,
-                    addr: own.addr,
-                    renew: own.renew,
+                    address: own.addr,
+                    renewal_interval: own.renew,
                     timeout: settings.timeout,
                 },
                 now,
@@ -154,7 +156,7 @@
 
     /// Asks what is to be asked now.
     fn ask(&mut self, now: Micros, net: &mut Net) {
-        while let Some(ask) = self.poll.ask(now) {
+        while let Some(ask) = self.poll.next_request(now) {
             // One that took too long was given up by that.
             if let Some(call) = self.call.take() {
                 net.close(call.token);
@@ -163,13 +165,13 @@
             let token = match net.connect(addr, self.peer) {
                 Ok(token) => token,
                 Err(e) => {
-                    self.poll.failed(now, ask.number, &e.to_string());
+                    self.poll.handle_failure(now, ask.number, &e.to_string());
                     continue;
                 }
             };
             let accept = match self.form {
-                Form::Json => "application/json",
-                Form::Xml => "application/xml",
+                AnswerFormat::Json => "application/json",
+                AnswerFormat::Xml => "application/xml",
             };
             let request = format!(
                 "GET {} HTTP/1.1\r\nHost: {addr}\r\nAccept: {accept}\r\nAccept-Encoding: gzip\r\n\
@@ -184,8 +186,8 @@
                 head: None,
             });
         }
-        if self.said != self.poll.trouble {
-            self.said.clone_from(&self.poll.trouble);
+        if self.said != self.poll.last_failure {
+            self.said.clone_from(&self.poll.last_failure);
             match &self.said {
                 Some(trouble) => log::warn!("eureka: {trouble}"),
                 None => log::info!("eureka: {} instances", self.poll.instances()),
@@ -210,11 +212,12 @@
                         Encoding::Plain
                     };
                     let form = match head.fields.get("Content-Type") {
-                        Some(kind) if kind.contains("xml") => Form::Xml,
-                        Some(kind) if kind.contains("json") => Form::Json,
+                        Some(kind) if kind.contains("xml") => AnswerFormat::Xml,
+                        Some(kind) if kind.contains("json") => AnswerFormat::Json,
                         _ => self.form,
                     };
-                    self.poll.head(now, number, head.status, form, encoding);
+                    self.poll
+                        .handle_head(now, number, head.status, form, encoding);
                     match Body::of_long_response(&head, MAX_ANSWER) {
                         Ok(body) => call.head = Some((head, body)),
                         Err(e) => return self.fail(now, &e.to_string(), net),
@@ -230,12 +233,12 @@
                 Ok(used) => conn.input.consume(used),
                 Err(e) => return self.fail(now, &e.to_string(), net),
             }
-            self.poll.bytes(now, number, &content);
+            self.poll.handle_bytes(now, number, &content);
             over = body.is_done() || conn.eof && body.ends_with_connection();
         }
         let broken = conn.eof || conn.broken;
         if over {
-            self.poll.end(now, number);
+            self.poll.handle_end(now, number);
             self.close(net);
         } else if broken {
             self.fail(now, "the connection broke", net);
@@ -245,7 +248,7 @@
 
     fn fail(&mut self, now: Micros, why: &str, net: &mut Net) {
         if let Some(call) = &self.call {
-            self.poll.failed(now, call.number, why);
+            self.poll.handle_failure(now, call.number, why);
         }
         self.close(net);
     }
@@ -342,7 +345,7 @@
     /// Another process renews the node's entry from now on: without a gap, and without a cancel.
     fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
         if let Some(own) = &mut self.own {
-            own.lease.set_handed_on(context.now, succeeded);
+            own.lease.set_handed_over(context.now, succeeded);
             if succeeded {
                 own.close(&mut context.net);
             }
@@ -351,7 +354,7 @@
 
     fn end(&mut self, now: Micros) {
         if let Some(own) = &mut self.own {
-            own.lease.leave(now);
+            own.lease.deregister(now);
         }
     }
 }
