--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -7,7 +7,7 @@
 mod v2;
 
 use marbledeck_submission_client::{Client, Settings, Template};
-use marbledeck_test_support::{Act, Lab, Options};
+use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment};
 use std::fmt::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
@@ -38,7 +38,7 @@
 
 /// A node between stand-ins, and who speaks to it.
 pub struct World {
-    pub lab: Lab,
+    pub lab: TestEnvironment,
     pub client: Client,
 }
 
@@ -46,23 +46,23 @@
     /// Starts a node with three workers. `/slow...` runs for four seconds, `/fail...` fails, `/returned...` is handed
     /// back once; all else is made in a few milliseconds.
     pub fn start() -> Self {
-        let lab = Lab::start(Options {
-            front: "history = 64\nretain_s = 600\nmax_sessions = 120".to_owned(),
-            ..Options::default()
+        let lab = TestEnvironment::start(EnvironmentOptions {
+            submission_keys: "history = 64\nretain_s = 600\nmax_sessions = 120".to_owned(),
+            ..EnvironmentOptions::default()
         });
         for worker in &lab.workers {
-            worker.behave(|job| {
+            worker.set_behaviour(|job| {
                 let ms = Duration::from_millis;
                 match job.target.as_str() {
                     target if target.starts_with("/slow") => {
-                        Act::Serve(ms(4000), "late".to_owned())
+                        JobBehaviour::Serve(ms(4000), "late".to_owned())
                     }
-                    target if target.starts_with("/fail") => Act::Fail(ms(5)),
-                    target => Act::Serve(ms(5), format!("made {target}")),
+                    target if target.starts_with("/fail") => JobBehaviour::Fail(ms(5)),
+                    target => JobBehaviour::Serve(ms(5), format!("made {target}")),
                 }
             });
         }
-        let client = Client::new(Settings::at(lab.submitters.clone()));
+        let client = Client::new(Settings::at(lab.submission_address.clone()));
         World { lab, client }
     }
 
--- a/crates/conformance/src/v1.rs
+++ b/crates/conformance/src/v1.rs
@@ -54,7 +54,7 @@
         .env("LD_LIBRARY_PATH", library().parent().expect("a folder"));
     let output = run
         .arg(name)
-        .arg(&world.lab.submitters)
+        .arg(&world.lab.submission_address)
         .arg(world.lab.folder())
         .output();
     let output = output.expect("it was compiled");
--- a/crates/conformance/src/v2.rs
+++ b/crates/conformance/src/v2.rs
@@ -260,7 +260,11 @@
                 )
                 .unwrap();
             done(w, &job.job_id);
-            let begun = w.lab.workers.iter().flat_map(|worker| worker.begun());
+            let begun = w
+                .lab
+                .workers
+                .iter()
+                .flat_map(|worker| worker.started_jobs());
             let body = begun
                 .into_iter()
                 .find(|job| job.target == "/with-args")
@@ -530,7 +534,7 @@
             "GFD.231, 7.1",
             "A session can be opened again, also after the connection that made it has ended",
             |w| {
-                let first = Client::new(Settings::at(w.lab.submitters.clone()));
+                let first = Client::new(Settings::at(w.lab.submission_address.clone()));
                 first
                     .raw(Op::CreateSession {
                         name: "c2".to_owned(),
@@ -649,19 +653,25 @@
                 let first = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
                 for worker in &w.lab.workers {
                     let first = first.clone();
-                    worker.behave(move |job| {
+                    worker.set_behaviour(move |job| {
                         let ms = Duration::from_millis;
                         let again = job.target == "/returned"
                             && first.swap(false, std::sync::atomic::Ordering::SeqCst);
                         match job.target.as_str() {
-                            _ if again => marbledeck_test_support::Act::Return(ms(5)),
+                            _ if again => marbledeck_test_support::JobBehaviour::HandBack(ms(5)),
                             t if t.starts_with("/slow") => {
-                                marbledeck_test_support::Act::Serve(ms(4000), "late".to_owned())
+                                marbledeck_test_support::JobBehaviour::Serve(
+                                    ms(4000),
+                                    "late".to_owned(),
+                                )
                             }
                             t if t.starts_with("/fail") => {
-                                marbledeck_test_support::Act::Fail(ms(5))
+                                marbledeck_test_support::JobBehaviour::Fail(ms(5))
                             }
-                            t => marbledeck_test_support::Act::Serve(ms(5), format!("made {t}")),
+                            t => marbledeck_test_support::JobBehaviour::Serve(
+                                ms(5),
+                                format!("made {t}"),
+                            ),
                         }
                     });
                 }
@@ -777,7 +787,7 @@
                 for worker in &w.lab.workers {
                     most = most.max(
                         worker
-                            .begun()
+                            .started_jobs()
                             .iter()
                             .filter(|job| job.target == "/bound")
                             .count(),
@@ -844,8 +854,10 @@
                 assert!(has(w, "CALLBACK"));
                 let (sender, events) = channel();
                 let tell = move |event: Event| drop(sender.send(event));
-                let reader =
-                    Client::with_events(Settings::at(w.lab.submitters.clone()), Box::new(tell));
+                let reader = Client::with_events(
+                    Settings::at(w.lab.submission_address.clone()),
+                    Box::new(tell),
+                );
                 reader.open_session("c9", true, None).unwrap();
                 let job = w.client.run(w.preview("/x"), Some("c9")).unwrap();
                 let mut states = Vec::new();
@@ -876,8 +888,10 @@
                 ids.iter().for_each(|id| drop(done(w, id)));
                 let (sender, events) = channel();
                 let tell = move |event: Event| drop(sender.send(event));
-                let reader =
-                    Client::with_events(Settings::at(w.lab.submitters.clone()), Box::new(tell));
+                let reader = Client::with_events(
+                    Settings::at(w.lab.submission_address.clone()),
+                    Box::new(tell),
+                );
                 let last = reader.open_session("c10", false, Some(0)).unwrap();
                 let Event::Gap { from, to, .. } =
                     events.recv_timeout(Duration::from_secs(30)).unwrap()
@@ -1034,7 +1048,7 @@
             |w| {
                 let job = w.held("/x", None);
                 let wait = || {
-                    let (at, id) = (w.lab.submitters.clone(), job.clone());
+                    let (at, id) = (w.lab.submission_address.clone(), job.clone());
                     std::thread::spawn(move || {
                         let client = Client::new(Settings::at(at));
                         client
@@ -1091,7 +1105,11 @@
                     .control(terminate(Targets::array(array.clone())))
                     .unwrap();
                 assert!(ids.iter().all(|id| state(w, id) == JobState::Failed));
-                let begun = w.lab.workers.iter().flat_map(|worker| worker.begun());
+                let begun = w
+                    .lab
+                    .workers
+                    .iter()
+                    .flat_map(|worker| worker.started_jobs());
                 assert!(begun.filter(|job| job.target == "/slow-array").count() <= 2);
                 true
             },
@@ -1152,7 +1170,10 @@
                 let names = Some(vec!["w2".to_owned()]);
                 let told = w.client.raw(Op::GetAllMachines { names }).unwrap();
                 assert_eq!(told["machines"].as_array().unwrap().len(), 1);
-                assert_eq!(w.lab.operate("set-down w3").as_deref(), Some("ACK w3 out"));
+                assert_eq!(
+                    w.lab.call_admin("set-down w3").as_deref(),
+                    Some("ACK w3 out")
+                );
                 let out = w
                     .client
                     .machines()
@@ -1160,7 +1181,7 @@
                     .into_iter()
                     .find(|m| m.name == "w3")
                     .unwrap();
-                w.lab.operate("set-up w3");
+                w.lab.call_admin("set-up w3");
                 assert!(!out.available && out.state == "out");
                 true
             },
@@ -1180,7 +1201,10 @@
 fn history(world: &World, name: &str, count: usize) -> Vec<JobState> {
     let (sender, events) = channel();
     let tell = move |event: Event| drop(sender.send(event));
-    let reader = Client::with_events(Settings::at(world.lab.submitters.clone()), Box::new(tell));
+    let reader = Client::with_events(
+        Settings::at(world.lab.submission_address.clone()),
+        Box::new(tell),
+    );
     reader.open_session(name, false, Some(0)).unwrap();
     let next = || match events.recv_timeout(Duration::from_secs(30)).unwrap() {
         Event::NewState { job_state, .. } => job_state,
--- a/crates/drmaa/tests/programs.rs
+++ b/crates/drmaa/tests/programs.rs
@@ -1,18 +1,18 @@
 //! Programs of others against the library and a node between stand-ins: one in C, and an unchanged stock binding of
 //! Python with its own examples.
 
-use marbledeck_test_support::{Act, Lab, Options};
+use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::time::Duration;
 
-fn lab() -> Lab {
-    let lab = Lab::start(Options::default());
+fn lab() -> TestEnvironment {
+    let lab = TestEnvironment::start(EnvironmentOptions::default());
     for worker in &lab.workers {
-        worker.behave(|job| match job.target.as_str() {
-            "/slow" => Act::Serve(Duration::from_secs(5), "late".to_owned()),
-            "/failing" => Act::Fail(Duration::from_millis(5)),
-            target => Act::Serve(Duration::from_millis(5), format!("made {target}")),
+        worker.set_behaviour(|job| match job.target.as_str() {
+            "/slow" => JobBehaviour::Serve(Duration::from_secs(5), "late".to_owned()),
+            "/failing" => JobBehaviour::Fail(Duration::from_millis(5)),
+            target => JobBehaviour::Serve(Duration::from_millis(5), format!("made {target}")),
         });
     }
     lab
@@ -54,14 +54,14 @@
     let mut run = Command::new(&program);
     run.env_remove("DRMAA_CONTACT")
         .env("LD_LIBRARY_PATH", library().parent().unwrap());
-    run.arg(&lab.submitters).arg(lab.folder());
+    run.arg(&lab.submission_address).arg(lab.folder());
     let out = checked("session", run.output().unwrap());
     assert_eq!(out, "all steps\n");
     // Each job ran as often as it was handed in.
     let begun: Vec<String> = lab
         .workers
         .iter()
-        .flat_map(|w| w.begun())
+        .flat_map(|w| w.started_jobs())
         .map(|j| j.target)
         .collect();
     let of = |target: &str| begun.iter().filter(|t| *t == target).count();
@@ -94,7 +94,7 @@
         run.env("DRMAA_LIBRARY_PATH", library());
         run.env(
             "DRMAA_CONTACT",
-            format!("{} class=preview tenant=au", lab.submitters),
+            format!("{} class=preview tenant=au", lab.submission_address),
         );
         run.env("LC_ALL", "C.UTF-8");
         let out = checked(&file.display().to_string(), run.output().unwrap());
@@ -102,6 +102,6 @@
         ran += 1;
     }
     assert!(ran >= 10, "{ran} examples");
-    let begun: usize = lab.workers.iter().map(|w| w.begun().len()).sum();
+    let begun: usize = lab.workers.iter().map(|w| w.started_jobs().len()).sum();
     assert!(begun >= 50, "{begun} jobs ran");
 }
--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -1,6 +1,6 @@
 //! The command line, against a node between stand-ins and against nothing.
 
-use marbledeck_test_support::{Act, Lab, Options};
+use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment};
 use rstest::rstest;
 use serde_json::Value;
 use std::process::{Command, Output};
@@ -20,13 +20,13 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn lab() -> Lab {
-    let lab = Lab::start(Options::default());
+fn lab() -> TestEnvironment {
+    let lab = TestEnvironment::start(EnvironmentOptions::default());
     for worker in &lab.workers {
-        worker.behave(|job| match job.target.as_str() {
-            "/failing" => Act::Fail(Duration::from_millis(2)),
-            "/slow" => Act::Serve(Duration::from_secs(4), "late".to_owned()),
-            target => Act::Serve(Duration::from_millis(2), format!("made {target}")),
+        worker.set_behaviour(|job| match job.target.as_str() {
+            "/failing" => JobBehaviour::Fail(Duration::from_millis(2)),
+            "/slow" => JobBehaviour::Serve(Duration::from_secs(4), "late".to_owned()),
+            target => JobBehaviour::Serve(Duration::from_millis(2), format!("made {target}")),
         });
     }
     lab
@@ -72,7 +72,7 @@
 #[test]
 fn jobs_from_the_command_line() {
     let lab = lab();
-    let run = |words: &[&str]| marbledeck(&lab.submitters, words);
+    let run = |words: &[&str]| marbledeck(&lab.submission_address, words);
     let preview = ["--class", "preview", "--tenant", "au"];
     let with = |words: &[&str]| run(&[words, &preview[..]].concat());
     // A result comes as it was made; a failure is status 1, what the node denies 3.
@@ -206,7 +206,7 @@
     let begun = lab
         .workers
         .iter()
-        .flat_map(|w| w.begun())
+        .flat_map(|w| w.started_jobs())
         .find(|j| j.target == "/with-input");
     assert_eq!(begun.unwrap().body, b"\x00\xff reel");
     assert_eq!(out(&run(&["machines"])).lines().count(), 3);
@@ -220,8 +220,11 @@
 #[test]
 fn machines_out_by_hand() {
     let lab = lab();
-    assert_eq!(lab.operate("set-down w2").as_deref(), Some("ACK w2 out"));
-    let machines = out(&marbledeck(&lab.submitters, &["machines", "--json"]));
+    assert_eq!(lab.call_admin("set-down w2").as_deref(), Some("ACK w2 out"));
+    let machines = out(&marbledeck(
+        &lab.submission_address,
+        &["machines", "--json"],
+    ));
     let machines: Vec<Value> = machines
         .lines()
         .map(|l| serde_json::from_str(l).unwrap())
--- a/crates/node/tests/eureka.rs
+++ b/crates/node/tests/eureka.rs
@@ -1,12 +1,12 @@
 //! A node that learns of its workers from a Eureka registry, a stand-in of our own, while that has its bad days.
 
-use marbledeck_test_support::{Lab, Mood, Options, Registry};
+use marbledeck_test_support::{EnvironmentOptions, EurekaBehaviour, EurekaStub, TestEnvironment};
 use std::process::Command;
 use std::time::{Duration, Instant};
 
 const APP: &str = "RENDER";
 
-fn site(registries: &[&Registry], more: &str) -> String {
+fn site(registries: &[&EurekaStub], more: &str) -> String {
     let urls: Vec<String> = registries
         .iter()
         .map(|r| format!("\"{}\"", r.url()))
@@ -18,19 +18,19 @@
     )
 }
 
-fn lab(registries: &[&Registry], more: &str) -> Lab {
-    let lab = Lab::start(Options {
-        listed: Some(0),
-        site: site(registries, more),
-        ..Options::default()
+fn lab(registries: &[&EurekaStub], more: &str) -> TestEnvironment {
+    let lab = TestEnvironment::start(EnvironmentOptions {
+        listed_workers: Some(0),
+        operator_keys: site(registries, more),
+        ..EnvironmentOptions::default()
     });
     for registry in registries {
         for worker in &lab.workers {
-            registry.register(APP, &worker.id, worker.addr);
+            registry.register(APP, &worker.id, worker.address);
         }
     }
     for worker in &lab.workers {
-        lab.until_member(&worker.id, is_in);
+        lab.wait_for_member(&worker.id, is_in);
     }
     lab
 }
@@ -47,7 +47,7 @@
     line.is_some_and(|line| line.contains(" in ") && line.contains("kept while it answers"))
 }
 
-fn run(lab: &Lab, target: &str) -> bool {
+fn run(lab: &TestEnvironment, target: &str) -> bool {
     let mut command = Command::new(env!("CARGO_BIN_EXE_marbledeck"));
     command.args([
         "job",
@@ -60,7 +60,7 @@
         "--wait",
         "--quiet",
         "--node",
-        &lab.submitters,
+        &lab.submission_address,
     ]);
     command.output().unwrap().status.success()
 }
@@ -69,16 +69,16 @@
 #[test]
 fn workers_come_and_go() {
     for more in ["", "form = \"xml\""] {
-        let registry = Registry::start();
+        let registry = EurekaStub::start();
         let lab = lab(&[&registry], more);
         assert!(run(&lab, "/x"));
         registry.override_status(APP, "w1", "OUT_OF_SERVICE");
-        lab.until_member("w1", is_out);
+        lab.wait_for_member("w1", is_out);
         registry.override_status(APP, "w1", "UP");
-        lab.until_member("w1", is_in);
+        lab.wait_for_member("w1", is_in);
         registry.remove(APP, "w2", true);
-        lab.until_member("w2", |line| line.is_none());
-        assert!(registry.asked("/eureka/apps/delta") > 0);
+        lab.wait_for_member("w2", |line| line.is_none());
+        assert!(registry.request_count("/eureka/apps/delta") > 0);
         assert!(run(&lab, "/y"));
     }
 }
@@ -87,10 +87,10 @@
 /// is dead goes.
 #[test]
 fn bad_days_of_a_registry() {
-    let registry = Registry::start();
+    let registry = EurekaStub::start();
     let lab = lab(&[&registry], "");
     registry.restart();
-    lab.until_member("w3", is_doubtful);
+    lab.wait_for_member("w3", is_doubtful);
     assert!(run(&lab, "/x"));
     assert_eq!(
         lab.members()
@@ -100,70 +100,70 @@
         3
     );
     for worker in lab.workers.iter().rev() {
-        registry.register(APP, &worker.id, worker.addr);
+        registry.register(APP, &worker.id, worker.address);
     }
-    lab.until_member("w3", |line| is_in(line) && !is_doubtful(line));
+    lab.wait_for_member("w3", |line| is_in(line) && !is_doubtful(line));
     registry.remove(APP, "w1", false);
-    lab.until_member("w1", is_doubtful);
+    lab.wait_for_member("w1", is_doubtful);
     // A dead one that is no longer named goes by its own signs.
     let nobody = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     registry.register(APP, "dead", nobody);
-    lab.until_member("dead", is_in);
+    lab.wait_for_member("dead", is_in);
     registry.remove(APP, "dead", false);
-    lab.until_member("dead", |line| line.is_none());
-    lab.until_member("w1", is_doubtful);
+    lab.wait_for_member("dead", |line| line.is_none());
+    lab.wait_for_member("w1", is_doubtful);
     assert!(run(&lab, "/y"));
 }
 
 /// Wrong hash codes, lost deltas, errors, cut and late answers: what the registry holds is known in the end.
 #[test]
 fn odd_answers() {
-    let registry = Registry::start();
+    let registry = EurekaStub::start();
     let lab = lab(&[&registry], "");
     let moods = [
-        Mood {
+        EurekaBehaviour {
             wrong_hash: true,
-            ..Mood::default()
+            ..EurekaBehaviour::default()
         },
-        Mood {
-            loses_deltas: true,
-            ..Mood::default()
+        EurekaBehaviour {
+            omits_deltas: true,
+            ..EurekaBehaviour::default()
         },
-        Mood {
+        EurekaBehaviour {
             status: Some(503),
-            ..Mood::default()
+            ..EurekaBehaviour::default()
         },
-        Mood {
+        EurekaBehaviour {
             status: Some(429),
-            ..Mood::default()
+            ..EurekaBehaviour::default()
         },
-        Mood {
-            cut: Some(150),
-            ..Mood::default()
+        EurekaBehaviour {
+            truncate_after: Some(150),
+            ..EurekaBehaviour::default()
         },
-        Mood {
-            late: Duration::from_millis(1500),
-            ..Mood::default()
+        EurekaBehaviour {
+            delay: Duration::from_millis(1500),
+            ..EurekaBehaviour::default()
         },
-        Mood {
+        EurekaBehaviour {
             empty: true,
-            ..Mood::default()
+            ..EurekaBehaviour::default()
         },
     ];
     for (n, mood) in moods.into_iter().enumerate() {
-        registry.set_mood(mood.clone());
+        registry.set_behaviour(mood.clone());
         let id = format!("x{n}");
-        registry.register(APP, &id, lab.workers[0].addr);
+        registry.register(APP, &id, lab.workers[0].address);
         registry.override_status(APP, "w2", "OUT_OF_SERVICE");
         std::thread::sleep(Duration::from_millis(300));
-        registry.set_mood(Mood::default());
-        lab.until_member(&id, |line| line.is_some());
-        lab.until_member("w2", is_out);
+        registry.set_behaviour(EurekaBehaviour::default());
+        lab.wait_for_member(&id, |line| line.is_some());
+        lab.wait_for_member("w2", is_out);
         registry.override_status(APP, "w2", "UP");
-        lab.until_member("w2", is_in);
+        lab.wait_for_member("w2", is_in);
         assert!(
             lab.members()
                 .iter()
@@ -178,82 +178,85 @@
 /// The first registry falls silent: the second is asked, and a drain that it tells is kept.
 #[test]
 fn a_failover_with_a_drain() {
-    let (first, second) = (Registry::start(), Registry::start());
+    let (first, second) = (EurekaStub::start(), EurekaStub::start());
     let lab = lab(&[&first, &second], "");
     second.override_status(APP, "w1", "OUT_OF_SERVICE");
-    first.set_mood(Mood {
+    first.set_behaviour(EurekaBehaviour {
         silent: true,
-        ..Mood::default()
+        ..EurekaBehaviour::default()
     });
-    lab.until_member("w1", is_out);
-    let before = lab.workers[0].begun().len();
+    lab.wait_for_member("w1", is_out);
+    let before = lab.workers[0].started_jobs().len();
     for n in 0..20 {
         assert!(run(&lab, &format!("/{n}")));
     }
-    assert_eq!(lab.workers[0].begun().len(), before);
+    assert_eq!(lab.workers[0].started_jobs().len(), before);
 }
 
 /// The same worker in the directory, the registry and by hand: each word against it counts. Static workers are there.
 #[test]
 fn several_sources() {
-    let registry = Registry::start();
-    let spare = marbledeck_test_support::Worker::start("spare", 4);
-    let statics = format!("[[static]]\nid = \"spare\"\naddress = \"{}\"\n", spare.addr);
+    let registry = EurekaStub::start();
+    let spare = marbledeck_test_support::WorkerStub::start("spare", 4);
+    let statics = format!(
+        "[[static]]\nid = \"spare\"\naddress = \"{}\"\n",
+        spare.address
+    );
     let lab = lab(&[&registry], &statics);
-    lab.until_member("spare", is_in);
+    lab.wait_for_member("spare", is_in);
     let w1 = &lab.workers[0];
-    lab.directory.set("w1", w1.addr, "up");
-    lab.until_member("w1", |line| {
+    lab.discovery.set_worker("w1", w1.address, "up");
+    lab.wait_for_member("w1", |line| {
         line.is_some_and(|line| line.contains("directory: up") && line.contains("eureka: up"))
     });
-    lab.directory.set("w1", w1.addr, "draining");
-    lab.until_member("w1", |line| {
+    lab.discovery.set_worker("w1", w1.address, "draining");
+    lab.wait_for_member("w1", |line| {
         line.is_some_and(|line| line.contains("directory says draining"))
     });
-    lab.directory.set("w1", w1.addr, "up");
-    lab.until_member("w1", is_in);
-    assert_eq!(lab.operate("set-down w1").as_deref(), Some("ACK w1 out"));
-    lab.until_member("w1", |line| {
+    lab.discovery.set_worker("w1", w1.address, "up");
+    lab.wait_for_member("w1", is_in);
+    assert_eq!(lab.call_admin("set-down w1").as_deref(), Some("ACK w1 out"));
+    lab.wait_for_member("w1", |line| {
         line.is_some_and(|line| line.contains("out by hand"))
     });
-    lab.directory.set("w1", w1.addr, "removed");
+    lab.discovery.set_worker("w1", w1.address, "removed");
     registry.override_status(APP, "w1", "DOWN");
-    lab.until_member("w1", is_out);
+    lab.wait_for_member("w1", is_out);
 }
 
 /// An upgrade while the registry is silent: the new process has the fleet of the old one, and who is out by hand.
 #[test]
 fn an_upgrade_with_a_silent_registry() {
-    let registry = Registry::start();
+    let registry = EurekaStub::start();
     let mut lab = lab(&[&registry], "");
-    lab.operate("set-down w2");
-    registry.set_mood(Mood {
+    lab.call_admin("set-down w2");
+    registry.set_behaviour(EurekaBehaviour {
         silent: true,
-        ..Mood::default()
+        ..EurekaBehaviour::default()
     });
-    lab.succeed();
+    lab.start_successor();
     lab.signal(0, "-TERM");
-    assert!(lab.ends(0));
-    lab.until_member("w1", is_in);
-    lab.until_member("w2", is_out);
+    assert!(lab.exits_cleanly(0));
+    lab.wait_for_member("w1", is_in);
+    lab.wait_for_member("w2", is_out);
     assert!(run(&lab, "/x"));
 }
 
 /// From the registry's word to the node's: no job is sent to a worker longer than a poll after it is out of service.
 #[test]
 fn out_of_service_within_a_poll() {
-    let registry = Registry::start();
+    let registry = EurekaStub::start();
     let lab = lab(&[&registry], "");
     for _ in 0..3 {
         let told = Instant::now();
         registry.override_status(APP, "w3", "OUT_OF_SERVICE");
-        lab.until_member("w3", is_out);
+        lab.wait_for_member("w3", is_out);
         assert!(told.elapsed() < Duration::from_secs(20));
-        let begun = lab.workers[2].begun().len();
+        let begun = lab.workers[2].started_jobs().len();
         (0..5).for_each(|n| assert!(run(&lab, &format!("/{n}"))));
-        assert_eq!(lab.workers[2].begun().len(), begun);
+        assert_eq!(lab.workers[2].started_jobs().len(), begun);
         registry.override_status(APP, "w3", "UP");
-        lab.until_member("w3", is_in);
+        lab.wait_for_member("w3", is_in);
     }
 }
 
@@ -261,7 +264,7 @@
 /// taken out at the end.
 #[test]
 fn the_node_in_the_registry() {
-    let registry = Registry::start();
+    let registry = EurekaStub::start();
     let own =
         "[eureka.register]\napp = \"deck\"\nid = \"n0\"\naddress = \"127.0.0.1:9\"\nrenew_s = 1\n";
     let mut lab = lab(&[&registry], own);
@@ -277,10 +280,10 @@
         registry.status("DECK", "n0").as_deref() == Some("UP")
     });
     registry.remove("DECK", "n0", false);
-    until("registered anew", &|| registry.asked(path) >= 2);
-    lab.succeed();
+    until("registered anew", &|| registry.request_count(path) >= 2);
+    lab.start_successor();
     lab.signal(0, "-TERM");
-    assert!(lab.ends(0));
+    assert!(lab.exits_cleanly(0));
     assert_eq!(
         registry.status("DECK", "n0").as_deref(),
         Some("UP"),
@@ -288,7 +291,7 @@
     );
     assert_eq!(registry.cancels("DECK", "n0"), 1, "that of this test");
     lab.signal(1, "-TERM");
-    assert!(lab.ends(1));
+    assert!(lab.exits_cleanly(1));
     until("taken out", &|| registry.status("DECK", "n0").is_none());
 }
 
@@ -299,12 +302,12 @@
     let Some(binding) = std::env::var_os("MARBLEDECK_BINDING").map(std::path::PathBuf::from) else {
         return eprintln!("not run: `make test` fetches the client");
     };
-    let registry = Registry::start();
-    let lab = Lab::start(Options {
-        listed: Some(0),
+    let registry = EurekaStub::start();
+    let lab = TestEnvironment::start(EnvironmentOptions {
+        listed_workers: Some(0),
         workers: 1,
-        site: site(&[&registry], ""),
-        ..Options::default()
+        operator_keys: site(&[&registry], ""),
+        ..EnvironmentOptions::default()
     });
     let worker = &lab.workers[0];
     let script = "import sys, py_eureka_client.eureka_client as e\n\
@@ -317,18 +320,18 @@
         .arg("-c")
         .arg(script)
         .arg(registry.url())
-        .arg(worker.addr.port().to_string());
+        .arg(worker.address.port().to_string());
     python.stdin(std::process::Stdio::piped());
     let mut child = python.spawn().unwrap();
-    registry.expire();
-    lab.until_member("w1", is_in);
+    registry.enable_expiry();
+    lab.wait_for_member("w1", is_in);
     // Longer than its lease: it renews.
     std::thread::sleep(Duration::from_secs(5));
-    lab.until_member("w1", |line| is_in(line) && !is_doubtful(line));
+    lab.wait_for_member("w1", |line| is_in(line) && !is_doubtful(line));
     assert!(run(&lab, "/x"));
-    assert_eq!(worker.begun().len(), 1);
+    assert_eq!(worker.started_jobs().len(), 1);
     drop(child.stdin.take());
-    lab.until_member("w1", |line| !is_in(line) || is_doubtful(line));
+    lab.wait_for_member("w1", |line| !is_in(line) || is_doubtful(line));
     let _ = child.kill();
     let _ = child.wait();
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program that agree on records and share licence seats, while processes die or stand still,
 //! cables break and disks fill up. No verdict hangs on how fast the machine is.
 
-use marbledeck_test_support::{Act, Fleet, FleetOptions, Way};
+use marbledeck_test_support::{Cluster, ClusterOptions, JobBehaviour, LinkState};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -30,11 +30,11 @@
 
 /// Has a change made, through any node that can: one that was lost on the way is asked for again, and its version tells
 /// whether it holds already.
-fn agree(fleet: &Fleet, at: &[usize], record: &str, version: u64, body: &str) {
+fn agree(fleet: &Cluster, at: &[usize], record: &str, version: u64, body: &str) {
     for turn in 0..200 {
         let number = at[turn % at.len()];
         let answer = fleet
-            .operate(number, &change(record, version, body))
+            .call_admin(number, &change(record, version, body))
             .unwrap_or_default();
         if answer.starts_with("ACK") || answer.contains(&format!("has version {}", version + 1)) {
             return;
@@ -55,22 +55,22 @@
 /// is back. What was agreed is acted on: a worker out of service gets nothing more.
 #[test]
 fn the_leader_is_killed_mid_change() {
-    let mut fleet = Fleet::start(FleetOptions::default());
+    let mut fleet = Cluster::start(ClusterOptions::default());
     agree(&fleet, &[4], "workers/out", 0, r#"{"out":["w1"]}"#);
     for number in 1..=5 {
-        fleet.until(number, "the list", sees("workers/out", 1));
+        fleet.wait_for_records(number, "the list", sees("workers/out", 1));
     }
-    let before = fleet.workers[0].begun().len();
+    let before = fleet.workers[0].started_jobs().len();
     for n in 0..10 {
         assert_eq!(
-            job(&fleet.nodes[4].consumers, &format!("a{n}"), ""),
+            job(&fleet.nodes[4].client_address, &format!("a{n}"), ""),
             Some(200)
         );
     }
     assert_eq!(
         (
-            fleet.workers[0].begun().len(),
-            fleet.workers[1].begun().len()
+            fleet.workers[0].started_jobs().len(),
+            fleet.workers[1].started_jobs().len()
         ),
         (before, 10)
     );
@@ -78,7 +78,7 @@
     let leader = fleet.leader();
     let others: Vec<usize> = (1..=5).filter(|n| *n != leader).collect();
     let stop = Arc::new(AtomicBool::new(false));
-    let operators = fleet.nodes[4].operators.clone();
+    let operators = fleet.nodes[4].admin_address.clone();
     let changer = std::thread::spawn({
         let stop = stop.clone();
         move || {
@@ -100,7 +100,7 @@
             done
         }
     });
-    fleet.until(5, "the first changes", |text| {
+    fleet.wait_for_records(5, "the first changes", |text| {
         text.contains("settings/rates ")
     });
     fleet.kill(leader);
@@ -109,15 +109,15 @@
     let done = changer.join().expect("it ends");
     assert!(done > 0);
     for number in &others {
-        fleet.until(*number, "the rates", sees("settings/rates", done));
-        fleet.until(*number, "the pool", sees("seats/codec", 1));
+        fleet.wait_for_records(*number, "the rates", sees("settings/rates", done));
+        fleet.wait_for_records(*number, "the pool", sees("seats/codec", 1));
     }
     fleet.spawn(leader);
-    fleet.until(leader, "the rates", sees("settings/rates", done));
-    fleet.until(leader, "the list", sees("workers/out", 1));
+    fleet.wait_for_records(leader, "the rates", sees("settings/rates", done));
+    fleet.wait_for_records(leader, "the list", sees("workers/out", 1));
     // A version that has passed is refused, with what there is.
     let refused = fleet
-        .operate(5, &change("workers/out", 0, "null"))
+        .call_admin(5, &change("workers/out", 0, "null"))
         .unwrap_or_default();
     assert!(
         refused.starts_with("NAK workers/out: it has version 1, the change expects 0"),
@@ -130,21 +130,22 @@
 #[test]
 fn seats_hold_over_all_nodes_while_some_die() {
     let site = "[seats]\nlicences = [\"codec\"]\nidle_ms = 300\n".to_owned();
-    let mut fleet = Fleet::start(FleetOptions {
-        site,
+    let mut fleet = Cluster::start(ClusterOptions {
+        operator_keys: site,
         lease_ms: 900,
         workers: 1,
-        ..FleetOptions::default()
+        ..ClusterOptions::default()
     });
     // It counts a call as over before it says so, and goes on with those of a node that has died.
-    fleet.workers[0].behave(|_| Act::Serve(Duration::from_millis(80), "done".to_owned()));
+    fleet.workers[0]
+        .set_behaviour(|_| JobBehaviour::Serve(Duration::from_millis(80), "done".to_owned()));
     // Nobody has agreed on seats: jobs that need one are refused at once, others go on.
     assert_eq!(
-        job(&fleet.nodes[0].consumers, "x1", "licence=codec"),
+        job(&fleet.nodes[0].client_address, "x1", "licence=codec"),
         Some(503)
     );
     assert_eq!(
-        job(&fleet.nodes[0].consumers, "x2", "licence=other"),
+        job(&fleet.nodes[0].client_address, "x2", "licence=other"),
         Some(400)
     );
     agree(&fleet, &[2], "seats/codec", 0, POOL);
@@ -155,7 +156,7 @@
     let addresses: Vec<String> = fleet
         .nodes
         .iter()
-        .map(|node| node.consumers.clone())
+        .map(|node| node.client_address.clone())
         .collect();
     for (n, consumers) in addresses.into_iter().enumerate() {
         for c in 0..3 {
@@ -207,7 +208,7 @@
     clients
         .into_iter()
         .for_each(|client| client.join().expect("it ends"));
-    let most = fleet.workers[0].most();
+    let most = fleet.workers[0].max_running();
     assert!(
         (2..=4).contains(&most),
         "{most} calls at a time of four seats"
@@ -218,15 +219,16 @@
 /// back to what was agreed.
 #[test]
 fn a_voter_behind_cut_cables_comes_back() {
-    let fleet = Fleet::start(FleetOptions::default());
+    let fleet = Cluster::start(ClusterOptions::default());
     let leader = fleet.leader();
     let others: Vec<usize> = (1..=5).filter(|n| *n != leader).collect();
     // What the leader says is lost; what is said to it arrives. It must not go on as if it led.
     for voter in (1..=3).filter(|v| *v != leader) {
-        fleet.nodes[leader - 1].cables[voter - 1].set(Way::Held, Way::Open);
+        fleet.nodes[leader - 1].voter_links[voter - 1]
+            .set_state(LinkState::Stalled, LinkState::Open);
     }
     for node in fleet.nodes.iter().filter(|node| node.number > 3) {
-        node.cables[leader - 1].set(Way::Held, Way::Held);
+        node.voter_links[leader - 1].set_state(LinkState::Stalled, LinkState::Stalled);
     }
     agree(
         &fleet,
@@ -235,85 +237,85 @@
         0,
         r#"{"rates":{"per_s":{"au":50.0}}}"#,
     );
-    fleet.until(leader, "the end of its reading", |text| {
+    fleet.wait_for_records(leader, "the end of its reading", |text| {
         text.contains("reading for 0 ms")
     });
     for number in &others {
-        fleet.until(*number, "the rates", sees("settings/rates", 1));
+        fleet.wait_for_records(*number, "the rates", sees("settings/rates", 1));
     }
-    for cables in fleet.nodes.iter().map(|node| &node.cables) {
+    for cables in fleet.nodes.iter().map(|node| &node.voter_links) {
         for cable in cables {
-            cable.set(
-                Way::Late(Duration::from_millis(10)),
-                Way::Late(Duration::from_millis(10)),
+            cable.set_state(
+                LinkState::Delayed(Duration::from_millis(10)),
+                LinkState::Delayed(Duration::from_millis(10)),
             );
-            cable.cut();
+            cable.reset_connections();
         }
     }
-    fleet.until(leader, "the rates", sees("settings/rates", 1));
+    fleet.wait_for_records(leader, "the rates", sees("settings/rates", 1));
 }
 
 /// All voters are killed, and started again: what was agreed is there. One of them has lost its store, and does not vote
 /// under its old number.
 #[test]
 fn a_voter_with_amnesia_does_not_vote() {
-    let mut fleet = Fleet::start(FleetOptions::default());
+    let mut fleet = Cluster::start(ClusterOptions::default());
     agree(&fleet, &[4], "seats/codec", 0, POOL);
-    fleet.until(5, "the pool", sees("seats/codec", 1));
+    fleet.wait_for_records(5, "the pool", sees("seats/codec", 1));
     for number in 1..=3 {
         fleet.kill(number);
     }
-    fleet.until(5, "the fallback", |text| {
+    fleet.wait_for_records(5, "the fallback", |text| {
         text.contains("seats/codec 1 as last known")
     });
     // Without a majority the fleet still serves what needs no seat.
-    assert_eq!(job(&fleet.nodes[4].consumers, "b1", ""), Some(200));
+    assert_eq!(job(&fleet.nodes[4].client_address, "b1", ""), Some(200));
     std::fs::remove_dir_all(fleet.store(2)).expect("it was there");
     for number in 1..=3 {
         fleet.spawn(number);
     }
-    fleet.until_logged(2, "with another store");
-    fleet.until(2, "that it does not vote", |text| {
+    fleet.wait_for_log_line(2, "with another store");
+    fleet.wait_for_records(2, "that it does not vote", |text| {
         text.contains("does not vote: the others know this number")
     });
-    fleet.until(5, "the pool", sees("seats/codec", 1));
+    fleet.wait_for_records(5, "the pool", sees("seats/codec", 1));
     agree(&fleet, &[5], "seats/codec", 1, POOL);
     // It reads as any other node does.
-    fleet.until(2, "the pool", sees("seats/codec", 2));
+    fleet.wait_for_records(2, "the pool", sees("seats/codec", 2));
 }
 
 /// Another process of a voter is started while the first still has the store: it waits, and votes once the first is gone.
 #[test]
 fn a_voter_that_is_replaced_goes_on_with_its_store() {
-    let mut fleet = Fleet::start(FleetOptions::default());
+    let mut fleet = Cluster::start(ClusterOptions::default());
     agree(&fleet, &[4], "seats/codec", 0, POOL);
     let old = fleet.pid(2).expect("it runs");
     let ender = fleet.kill_once_logged(2, "tried again until it can be had", old);
     // Comes back once the second takes connections as a voter.
     fleet.spawn(2);
     assert!(ender.join().expect("it ends"), "the first was not ended");
-    fleet.until(2, "its vote", |text| {
+    fleet.wait_for_records(2, "its vote", |text| {
         text.contains(" follows ") || text.contains(" leads")
     });
     // With one of the others gone, its vote is needed, by the one that it had asked for readings before it could vote.
     fleet.kill(1);
     agree(&fleet, &[4, 5], "seats/codec", 1, POOL);
-    fleet.until(2, "the pool", sees("seats/codec", 2));
+    fleet.wait_for_records(2, "the pool", sees("seats/codec", 2));
 }
 
 /// A torn file: the voter stays out and says what to do, the node serves, and the others go on.
 #[test]
 fn a_voter_with_a_torn_file_stays_out() {
-    let mut fleet = Fleet::start(FleetOptions::default());
+    let mut fleet = Cluster::start(ClusterOptions::default());
     agree(&fleet, &[4], "seats/codec", 0, POOL);
     fleet.kill(3);
     let file = fleet.store(3).join("agreement.redb");
     let bytes = std::fs::read(&file).expect("it was there");
     std::fs::write(&file, &bytes[..bytes.len() / 2]).expect("written");
     fleet.spawn(3);
-    fleet.until_logged(3, "this node does not vote: set the folder aside");
-    assert_eq!(job(&fleet.nodes[2].consumers, "c1", ""), Some(200));
-    fleet.until(3, "the pool", sees("seats/codec", 1));
+    fleet.wait_for_log_line(3, "this node does not vote: set the folder aside");
+    assert_eq!(job(&fleet.nodes[2].client_address, "c1", ""), Some(200));
+    fleet.wait_for_records(3, "the pool", sees("seats/codec", 1));
     agree(&fleet, &[3], "seats/codec", 1, POOL);
 }
 
@@ -321,7 +323,7 @@
 /// again without anybody's word.
 #[test]
 fn a_full_disk_takes_a_voter_out_until_there_is_room() {
-    let fleet = Fleet::start(FleetOptions::default());
+    let fleet = Cluster::start(ClusterOptions::default());
     agree(
         &fleet,
         &[4],
@@ -347,8 +349,11 @@
     }
     assert_ne!(fleet.leader(), leader);
     // It serves all the same.
-    assert_eq!(job(&fleet.nodes[leader - 1].consumers, "d1", ""), Some(200));
+    assert_eq!(
+        job(&fleet.nodes[leader - 1].client_address, "d1", ""),
+        Some(200)
+    );
     fleet.limit_files(leader, None);
-    fleet.until_logged(leader, "the disk takes writes again");
-    fleet.until(leader, "the rates", sees("settings/rates", version));
+    fleet.wait_for_log_line(leader, "the disk takes writes again");
+    fleet.wait_for_records(leader, "the rates", sees("settings/rates", version));
 }
--- a/crates/node/tests/golden/command_line.rs
+++ b/crates/node/tests/golden/command_line.rs
@@ -3,7 +3,7 @@
 use crate::assert_golden;
 use crate::support::{listener, member, node_file, program, Node};
 use crate::text::{self, chapter, without_numbers_after, without_numbers_before};
-use marbledeck_test_support::{Act, Lab, Options};
+use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment};
 use std::time::Duration;
 
 /// Runs the program with these words.
@@ -159,13 +159,13 @@
 /// Jobs, sessions and what a node tells of itself, one command after the other.
 #[test]
 fn against_a_node() {
-    let lab = Lab::start(Options {
+    let lab = TestEnvironment::start(EnvironmentOptions {
         workers: 1,
-        ..Options::default()
+        ..EnvironmentOptions::default()
     });
-    lab.workers[0].behave(|job| match job.target.as_str() {
-        "/failing" => Act::Fail(Duration::from_millis(2)),
-        target => Act::Serve(Duration::from_millis(2), format!("made {target}")),
+    lab.workers[0].set_behaviour(|job| match job.target.as_str() {
+        "/failing" => JobBehaviour::Fail(Duration::from_millis(2)),
+        target => JobBehaviour::Serve(Duration::from_millis(2), format!("made {target}")),
     });
     let lines = [
         "queues",
@@ -230,8 +230,8 @@
     ];
     let mut golden = String::new();
     for line in lines {
-        golden += &chapter(line, &run(&lab.submitters, line));
+        golden += &chapter(line, &run(&lab.submission_address, line));
     }
-    let golden = golden.replace(&lab.workers[0].addr.to_string(), "<w1>");
+    let golden = golden.replace(&lab.workers[0].address.to_string(), "<w1>");
     assert_golden("command_line_against_a_node", &hide_times(&golden));
 }
--- a/crates/node/tests/golden/operators.rs
+++ b/crates/node/tests/golden/operators.rs
@@ -3,7 +3,7 @@
 use crate::assert_golden;
 use crate::support::{listener, member, node_file, Connection, Node};
 use crate::text::{self, chapter, without_numbers_after, without_numbers_before};
-use marbledeck_test_support::{Fleet, FleetOptions};
+use marbledeck_test_support::{Cluster, ClusterOptions};
 use std::net::Shutdown;
 
 /// Sends these bytes and nothing more; the whole answer.
@@ -132,13 +132,14 @@
 /// Changes of the records: what holds, and what is refused.
 #[test]
 fn records_and_changes() {
-    let fleet = Fleet::start(FleetOptions {
+    let fleet = Cluster::start(ClusterOptions {
         nodes: 4,
         workers: 1,
-        site: "[seats]\nlicences = [\"av1\"]\nclasses = { sheet-publish = [\"av1\"] }\n".to_owned(),
-        ..FleetOptions::default()
+        operator_keys: "[seats]\nlicences = [\"av1\"]\nclasses = { sheet-publish = [\"av1\"] }\n"
+            .to_owned(),
+        ..ClusterOptions::default()
     });
-    let operate = |call: &str| fleet.operate(4, call).expect("an answer");
+    let operate = |call: &str| fleet.call_admin(4, call).expect("an answer");
     let mut golden = chapter("records", &operate("records"));
     let accepted = [
         r#"{"expect":{"settings/rates":0},"put":{"settings/rates":{"rates":{"per_s":{"au":20.0}}}}}"#,
@@ -155,7 +156,7 @@
             &operate(&format!("change {change}")),
         );
     }
-    fleet.until(4, "the last change", |text| {
+    fleet.wait_for_records(4, "the last change", |text| {
         text.contains("workers/out 2 in force") && text.contains("seats/av1 1 in force")
     });
     golden += &chapter("records", &operate("records"));
@@ -199,7 +200,7 @@
     let other = (1..=3)
         .find(|voter| *voter != leader)
         .expect("three voters");
-    fleet.until(other, "a leader", |text| text.contains("follows"));
+    fleet.wait_for_records(other, "a leader", |text| text.contains("follows"));
     golden += &chapter(
         "last line of another voter",
         last_line(&fleet.records(other)),
--- a/crates/node/tests/golden/outgoing.rs
+++ b/crates/node/tests/golden/outgoing.rs
@@ -3,7 +3,7 @@
 use crate::assert_golden;
 use crate::support::{listener, member, node_file, Connection, Node};
 use crate::text::{self, chapter, without_numbers_after};
-use marbledeck_test_support::{Mood, Registry};
+use marbledeck_test_support::{EurekaBehaviour, EurekaStub};
 use std::net::TcpListener;
 
 /// Calls to a worker: every field that is passed on, and the body by its length however it came.
@@ -82,7 +82,7 @@
     for how in ["pull", ""] {
         let (_directory, directory) = listener();
         let (worker_listener, worker_address) = listener();
-        let registry = Registry::start();
+        let registry = EurekaStub::start();
         registry.register("RENDER", "w1", worker_address);
         let mut file = node_file(directory, &[]);
         file["settings"]["stats"]["how"] = how.into();
@@ -92,9 +92,9 @@
         );
         let node = Node::start(&file, &site);
         node.until_members("w1 in ");
-        registry.set_mood(Mood {
+        registry.set_behaviour(EurekaBehaviour {
             empty: true,
-            ..Mood::default()
+            ..EurekaBehaviour::default()
         });
         let probe = text::bytes(&Connection::accepted(&worker_listener).message());
         let probe = probe.replace(&worker_address.to_string(), "<w1>");
--- a/crates/node/tests/golden_handover.rs
+++ b/crates/node/tests/golden_handover.rs
@@ -2,7 +2,7 @@
 //! test speaks the other end, so these lines are those of any version of the program. Times and ports are replaced.
 
 use insta::assert_snapshot;
-use marbledeck_test_support::{Lab, Options};
+use marbledeck_test_support::{EnvironmentOptions, TestEnvironment};
 use rustix::fd::{AsFd, OwnedFd};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -43,11 +43,11 @@
 }
 
 /// The text without what differs from run to run.
-fn settled(lab: &Lab, text: &str) -> String {
+fn settled(lab: &TestEnvironment, text: &str) -> String {
     let mut text = without_times(text);
     for worker in &lab.workers {
         text = text.replace(
-            &worker.addr.to_string(),
+            &worker.address.to_string(),
             &format!("ADDRESS OF {}", worker.id),
         );
     }
@@ -60,7 +60,7 @@
     text
 }
 
-fn path(lab: &Lab) -> PathBuf {
+fn path(lab: &TestEnvironment) -> PathBuf {
     lab.folder().join("marbledeck-n0")
 }
 
@@ -70,8 +70,8 @@
 }
 
 impl Submitter {
-    fn connect(lab: &Lab) -> Self {
-        let stream = TcpStream::connect(&lab.submitters).expect("the node listens");
+    fn connect(lab: &TestEnvironment) -> Self {
+        let stream = TcpStream::connect(&lab.submission_address).expect("the node listens");
         stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
         Submitter {
             reader: BufReader::new(stream),
@@ -155,9 +155,9 @@
 /// What a running process tells one that comes to replace it.
 #[test]
 fn told_to_a_successor() {
-    let mut lab = Lab::start(Options::default());
+    let mut lab = TestEnvironment::start(EnvironmentOptions::default());
     for worker in &lab.workers {
-        lab.until_member(&worker.id, |line| {
+        lab.wait_for_member(&worker.id, |line| {
             line.is_some_and(|line| line.contains(" in "))
         });
     }
@@ -171,7 +171,7 @@
     ] {
         submitter.ask(&request);
     }
-    assert_eq!(lab.operate("set-down w3").as_deref(), Some("ACK w3 out"));
+    assert_eq!(lab.call_admin("set-down w3").as_deref(), Some("ACK w3 out"));
     let mut link = Link::new(UnixStream::connect(path(&lab)).expect("the node listens"));
     let (listeners, head, body) = link.receive_state();
     assert_eq!(head, format!("{:08x}\n", body.len()));
@@ -179,12 +179,12 @@
         let address = TcpListener::from(listener).local_addr();
         address.expect("a listener has an address").to_string()
     });
-    let expected = [lab.consumers.clone(), lab.submitters.clone()];
+    let expected = [lab.client_address.clone(), lab.submission_address.clone()];
     assert_eq!(addresses.collect::<Vec<_>>(), expected);
     let mut text = format!("state: {}\n", settled(&lab, &body));
-    lab.operate("set-down w1");
+    lab.call_admin("set-down w1");
     let _ = writeln!(text, "< {}", link.next());
-    lab.operate("set-up w1");
+    lab.call_admin("set-up w1");
     let _ = writeln!(text, "< {}", link.next());
     for line in [r#"{"parties":["submission"]}"#, r#""serving""#] {
         let _ = writeln!(text, "> {line}");
@@ -202,7 +202,7 @@
     link.say(taken);
     lab.signal(0, "-TERM");
     let _ = writeln!(text, "< {}", link.next());
-    assert!(lab.ends(0), "the old process ends by itself");
+    assert!(lab.exits_cleanly(0), "the old process ends by itself");
     assert_snapshot!("told_to_a_successor", text);
 }
 
@@ -228,7 +228,7 @@
 /// What a process makes of the golden words of the one that it replaces.
 #[test]
 fn heard_by_a_successor() {
-    let mut lab = Lab::start(Options::default());
+    let mut lab = TestEnvironment::start(EnvironmentOptions::default());
     // What the running process hands on is handed on once more, by the test.
     let mut link = Link::new(UnixStream::connect(path(&lab)).expect("the node listens"));
     let (listeners, _, _) = link.receive_state();
@@ -237,7 +237,7 @@
     let listener = UnixListener::bind(&beside).expect("a socket");
     std::fs::rename(&beside, path(&lab)).expect("renamed");
     let member = |id: usize| {
-        let addr = lab.workers[id].addr;
+        let addr = lab.workers[id].address;
         format!(
             r#"{{"id":"{}","host_port":"{addr}","locality":"east","flavor":"std","cell":0,"phase":"up","up_since_ms":0}}"#,
             lab.workers[id].id
@@ -261,7 +261,7 @@
         r#""ending""#,
     ];
     let predecessor = std::thread::spawn(move || precede(&listener, &listeners, &state, &lines));
-    lab.crash();
+    lab.crash_and_restart();
     let said = predecessor.join().expect("it has heard all");
     let mut text = settled(&lab, &said);
     let mut submitter = Submitter::connect(&lab);
@@ -275,7 +275,7 @@
         let _ = writeln!(text, "asked {request}");
         let _ = writeln!(text, "told  {}", submitter.ask(&request));
     }
-    lab.until_member("w1", |line| line.is_some_and(|line| line.contains(" out ")));
-    lab.until_member("w2", |line| line.is_some_and(|line| line.contains(" in ")));
+    lab.wait_for_member("w1", |line| line.is_some_and(|line| line.contains(" out ")));
+    lab.wait_for_member("w2", |line| line.is_some_and(|line| line.contains(" in ")));
     assert_snapshot!("heard_by_a_successor", text);
 }
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -5,7 +5,7 @@
 use marbledeck_gossip::{owner_of, short_id};
 use marbledeck_node::core::{Catalogue, Command, Core, Order, Work};
 use marbledeck_platform_settings::{worker_id, PlatformSettings};
-use marbledeck_test_support::{Lab, Options};
+use marbledeck_test_support::{EnvironmentOptions, TestEnvironment};
 use std::io::{Read, Write};
 use std::net::{TcpStream, UdpSocket};
 use std::time::Duration;
@@ -124,8 +124,8 @@
 /// The other nodes, all played by one socket, so that one of them keeps the only worker.
 const OTHERS: usize = 40;
 
-fn run_a_job(lab: &Lab) {
-    let mut consumer = TcpStream::connect(&lab.consumers).expect("the node takes consumers");
+fn run_a_job(lab: &TestEnvironment) {
+    let mut consumer = TcpStream::connect(&lab.client_address).expect("the node takes consumers");
     consumer.set_read_timeout(Some(PATIENCE)).expect("set");
     let job = "POST /api HTTP/1.1\r\nHost: n\r\nX-Txn: 00000000000000a1\r\nX-Lane: preview\r\nX-Org: au\r\n\
                X-Remaining-Ms: 7000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -135,12 +135,12 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
-fn lab(site: &str, peer: &UdpSocket) -> Lab {
-    Lab::start(Options {
+fn lab(site: &str, peer: &UdpSocket) -> TestEnvironment {
+    TestEnvironment::start(EnvironmentOptions {
         workers: 1,
-        site: site.to_owned(),
+        operator_keys: site.to_owned(),
         peers: vec![peer.local_addr().expect("bound"); OTHERS],
-        ..Options::default()
+        ..EnvironmentOptions::default()
     })
 }
 
@@ -183,6 +183,6 @@
         run_a_job(&lab);
     }
     lab.signal(0, "-TERM");
-    assert!(lab.ends(0));
+    assert!(lab.exits_cleanly(0));
     assert!(peer.recv_from(&mut [0; 300]).is_err(), "a datagram came");
 }
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -1,7 +1,7 @@
 //! Two sites of several nodes each, and jobs that only the other one can run: whatever becomes of the cable between them
 //! and of the catalogs, one manifest is one accepted job and has one final state.
 
-use marbledeck_test_support::{Act, Cable, Fleet, FleetOptions, Way};
+use marbledeck_test_support::{Cluster, ClusterOptions, JobBehaviour, LinkState, NetworkLink};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -48,16 +48,16 @@
     }
 }
 
-fn fleet(name: &str) -> Fleet {
+fn fleet(name: &str) -> Cluster {
     let site = format!("[sites]\nname = \"{name}\"\n");
-    let options = FleetOptions {
-        site,
+    let options = ClusterOptions {
+        operator_keys: site,
         nodes: 4,
         submission: true,
         workers: 1,
-        ..FleetOptions::default()
+        ..ClusterOptions::default()
     };
-    Fleet::start(options)
+    Cluster::start(options)
 }
 
 fn site(address: &str, version: u64, codecs: &[&str]) -> Value {
@@ -66,16 +66,16 @@
 }
 
 /// Sets a record at a fleet, and waits until this node acts on it.
-fn set(fleet: &Fleet, number: usize, record: &str, version: u64, body: &Value) {
+fn set(fleet: &Cluster, number: usize, record: &str, version: u64, body: &Value) {
     let line = format!(
         "change {}",
         json!({"expect": {record: version}, "put": {record: body}})
     );
     for _ in 0..200 {
-        let answer = fleet.operate(number, &line).unwrap_or_default();
+        let answer = fleet.call_admin(number, &line).unwrap_or_default();
         if answer.starts_with("ACK") || answer.contains(&format!("has version {}", version + 1)) {
             let seen = format!("{record} {} in force", version + 1);
-            return fleet.until(number, record, |text| text.contains(&seen));
+            return fleet.wait_for_records(number, record, |text| text.contains(&seen));
         }
         assert!(!answer.contains("want"), "{answer}");
         std::thread::sleep(Duration::from_millis(50));
@@ -83,9 +83,9 @@
     panic!("{record} was never set");
 }
 
-fn begun(fleet: &Fleet) -> BTreeMap<String, usize> {
+fn begun(fleet: &Cluster) -> BTreeMap<String, usize> {
     let mut begun = BTreeMap::new();
-    for job in fleet.workers[0].begun() {
+    for job in fleet.workers[0].started_jobs() {
         *begun.entry(job.target).or_default() += 1;
     }
     begun
@@ -95,24 +95,24 @@
 fn two_sites_and_a_cut_between_them() {
     let (a, b) = (fleet("a"), fleet("b"));
     // Two ways to the second site, by two of its nodes: to a they are two sites, of which one may be asked at a time.
-    let cables = [Cable::start(), Cable::start()];
+    let cables = [NetworkLink::start(), NetworkLink::start()];
     for (cable, node) in cables.iter().zip(&b.nodes[2..]) {
-        cable.lead(Some(node.submitters.parse().expect("an address")));
+        cable.set_target(Some(node.submission_address.parse().expect("an address")));
     }
-    let [to_b, to_c] = [cables[0].addr.to_string(), cables[1].addr.to_string()];
+    let [to_b, to_c] = [cables[0].address.to_string(), cables[1].address.to_string()];
     set(
         &a,
         4,
         "sites/a",
         0,
-        &site(&a.nodes[3].submitters, 1, &["h264"]),
+        &site(&a.nodes[3].submission_address, 1, &["h264"]),
     );
     set(&a, 4, "sites/b", 0, &site(&to_b, 1, &["av1"]));
     for number in 3..=4 {
-        let body = site(&b.nodes[2].submitters, 1, &["av1"]);
+        let body = site(&b.nodes[2].submission_address, 1, &["av1"]);
         set(&b, number, "sites/b", 0, &body);
     }
-    let mut submitter = Submitter::new(&a.nodes[3].submitters);
+    let mut submitter = Submitter::new(&a.nodes[3].submission_address);
 
     // What fits here runs here, what fits there runs there, and what fits nowhere is refused with every reason.
     let here = submitter.run("here", json!({"class": "preview", "codecs": ["h264"]}));
@@ -145,22 +145,22 @@
     // asked; the first is, again, and has the job.
     set(&a, 4, "sites/c", 0, &site(&to_c, 1, &["av1"]));
     let served = Arc::new(AtomicUsize::new(0));
-    b.workers[0].behave({
+    b.workers[0].set_behaviour({
         let served = served.clone();
         move |job| {
             served.fetch_add(1, Ordering::SeqCst);
-            Act::Serve(Duration::from_millis(20), format!("made {}", job.target))
+            JobBehaviour::Serve(Duration::from_millis(20), format!("made {}", job.target))
         }
     });
-    cables[0].set(Way::Open, Way::Held);
+    cables[0].set_state(LinkState::Open, LinkState::Stalled);
     let lost = submitter.run("lost", json!({"class": "preview", "codecs": ["av1"]}));
     assert!(lost["jobId"].is_string(), "{lost}");
     while served.load(Ordering::SeqCst) == 0 {
         std::thread::sleep(Duration::from_millis(5));
     }
-    a.until_logged(4, "a site says nothing; it is asked again");
-    cables[0].cut();
-    cables[0].set(Way::Open, Way::Open);
+    a.wait_for_log_line(4, "a site says nothing; it is asked again");
+    cables[0].reset_connections();
+    cables[0].set_state(LinkState::Open, LinkState::Open);
     assert_eq!(submitter.wait(&lost)["jobState"], "DONE");
     assert_eq!(begun(&b).get("/lost"), Some(&1));
 
@@ -172,7 +172,7 @@
             number,
             "sites/b",
             1,
-            &site(&b.nodes[2].submitters, 2, &["h265"]),
+            &site(&b.nodes[2].submission_address, 2, &["h265"]),
         );
     }
     let shrunk = submitter.run("shrunk", json!({"class": "preview", "codecs": ["av1"]}));
@@ -194,7 +194,7 @@
             number,
             "sites/b",
             2,
-            &site(&b.nodes[2].submitters, 3, &["h265"]),
+            &site(&b.nodes[2].submission_address, 3, &["h265"]),
         );
     }
     let moved = submitter.run("moved", json!({"class": "preview", "codecs": ["h265"]}));
@@ -221,7 +221,7 @@
 #[test]
 fn two_sites_do_not_hand_a_job_to_and_fro() {
     let (a, b) = (fleet("a"), fleet("b"));
-    let front = |fleet: &Fleet| fleet.nodes[3].submitters.clone();
+    let front = |fleet: &Cluster| fleet.nodes[3].submission_address.clone();
     // Each believes that the other has av1.
     set(&a, 4, "sites/a", 0, &site(&front(&a), 1, &[]));
     set(&a, 4, "sites/b", 0, &site(&front(&b), 1, &["av1"]));
--- a/crates/submission-client/tests/losses.rs
+++ b/crates/submission-client/tests/losses.rs
@@ -3,7 +3,7 @@
 use marbledeck_submission_client::{
     Client, ErrorId, Event, Filter, JobState, Op, Settings, Targets, Template,
 };
-use marbledeck_test_support::{Act, Lab, Options, Proxy};
+use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, LossyProxy, TestEnvironment};
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
@@ -22,9 +22,9 @@
 }
 
 /// How often each target was begun, by all workers together.
-fn runs(lab: &Lab) -> HashMap<String, usize> {
+fn runs(lab: &TestEnvironment) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
-    for job in lab.workers.iter().flat_map(|worker| worker.begun()) {
+    for job in lab.workers.iter().flat_map(|worker| worker.started_jobs()) {
         *runs.entry(job.target).or_default() += 1;
     }
     runs
@@ -33,11 +33,11 @@
 /// The answer to any message of a job's life is lost: the client comes back, and the job has run once.
 #[test]
 fn each_answer_is_lost_once() {
-    let lab = Lab::start(Options::default());
-    let proxy = Proxy::start(&lab.submitters);
+    let lab = TestEnvironment::start(EnvironmentOptions::default());
+    let proxy = LossyProxy::start(&lab.submission_address);
     let mut lost = 0;
     for lines in 0..8 {
-        let client = Client::new(Settings::at(proxy.addr.to_string()));
+        let client = Client::new(Settings::at(proxy.address.to_string()));
         let name = format!("s{lines}");
         proxy.lose_after(lines);
         client.open_session(&name, true, None).unwrap();
@@ -55,7 +55,7 @@
             })
             .ok();
         assert_eq!(runs(&lab).get(&target), Some(&1), "line {lines}");
-        lost += usize::from(proxy.broken() > lost);
+        lost += usize::from(proxy.broken_connections() > lost);
     }
     assert!(lost >= 5, "{lost} answers were lost");
 }
@@ -63,13 +63,13 @@
 /// The answer to a bulk is lost: each index runs once, and each is known.
 #[test]
 fn a_bulk_is_lost() {
-    let lab = Lab::start(Options {
-        front: "max_jobs = 4096".to_owned(),
-        ..Options::default()
+    let lab = TestEnvironment::start(EnvironmentOptions {
+        submission_keys: "max_jobs = 4096".to_owned(),
+        ..EnvironmentOptions::default()
     });
-    let proxy = Proxy::start(&lab.submitters);
+    let proxy = LossyProxy::start(&lab.submission_address);
     for lines in 0..3 {
-        let client = Client::new(Settings::at(proxy.addr.to_string()));
+        let client = Client::new(Settings::at(proxy.address.to_string()));
         proxy.lose_after(lines);
         let template = sheet(&format!("/bulk/{lines}/${{PARAMETRIC_INDEX}}"));
         let bulk = client
@@ -94,19 +94,19 @@
             );
         }
     }
-    assert_eq!(proxy.broken(), 3);
+    assert_eq!(proxy.broken_connections(), 3);
 }
 
 /// Events come without a gap and once, however often the connection is lost.
 #[test]
 fn events_over_lost_connections() {
-    let lab = Lab::start(Options::default());
-    let proxy = Proxy::start(&lab.submitters);
+    let lab = TestEnvironment::start(EnvironmentOptions::default());
+    let proxy = LossyProxy::start(&lab.submission_address);
     let (sender, events) = channel();
     let tell = move |event: Event| drop(sender.send(event));
-    let watcher = Client::with_events(Settings::at(proxy.addr.to_string()), Box::new(tell));
+    let watcher = Client::with_events(Settings::at(proxy.address.to_string()), Box::new(tell));
     watcher.open_session("s", true, None).unwrap();
-    let client = Client::new(Settings::at(lab.submitters.clone()));
+    let client = Client::new(Settings::at(lab.submission_address.clone()));
     for n in 0..20 {
         if n % 4 == 0 {
             proxy.lose_after(2);
@@ -131,21 +131,23 @@
         last += 1;
         ended += usize::from(job_state == JobState::Done);
     }
-    assert!(proxy.broken() >= 3);
+    assert!(proxy.broken_connections() >= 3);
 }
 
 /// Two upgrades in the middle of a bulk: each job ends once, none runs twice, and nobody notices more than a new
 /// connection.
 #[test]
 fn upgrades_in_the_middle_of_a_bulk() {
-    let mut lab = Lab::start(Options {
-        front: "max_jobs = 4096".to_owned(),
-        ..Options::default()
+    let mut lab = TestEnvironment::start(EnvironmentOptions {
+        submission_keys: "max_jobs = 4096".to_owned(),
+        ..EnvironmentOptions::default()
     });
     for worker in &lab.workers {
-        worker.behave(|job| Act::Serve(Duration::from_millis(15), format!("made {}", job.target)));
+        worker.set_behaviour(|job| {
+            JobBehaviour::Serve(Duration::from_millis(15), format!("made {}", job.target))
+        });
     }
-    let client = Arc::new(Client::new(Settings::at(lab.submitters.clone())));
+    let client = Arc::new(Client::new(Settings::at(lab.submission_address.clone())));
     client.open_session("s", true, None).unwrap();
     let done = Arc::new(AtomicUsize::new(0));
     let (own, count) = (client.clone(), done.clone());
@@ -164,9 +166,9 @@
         while done.load(Ordering::SeqCst) < 60 + 120 * upgrade && !submitter.is_finished() {
             std::thread::sleep(Duration::from_millis(2));
         }
-        lab.succeed();
+        lab.start_successor();
         lab.signal(upgrade, "-TERM");
-        assert!(lab.ends(upgrade), "the old process ends by itself");
+        assert!(lab.exits_cleanly(upgrade), "the old process ends by itself");
     }
     submitter.join().unwrap();
     let runs = runs(&lab);
@@ -175,7 +177,7 @@
     let most: usize = lab
         .workers
         .iter()
-        .map(|worker| worker.most())
+        .map(|worker| worker.max_running())
         .max()
         .unwrap();
     assert!(most <= 12);
@@ -190,12 +192,12 @@
 /// repeat of a key.
 #[test]
 fn a_node_dies() {
-    let mut lab = Lab::start(Options::default());
-    let client = Client::new(Settings::at(lab.submitters.clone()));
+    let mut lab = TestEnvironment::start(EnvironmentOptions::default());
+    let client = Client::new(Settings::at(lab.submission_address.clone()));
     client.open_session("s", true, None).unwrap();
     let job = client.run(sheet("/x"), Some("s")).unwrap();
     client.wait_terminated(&job.job_id, PATIENCE).unwrap();
-    lab.crash();
+    lab.crash_and_restart();
     let unknown = client.info(&job.job_id).unwrap_err();
     assert!(unknown.is(ErrorId::InvalidArgument), "{unknown}");
     assert_eq!(client.sessions().unwrap(), ["s"]);
@@ -212,16 +214,17 @@
 /// Drained workers with jobs held behind them: released, the jobs run elsewhere.
 #[test]
 fn held_jobs_behind_a_drained_worker() {
-    let lab = Lab::start(Options {
+    let lab = TestEnvironment::start(EnvironmentOptions {
         workers: 2,
-        ..Options::default()
+        ..EnvironmentOptions::default()
     });
-    let client = Client::new(Settings::at(lab.submitters.clone()));
+    let client = Client::new(Settings::at(lab.submission_address.clone()));
     let mut held = sheet("/held/${PARAMETRIC_INDEX}");
     held.submit_as_hold = true;
     let bulk = client.run_bulk(held, (1, 30, 1), None, None).unwrap();
     let first = &lab.workers[0];
-    lab.directory.set(&first.id, first.addr, "draining");
+    lab.discovery
+        .set_worker(&first.id, first.address, "draining");
     let until = std::time::Instant::now() + Duration::from_secs(20);
     while client
         .machines()
@@ -244,5 +247,5 @@
         assert!(info.job_state.is_final());
         assert_ne!(info.machine.as_deref(), Some(first.id.as_str()));
     }
-    assert!(first.begun().is_empty());
+    assert!(first.started_jobs().is_empty());
 }
--- a/crates/test-support/src/bin/demo.rs
+++ b/crates/test-support/src/bin/demo.rs
@@ -1,18 +1,20 @@
 //! A first look: a node between stand-ins on loopback, a bulk of jobs handed in on the command line, and what the node
 //! tells of itself. Everything ends with it.
 
-use marbledeck_test_support::{binary, Act, Lab, Options};
+use marbledeck_test_support::{binary, EnvironmentOptions, JobBehaviour, TestEnvironment};
 use std::process::{Command, ExitCode};
 use std::time::Duration;
 
 fn main() -> ExitCode {
-    let lab = Lab::start(Options::default());
+    let lab = TestEnvironment::start(EnvironmentOptions::default());
     for worker in &lab.workers {
-        worker.behave(|job| Act::Serve(Duration::from_millis(40), format!("made {}", job.target)));
+        worker.set_behaviour(|job| {
+            JobBehaviour::Serve(Duration::from_millis(40), format!("made {}", job.target))
+        });
     }
     println!(
         "a node serves consumers at {}, submitters at {}",
-        lab.consumers, lab.submitters
+        lab.client_address, lab.submission_address
     );
     let calls: [&[&str]; 3] = [
         &[
@@ -38,7 +40,7 @@
         println!("\n$ marbledeck {}", words.join(" "));
         let run = Command::new(binary())
             .args(words)
-            .env("MARBLEDECK_NODE", &lab.submitters)
+            .env("MARBLEDECK_NODE", &lab.submission_address)
             .status();
         if !run.is_ok_and(|status| status.success()) {
             return ExitCode::FAILURE;
--- a/crates/test-support/src/bin/eureka-bench.rs
+++ b/crates/test-support/src/bin/eureka-bench.rs
@@ -2,23 +2,23 @@
 //! and how long the node's loop stands still while it takes whole lists and deltas of many instances. Prints Markdown.
 
 use hdrhistogram::Histogram;
-use marbledeck_test_support::{Act, Lab, Options, Registry};
+use marbledeck_test_support::{EnvironmentOptions, EurekaStub, JobBehaviour, TestEnvironment};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-fn lab(registry: &Registry, poll_s: usize) -> Lab {
+fn lab(registry: &EurekaStub, poll_s: usize) -> TestEnvironment {
     let site = format!(
         "[eureka]\nurls = [\"{}\"]\npoll_s = {poll_s}\ntimeout_s = 20\nfull_s = 1\nid_key = \"worker\"\n",
         registry.url()
     );
-    Lab::start(Options {
-        listed: Some(0),
+    TestEnvironment::start(EnvironmentOptions {
+        listed_workers: Some(0),
         memory_mb: 512,
-        site,
-        ..Options::default()
+        operator_keys: site,
+        ..EnvironmentOptions::default()
     })
 }
 
@@ -47,7 +47,7 @@
 
 /// So many instances: how long the loop stands still while a list and then deltas of them are taken.
 fn stalls(count: usize) {
-    let registry = Registry::start();
+    let registry = EurekaStub::start();
     let nowhere: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     for n in 0..count {
         // Starting: known, and not sent to.
@@ -62,7 +62,7 @@
     let lab = lab(&registry, 1);
     let measure = |what: &str, until: &dyn Fn()| {
         let stop = Arc::new(AtomicBool::new(false));
-        let pulse = pulse(lab.submitters.clone(), stop.clone());
+        let pulse = pulse(lab.submission_address.clone(), stop.clone());
         let from = Instant::now();
         until();
         let took = from.elapsed();
@@ -74,71 +74,76 @@
             times.value_at_quantile(0.99) as f64 / 1e3,
             times.max() as f64 / 1e3,
             took.as_millis(),
-            lab.held_kib().unwrap_or_default() / 1024,
+            lab.resident_kib().unwrap_or_default() / 1024,
         );
     };
     let last = format!("i{:05}", count - 1);
     // The list is being read already.
     measure("whole list", &|| {
-        until(&lab, &registry, "/eureka/apps/delta", 1)
+        wait_for_requests(&registry, "/eureka/apps/delta", 1);
     });
     registry.override_status("RENDER", &last, "DOWN");
     measure("deltas", &|| {
-        until(&lab, &registry, "/eureka/apps/delta", 6)
+        wait_for_requests(&registry, "/eureka/apps/delta", 6);
     });
 }
 
-fn until(_lab: &Lab, registry: &Registry, path: &str, times: usize) {
+fn wait_for_requests(registry: &EurekaStub, path: &str, times: usize) {
     let end = Instant::now() + Duration::from_secs(60);
-    while registry.asked(path) < times {
-        assert!(Instant::now() < end, "the registry is not asked");
+    while registry.request_count(path) < times {
+        assert!(Instant::now() < end, "the registry is not polled");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
+/// Threads that submit jobs while statuses change.
+const LOAD_THREADS: usize = 4;
+const SUBMISSION: &[u8] = b"{\"op\":\"runJob\",\"template\":{\"remoteCommand\":\"/x\",\"jobCategory\":\"preview\",\"accountingId\":\"au\"}}\n";
+
+/// Submits a job every two milliseconds until it is stopped; the thread gives their number.
+fn submit_steadily(address: String, stop: Arc<AtomicBool>) -> std::thread::JoinHandle<u64> {
+    std::thread::spawn(move || {
+        let mut stream = TcpStream::connect(address).expect("the node listens");
+        let mut reader = BufReader::new(stream.try_clone().expect("a socket"));
+        let mut line = String::new();
+        let mut sent = 0;
+        while !stop.load(Ordering::SeqCst) {
+            stream.write_all(SUBMISSION).expect("the node reads");
+            line.clear();
+            reader.read_line(&mut line).expect("the node answers");
+            sent += 1;
+            std::thread::sleep(Duration::from_millis(2));
+        }
+        sent
+    })
+}
+
 /// From a status that changes in the registry to the last job that its worker is sent, under load.
 fn flips(count: usize) {
-    let registry = Registry::start();
+    let registry = EurekaStub::start();
     let lab = lab(&registry, 1);
     for worker in &lab.workers {
-        worker.behave(|_| Act::Serve(Duration::ZERO, "made".to_owned()));
-        registry.register("RENDER", &worker.id, worker.addr);
+        worker.set_behaviour(|_| JobBehaviour::Serve(Duration::ZERO, "made".to_owned()));
+        registry.register("RENDER", &worker.id, worker.address);
     }
-    lab.until_member("w3", |line| line.is_some_and(|line| line.contains(" in ")));
+    lab.wait_for_member("w3", |line| line.is_some_and(|line| line.contains(" in ")));
     let stop = Arc::new(AtomicBool::new(false));
-    let load: Vec<_> = (0..4)
-        .map(|_| {
-            let (at, stop) = (lab.submitters.clone(), stop.clone());
-            std::thread::spawn(move || {
-                let mut stream = TcpStream::connect(at).expect("the node listens");
-                let mut reader = BufReader::new(stream.try_clone().expect("a socket"));
-                let (mut line, mut sent) = (String::new(), 0u64);
-                while !stop.load(Ordering::SeqCst) {
-                    stream
-                        .write_all(b"{\"op\":\"runJob\",\"template\":{\"remoteCommand\":\"/x\",\"jobCategory\":\"preview\",\"accountingId\":\"au\"}}\n")
-                        .expect("the node reads");
-                    line.clear();
-                    reader.read_line(&mut line).expect("the node answers");
-                    sent += 1;
-                    std::thread::sleep(Duration::from_millis(2));
-                }
-                sent
-            })
-        })
+    let load: Vec<_> = (0..LOAD_THREADS)
+        .map(|_| submit_steadily(lab.submission_address.clone(), stop.clone()))
         .collect();
     let mut times = Histogram::<u64>::new(3).expect("three digits");
     let (mut late, worker) = (0, &lab.workers[2]);
     for _ in 0..count {
         let told = Instant::now();
         registry.override_status("RENDER", "w3", "OUT_OF_SERVICE");
-        lab.until_member("w3", |line| line.is_some_and(|line| line.contains(" out ")));
+        lab.wait_for_member("w3", |line| line.is_some_and(|line| line.contains(" out ")));
         let known = Instant::now();
         // Long enough that a job sent too late would be seen.
         std::thread::sleep(Duration::from_millis(600));
         let last = worker
-            .begun()
+            .started_jobs()
             .iter()
-            .map(|job| job.at)
+            .map(|job| job.received_at)
             .filter(|at| *at > told)
             .max();
         if let Some(last) = last {
@@ -149,7 +154,7 @@
             late += u64::from(last > known + Duration::from_millis(400));
         }
         registry.override_status("RENDER", "w3", "UP");
-        lab.until_member("w3", |line| line.is_some_and(|line| line.contains(" in ")));
+        lab.wait_for_member("w3", |line| line.is_some_and(|line| line.contains(" in ")));
     }
     stop.store(true, Ordering::SeqCst);
     let sent: u64 = load
@@ -157,7 +162,7 @@
         .map(|thread| thread.join().expect("no panic"))
         .sum();
     println!(
-        "\n{count} flips to `OUT_OF_SERVICE` and back, polled every 0.5 to 1 s, {sent} jobs meanwhile: from the registry's word \
+        "\n{count} flips to `OUT_OF_SERVICE` and back, polled every 0.5 to 1 s, {sent} jobs meanwhile: from the registry's change \
          to the last job sent p50 {} ms, p99 {} ms, max {} ms; jobs sent later than 400 ms after the node knew: {late}.",
         times.value_at_quantile(0.5),
         times.value_at_quantile(0.99),
--- a/crates/test-support/src/bin/fleet-bench.rs
+++ b/crates/test-support/src/bin/fleet-bench.rs
@@ -1,7 +1,7 @@
 //! Measures the agreement and the seats over seven processes on loopback; `docs/benchmarks.md` has the figures.
 
 use hdrhistogram::Histogram;
-use marbledeck_test_support::{Act, Fleet, FleetOptions};
+use marbledeck_test_support::{Cluster, ClusterOptions, JobBehaviour};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -9,19 +9,19 @@
 const LEASE_MS: u64 = 1500;
 const RUN_MS: u64 = 1000;
 
-fn options(seats: bool) -> FleetOptions {
+fn options(seats: bool) -> ClusterOptions {
     let site = if seats {
         "[seats]\nlicences = [\"codec\"]\nidle_ms = 600000\n"
     } else {
         ""
     };
-    FleetOptions {
+    ClusterOptions {
         nodes: 7,
         voters: 5,
         workers: 1,
         lease_ms: LEASE_MS,
-        site: site.to_owned(),
-        ..FleetOptions::default()
+        operator_keys: site.to_owned(),
+        ..ClusterOptions::default()
     }
 }
 
@@ -55,9 +55,14 @@
 }
 
 /// Jobs one after the other on one connection; how long each took, in microseconds.
-fn path(fleet: &Fleet, number: usize, labels: &str, tag: &str) -> std::io::Result<Histogram<u64>> {
+fn path(
+    fleet: &Cluster,
+    number: usize,
+    labels: &str,
+    tag: &str,
+) -> std::io::Result<Histogram<u64>> {
     let mut times = Histogram::new(3).expect("three figures");
-    let mut stream = TcpStream::connect(&fleet.nodes[number - 1].consumers)?;
+    let mut stream = TcpStream::connect(&fleet.nodes[number - 1].client_address)?;
     stream.set_nodelay(true)?;
     for n in 0..4000 {
         let at = Instant::now();
@@ -81,11 +86,11 @@
     );
 }
 
-fn change(fleet: &Fleet, number: usize, record: &str, version: u64, body: &str) {
+fn change(fleet: &Cluster, number: usize, record: &str, version: u64, body: &str) {
     for _ in 0..200 {
         let line =
             format!(r#"change {{"expect":{{"{record}":{version}}},"put":{{"{record}":{body}}}}}"#);
-        let answer = fleet.operate(number, &line).unwrap_or_default();
+        let answer = fleet.call_admin(number, &line).unwrap_or_default();
         if answer.starts_with("ACK") || answer.contains(&format!("has version {}", version + 1)) {
             return;
         }
@@ -94,12 +99,18 @@
     panic!("{record} was never changed");
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "a sequence of measurements, each printed as it is taken"
+)]
 fn main() -> std::io::Result<()> {
-    let instant = |_: &marbledeck_test_support::Job| Act::Serve(Duration::ZERO, "done".to_owned());
+    let instant = |_: &marbledeck_test_support::ReceivedJob| {
+        JobBehaviour::Serve(Duration::ZERO, "done".to_owned())
+    };
 
     // From a change to the last of seven processes.
-    let fleet = Fleet::start(options(true));
-    fleet.workers[0].behave(instant);
+    let fleet = Cluster::start(options(true));
+    fleet.workers[0].set_behaviour(instant);
     let mut spread = Histogram::<u64>::new(3).expect("three figures");
     for version in 0..40 {
         let body = format!(r#"{{"rates":{{"per_s":{{"au":{}}}}}}}"#, 10_000 + version);
@@ -107,7 +118,7 @@
         change(&fleet, 7, "settings/rates", version, &body);
         for number in 1..=7 {
             let line = format!("settings/rates {} in force", version + 1);
-            fleet.until(number, "the rates", |text| text.contains(&line));
+            fleet.wait_for_records(number, "the rates", |text| text.contains(&line));
         }
         spread.saturating_record(at.elapsed().as_millis() as u64);
     }
@@ -126,7 +137,7 @@
         0,
         &format!(r#"{{"pool":{{"seats":8,"longest_run_ms":{RUN_MS}}}}}"#),
     );
-    fleet.until(1, "the pool", |text| {
+    fleet.wait_for_records(1, "the pool", |text| {
         text.contains("seats/codec 1 in force")
     });
     show(
@@ -136,7 +147,7 @@
     // Its part is there once a few jobs have asked for it.
     let until = Instant::now() + Duration::from_secs(10);
     let served = |n: usize| {
-        let stream = TcpStream::connect(&fleet.nodes[0].consumers);
+        let stream = TcpStream::connect(&fleet.nodes[0].client_address);
         let job = stream.and_then(|mut s| job(&mut s, &format!("first-{n}"), "licence=codec"));
         job.unwrap_or(false)
     };
@@ -173,9 +184,10 @@
 
     // How soon a dead node's seats are back.
     for _ in 0..3 {
-        let mut fleet = Fleet::start(options(true));
-        fleet.workers[0]
-            .behave(|_| Act::Serve(Duration::from_millis(RUN_MS - 100), "done".to_owned()));
+        let mut fleet = Cluster::start(options(true));
+        fleet.workers[0].set_behaviour(|_| {
+            JobBehaviour::Serve(Duration::from_millis(RUN_MS - 100), "done".to_owned())
+        });
         change(
             &fleet,
             7,
@@ -183,9 +195,9 @@
             0,
             &format!(r#"{{"pool":{{"seats":1,"longest_run_ms":{RUN_MS}}}}}"#),
         );
-        let takes = |fleet: &Fleet, number: usize, tag: &str| {
+        let takes = |fleet: &Cluster, number: usize, tag: &str| {
             for n in 0.. {
-                let stream = TcpStream::connect(&fleet.nodes[number - 1].consumers);
+                let stream = TcpStream::connect(&fleet.nodes[number - 1].client_address);
                 if stream
                     .and_then(|mut s| job(&mut s, &format!("{tag}-{n}"), "licence=codec"))
                     .unwrap_or(false)
@@ -204,12 +216,14 @@
     }
 
     // The same path with all of it off.
-    let lab = marbledeck_test_support::Lab::start(marbledeck_test_support::Options {
-        workers: 1,
-        ..Default::default()
-    });
-    lab.workers[0].behave(instant);
-    let mut stream = TcpStream::connect(&lab.consumers)?;
+    let lab = marbledeck_test_support::TestEnvironment::start(
+        marbledeck_test_support::EnvironmentOptions {
+            workers: 1,
+            ..Default::default()
+        },
+    );
+    lab.workers[0].set_behaviour(instant);
+    let mut stream = TcpStream::connect(&lab.client_address)?;
     stream.set_nodelay(true)?;
     let mut times = Histogram::<u64>::new(3).expect("three figures");
     for n in 0..4000 {
--- a/crates/test-support/src/bin/submission-bench.rs
+++ b/crates/test-support/src/bin/submission-bench.rs
@@ -3,7 +3,7 @@
 //! back. Prints Markdown; `docs/benchmarks.md` is such a print with its machine.
 
 use hdrhistogram::Histogram;
-use marbledeck_test_support::{Act, Lab, Options};
+use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Barrier};
@@ -63,16 +63,16 @@
     )
 }
 
-fn lab() -> Lab {
-    let lab = Lab::start(Options {
+fn lab() -> TestEnvironment {
+    let lab = TestEnvironment::start(EnvironmentOptions {
         workers: 4,
         slots: 4096,
         memory_mb: 2048,
-        front: "max_jobs = 262144\nmax_bytes = 268435456\nmax_bulk = 65536\nmax_submitters = 128\nretain_s = 1".to_owned(),
-        ..Options::default()
+        submission_keys: "max_jobs = 262144\nmax_bytes = 268435456\nmax_bulk = 65536\nmax_submitters = 128\nretain_s = 1".to_owned(),
+        ..EnvironmentOptions::default()
     });
     for worker in &lab.workers {
-        worker.behave(|_| Act::Serve(Duration::ZERO, "made".to_owned()));
+        worker.set_behaviour(|_| JobBehaviour::Serve(Duration::ZERO, "made".to_owned()));
     }
     lab
 }
@@ -88,11 +88,11 @@
 }
 
 /// So many submitters hand in jobs, one after the other each, for a while.
-fn submissions(lab: &Lab, submitters: usize, held: bool) {
+fn submissions(lab: &TestEnvironment, submitters: usize, held: bool) {
     let start = Arc::new(Barrier::new(submitters));
     let threads: Vec<_> = (0..submitters)
         .map(|_| {
-            let (start, at) = (start.clone(), lab.submitters.clone());
+            let (start, at) = (start.clone(), lab.submission_address.clone());
             std::thread::spawn(move || {
                 let (mut submitter, line) = (Submitter::connect(&at), run_job(held, 64));
                 let (mut times, mut refused) =
@@ -148,8 +148,8 @@
     println!("| --- | --- | --- | --- | --- | --- |");
     for count in [100, 10_000, 100_000] {
         let lab = lab();
-        let mut submitter = Submitter::connect(&lab.submitters);
-        let before = lab.held_kib().expect("it runs");
+        let mut submitter = Submitter::connect(&lab.submission_address);
+        let before = lab.resident_kib().expect("it runs");
         let (line, mut first) = (run_job(true, 64), String::new());
         // In runs of a hundred lines: the answers are read after each.
         for run in 0..count / 100 {
@@ -163,7 +163,7 @@
                 }
             }
         }
-        let alone = lab.held_kib().expect("it runs") - before;
+        let alone = lab.resident_kib().expect("it runs") - before;
         let info = request(
             &mut submitter,
             &format!("{{\"op\":\"getJobInfo\",\"seq\":1,\"jobId\":\"{first}\"}}\n"),
@@ -183,8 +183,8 @@
         };
         drop(lab);
         let lab = self::lab();
-        let mut submitter = Submitter::connect(&lab.submitters);
-        let before = lab.held_kib().expect("it runs");
+        let mut submitter = Submitter::connect(&lab.submission_address);
+        let before = lab.resident_kib().expect("it runs");
         let mut left = count;
         while left > 0 {
             let part = left.min(50_000);
@@ -196,7 +196,7 @@
             ));
             while submitter.hear().contains("\"more\":true") {}
         }
-        let array = lab.held_kib().expect("it runs") - before;
+        let array = lab.resident_kib().expect("it runs") - before;
         println!(
             "| {count} | {} | {} | {info:.1} | {hold:.1} | {list:.1} |",
             alone * 1024 / count,
@@ -208,7 +208,7 @@
 /// 64 submitters come back in the same moment, each with 1,024 waits on jobs that have not ended.
 fn reconnects() {
     let lab = lab();
-    let mut first = Submitter::connect(&lab.submitters);
+    let mut first = Submitter::connect(&lab.submission_address);
     first.ask("{\"op\":\"createSession\",\"seq\":1,\"name\":\"s\"}\n");
     let held = run_job(true, 0).replace("\"seq\":1", "\"seq\":1,\"session\":\"s\"");
     let ids: Vec<String> = (0..1024)
@@ -228,7 +228,7 @@
     let start = Arc::new(Barrier::new(65));
     let threads: Vec<_> = (0..64)
         .map(|_| {
-            let (start, at, waits) = (start.clone(), lab.submitters.clone(), waits.clone());
+            let (start, at, waits) = (start.clone(), lab.submission_address.clone(), waits.clone());
             std::thread::spawn(move || {
                 start.wait();
                 let from = Instant::now();
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/cluster.rs
@@ -1,126 +1,138 @@
-//! A fleet: several nodes of the program between the stand-ins, with cables between them that a test can cut.
+//! A cluster: several nodes of the program between the stand-ins, with voter_links between them that a test can cut.
 
-use crate::node::binary;
-use crate::{Cable, Directory, Worker};
+use crate::environment::binary;
+use crate::process_log::ProcessLog;
+use crate::{DiscoveryStub, NetworkLink, WorkerStub};
 use std::fmt::Write as _;
 use std::fs;
-use std::io::{BufRead, BufReader, Read, Write as _};
+use std::io::{Read, Write as _};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// The node's file, and the operator file, in a node's folder.
+const CONFIG_FILE: &str = "config.json";
+const OPERATOR_FILE: &str = "site.toml";
 /// Far longer than anything takes; only a failure waits for so long.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a fleet is made of.
+/// What a cluster is made of.
 #[derive(Clone, Debug)]
-pub struct FleetOptions {
-    /// Nodes, of which the first so many vote.
+pub struct ClusterOptions {
+    /// Nodes, of which the first ones vote.
     pub nodes: usize,
+    /// How many of them vote.
     pub voters: usize,
+    /// Worker stand-ins.
     pub workers: usize,
+    /// The free slots that each worker reports.
     pub slots: usize,
-    /// The lease, and the voters' step of time, in milliseconds.
+    /// The lease, in milliseconds.
     pub lease_ms: u64,
+    /// The voters' step of time, in milliseconds.
     pub tick_ms: u64,
     /// Further parts of each node's operator file.
-    pub site: String,
+    pub operator_keys: String,
     /// Whether each node has a submission front.
     pub submission: bool,
 }
 
-impl Default for FleetOptions {
+impl Default for ClusterOptions {
     fn default() -> Self {
-        FleetOptions {
+        ClusterOptions {
             nodes: 5,
             voters: 3,
             workers: 2,
             slots: 64,
             lease_ms: 1500,
             tick_ms: 20,
-            site: String::new(),
+            operator_keys: String::new(),
             submission: false,
         }
     }
 }
 
-/// One node of the fleet.
-pub struct FleetNode {
+/// One node of the cluster.
+pub struct ClusterNode {
     /// Its number, from 1 on.
     pub number: usize,
     folder: PathBuf,
     child: Option<Child>,
     /// Processes of it that were started before and not ended.
     former: Vec<Child>,
-    /// Where consumers, operators and submitters connect.
-    pub consumers: String,
-    pub operators: String,
-    pub submitters: String,
-    log: Arc<Mutex<Vec<String>>>,
-    /// To the voters, as this node knows them.
-    pub cables: Vec<Cable>,
+    /// Where clients connect.
+    pub client_address: String,
+    /// Where operators connect.
+    pub admin_address: String,
+    /// Where submitters connect; empty without a submission front.
+    pub submission_address: String,
+    log: ProcessLog,
+    /// The links to the voters, as this node knows them.
+    pub voter_links: Vec<NetworkLink>,
 }
 
-/// The fleet: it ends its nodes when it is dropped.
-pub struct Fleet {
-    pub directory: Directory,
-    pub workers: Vec<Worker>,
-    pub nodes: Vec<FleetNode>,
-    options: FleetOptions,
+/// The cluster: it ends its nodes when it is dropped.
+pub struct Cluster {
+    /// Discovery.
+    pub discovery: DiscoveryStub,
+    /// The workers, all of them listed.
+    pub workers: Vec<WorkerStub>,
+    /// The nodes, by their numbers less 1.
+    pub nodes: Vec<ClusterNode>,
+    options: ClusterOptions,
     folder: PathBuf,
 }
 
-impl Fleet {
+impl Cluster {
     /// Starts the stand-ins and all nodes, and waits until each has a reading.
     ///
     /// # Panics
     /// They do not start.
-    pub fn start(options: FleetOptions) -> Self {
+    pub fn start(options: ClusterOptions) -> Self {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let count = COUNT.fetch_add(1, Ordering::SeqCst);
         let folder =
             std::env::temp_dir().join(format!("marbledeck-fleet-{}-{count}", std::process::id()));
-        let directory = Directory::start();
-        let workers: Vec<Worker> = (1..=options.workers)
-            .map(|n| Worker::start(&format!("w{n}"), options.slots))
+        let discovery = DiscoveryStub::start();
+        let workers: Vec<WorkerStub> = (1..=options.workers)
+            .map(|n| WorkerStub::start(&format!("w{n}"), options.slots))
             .collect();
         for worker in &workers {
-            directory.set(&worker.id, worker.addr, "up");
+            discovery.set_worker(&worker.id, worker.address, "up");
         }
-        let node = |number: usize| FleetNode {
+        let node = |number: usize| ClusterNode {
             number,
             folder: folder.join(format!("n{number}")),
             child: None,
             former: Vec::new(),
-            consumers: String::new(),
-            operators: String::new(),
-            submitters: String::new(),
-            log: Arc::default(),
-            cables: (0..options.voters).map(|_| Cable::start()).collect(),
+            client_address: String::new(),
+            admin_address: String::new(),
+            submission_address: String::new(),
+            log: ProcessLog::default(),
+            voter_links: (0..options.voters).map(|_| NetworkLink::start()).collect(),
         };
         let nodes = (1..=options.nodes).map(node).collect();
-        let mut fleet = Fleet {
-            directory,
+        let mut cluster = Cluster {
+            discovery,
             workers,
             nodes,
             options,
             folder,
         };
-        for number in 1..=fleet.nodes.len() {
-            fleet.spawn(number);
+        for number in 1..=cluster.nodes.len() {
+            cluster.spawn(number);
         }
-        for number in 1..=fleet.nodes.len() {
-            fleet.until(number, "a reading", |text| {
+        for number in 1..=cluster.nodes.len() {
+            cluster.wait_for_records(number, "a reading", |text| {
                 text.contains("reading for") && !text.contains("reading for 0 ms")
             });
         }
-        fleet
+        cluster
     }
 
-    fn site(&self, node: &FleetNode) -> String {
+    fn operator_file(&self, node: &ClusterNode) -> String {
         let options = &self.options;
         let mut text = String::new();
         if options.submission {
@@ -136,17 +148,17 @@
             options.lease_ms,
             options.tick_ms
         );
-        for (at, cable) in node.cables.iter().enumerate() {
-            // Its own address is a free port; the cables of the others lead there.
+        for (at, link) in node.voter_links.iter().enumerate() {
+            // Its own address is a free port; the voter_links of the others lead there.
             let own = at + 1 == node.number;
             let address = if own {
                 "127.0.0.1:0".to_owned()
             } else {
-                cable.addr.to_string()
+                link.address.to_string()
             };
             let _ = write!(text, "{{ number = {}, address = \"{address}\" }}, ", at + 1);
         }
-        text + "]\n" + &options.site
+        text + "]\n" + &options.operator_keys
     }
 
     /// Starts a node, or starts it anew.
@@ -154,15 +166,20 @@
     /// # Panics
     /// It does not start.
     pub fn spawn(&mut self, number: usize) {
+        let log_length = self.nodes[number - 1].log.len();
+        self.write_files(number);
+        self.spawn_process(number);
+        self.wait_until_started(number, log_length);
+    }
+
+    /// Writes the node's file and the operator file.
+    fn write_files(&self, number: usize) {
         let at = number - 1;
-        let votes = number <= self.options.voters;
-        let (directory, list) = (self.directory.addr, self.directory.list());
-        let site = self.site(&self.nodes[at]);
-        let node = &mut self.nodes[at];
+        let (discovery, list) = (self.discovery.address, self.discovery.endpoint_list());
+        let node = &self.nodes[at];
         fs::create_dir_all(&node.folder).expect("a folder for temporary files");
-        let config = node.folder.join("config.json");
-        let text = format!(
-            r#"{{"name":"n{number}","discovery":"{directory}","listen":"127.0.0.1:0","known":{list},
+        let config = format!(
+            r#"{{"name":"n{number}","discovery":"{discovery}","listen":"127.0.0.1:0","known":{list},
             "settings":{{"balancers":{},"self-index":{at},"zone":0,"localities":["east"],"kinds":["std"],
             "registry-mode":"subscribe","stats":{{"fields":["x0"],"how":"piggyback"}},
             "family-info":{{"class-kind":[-1,-1],"class-stretch":[2.0,2.5],"report-x0":"free slots",
@@ -178,79 +195,59 @@
             {{"name":"sued","quota-per-s":100000,"share":0.5}}]}}}}"#,
             self.options.nodes
         );
-        fs::write(&config, text).expect("written");
-        let file = node.folder.join("site.toml");
-        fs::write(&file, site).expect("written");
+        fs::write(node.folder.join(CONFIG_FILE), config).expect("written");
+        fs::write(node.folder.join(OPERATOR_FILE), self.operator_file(node)).expect("written");
+    }
+
+    fn spawn_process(&mut self, number: usize) {
+        let node = &mut self.nodes[number - 1];
         let mut command = Command::new(binary());
-        command
-            .env("LB_CONFIG", &config)
-            .env("LB_OPS", "127.0.0.1:0")
-            .env("TMPDIR", &node.folder);
+        command.env("LB_CONFIG", node.folder.join(CONFIG_FILE));
+        command.env("LB_OPS", "127.0.0.1:0");
+        command.env("TMPDIR", &node.folder);
         for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
             command.env_remove(name);
         }
         // It must hold nothing of the test's that outlives it.
         command.stdin(Stdio::null()).stdout(Stdio::null());
-        command.arg("--site").arg(&file).stderr(Stdio::piped());
+        command.arg("--site").arg(node.folder.join(OPERATOR_FILE));
+        command.stderr(Stdio::piped());
         let child = command.spawn().expect("the node starts");
-        // Entered before anything is waited for: whatever happens, it is ended with the fleet.
+        // Entered before anything is waited for: whatever happens, it is ended with the cluster.
         node.former.extend(node.child.replace(child));
         let child = node.child.as_mut().expect("just entered");
-        let stderr = BufReader::new(child.stderr.take().expect("piped"));
-        let kept = node.log.clone();
-        let before = kept.lock().expect("no panic holds it").len();
-        std::thread::spawn(move || {
-            let shown = std::env::var_os("MARBLEDECK_LAB_LOG").is_some();
-            for line in stderr.lines().map_while(Result::ok) {
-                if shown {
-                    eprintln!("n{number}: {line}");
-                }
-                kept.lock().expect("no panic holds it").push(line);
-            }
-        });
-        // In whatever order it says them.
-        let log = node.log.clone();
-        let said = |words: &str| {
-            let until = Instant::now() + PATIENCE;
-            loop {
-                let lines = log.lock().expect("no panic holds it");
-                let line = lines[before..]
-                    .iter()
-                    .find_map(|line| line.split_once(words));
-                if let Some((_, rest)) = line {
-                    return rest.trim().to_owned();
-                }
-                assert!(
-                    Instant::now() < until,
-                    "node {number} does not say '{words}'"
-                );
-                drop(lines);
-                std::thread::sleep(Duration::from_millis(2));
-            }
-        };
+        let stderr = child.stderr.take().expect("piped");
+        node.log.follow(stderr, format!("n{number}"));
+    }
+
+    /// Waits for the addresses that a process logs after so many lines.
+    fn wait_until_started(&mut self, number: usize, log_length: usize) {
+        let node = &mut self.nodes[number - 1];
+        let wait_for = |text| node.log.wait_for(log_length, text, TIMEOUT);
         if self.options.submission {
-            node.submitters = said("takes submissions at ");
+            node.submission_address = wait_for("takes submissions at ");
+        }
+        node.admin_address = wait_for("answers operators at ");
+        node.client_address = wait_for("serves at ");
+        if number > self.options.voters {
+            return;
         }
-        node.operators = said("answers operators at ");
-        node.consumers = said("serves at ");
-        let voter: Option<SocketAddr> = votes.then(|| {
-            let addr = said("takes connections at ");
-            addr.parse().expect("an address")
-        });
-        for other in self.nodes.iter().filter(|_| votes) {
-            other.cables[at].lead(voter);
+        let voter = wait_for("takes connections at ");
+        let voter: SocketAddr = voter.parse().expect("an address");
+        for other in &self.nodes {
+            other.voter_links[number - 1].set_target(Some(voter));
         }
     }
 
-    /// What a node tells of the records.
+    /// What a node answers to `records`.
     pub fn records(&self, number: usize) -> String {
-        self.operate(number, "records").unwrap_or_default()
+        self.call_admin(number, "records").unwrap_or_default()
     }
 
-    /// Says a line at a node's operators' address; the whole answer.
-    pub fn operate(&self, number: usize, call: &str) -> Option<String> {
-        let mut stream = TcpStream::connect(&self.nodes[number - 1].operators).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    /// Sends a line to a node's operators' address; the whole answer.
+    pub fn call_admin(&self, number: usize, call: &str) -> Option<String> {
+        let mut stream = TcpStream::connect(&self.nodes[number - 1].admin_address).ok()?;
+        stream.set_read_timeout(Some(TIMEOUT)).ok()?;
         stream.write_all(format!("{call}\n").as_bytes()).ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).ok()?;
@@ -261,16 +258,16 @@
     ///
     /// # Panics
     /// They do not come to that.
-    pub fn until(&self, number: usize, what: &str, is: impl Fn(&str) -> bool) {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_records(&self, number: usize, what: &str, is: impl Fn(&str) -> bool) {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let text = self.records(number);
             if is(&text) {
                 return;
             }
             assert!(
-                Instant::now() < until,
-                "node {number}: {what} is not to be seen in {text}"
+                Instant::now() < deadline,
+                "node {number}: {what} is not seen in {text}"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -281,21 +278,19 @@
     pub fn kill_once_logged(
         &self,
         number: usize,
-        words: &'static str,
+        text: &'static str,
         pid: u32,
     ) -> std::thread::JoinHandle<bool> {
         let log = self.nodes[number - 1].log.clone();
         std::thread::spawn(move || {
-            let until = Instant::now() + PATIENCE / 3;
-            while Instant::now() < until {
-                let lines = log.lock().expect("no panic holds it");
-                if lines.iter().any(|line| line.contains(words)) {
+            let deadline = Instant::now() + TIMEOUT / 3;
+            while Instant::now() < deadline {
+                if log.contains(text) {
                     let killed = Command::new("kill")
                         .args(["-KILL", &pid.to_string()])
                         .status();
                     return killed.is_ok_and(|status| status.success());
                 }
-                drop(lines);
                 std::thread::sleep(Duration::from_millis(5));
             }
             false
@@ -306,12 +301,8 @@
     ///
     /// # Panics
     /// A test has panicked.
-    pub fn logged(&self, number: usize, words: &str) -> bool {
-        let log = self.nodes[number - 1]
-            .log
-            .lock()
-            .expect("no panic holds it");
-        log.iter().any(|line| line.contains(words))
+    pub fn logged(&self, number: usize, text: &str) -> bool {
+        self.nodes[number - 1].log.contains(text)
     }
 
     /// From now on no file of a node's may grow beyond so many bytes; none for no limit.
@@ -332,12 +323,12 @@
     ///
     /// # Panics
     /// None does.
-    pub fn until_logged(&self, number: usize, words: &str) {
-        let until = Instant::now() + PATIENCE;
-        while !self.logged(number, words) {
+    pub fn wait_for_log_line(&self, number: usize, text: &str) {
+        let deadline = Instant::now() + TIMEOUT;
+        while !self.logged(number, text) {
             assert!(
-                Instant::now() < until,
-                "node {number} does not log '{words}'"
+                Instant::now() < deadline,
+                "node {number} does not log '{text}'"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -348,7 +339,7 @@
     /// # Panics
     /// None does.
     pub fn leader(&self) -> usize {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let voters = 1..=self.options.voters;
             let runs = |n: &usize| self.nodes[n - 1].child.is_some();
@@ -358,7 +349,7 @@
             {
                 return leader;
             }
-            assert!(Instant::now() < until, "no voter leads");
+            assert!(Instant::now() < deadline, "no voter leads");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -371,7 +362,7 @@
             let _ = child.wait();
         }
         for node in self.nodes.iter().filter(|_| number <= self.options.voters) {
-            node.cables[number - 1].lead(None);
+            node.voter_links[number - 1].set_target(None);
         }
     }
 
@@ -387,7 +378,7 @@
         assert!(sent.is_ok_and(|status| status.success()), "kill {signal}");
     }
 
-    /// The number of a node's process.
+    /// The id of a node's process.
     pub fn pid(&self, number: usize) -> Option<u32> {
         self.nodes[number - 1].child.as_ref().map(Child::id)
     }
@@ -403,7 +394,7 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for number in 1..=self.nodes.len() {
             self.kill(number);
--- a/crates/test-support/src/node.rs
+++ b/crates/test-support/src/environment.rs
@@ -1,6 +1,7 @@
 //! A node with its submission front, between the stand-ins.
 
-use crate::{Directory, Worker};
+use crate::process_log::ProcessLog;
+use crate::{DiscoveryStub, WorkerStub};
 use std::fmt::Write as _;
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -8,60 +9,67 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
 /// Far longer than anything takes; only a failure waits for so long.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a lab is made of.
+/// What an environment is made of.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct EnvironmentOptions {
+    /// Worker stand-ins.
     pub workers: usize,
-    /// The free slots that each worker tells of.
+    /// The free slots that each worker reports.
     pub slots: usize,
     /// Further lines of the submission front's file.
-    pub front: String,
+    pub submission_keys: String,
+    /// The node's limit on memory.
     pub memory_mb: usize,
+    /// The node's limit on descriptors.
     pub sockets: usize,
     /// What the token buckets of a tenant bear, in jobs a second.
     pub quota: f64,
     /// Further parts of the operator file.
-    pub site: String,
-    /// Where the other nodes of the tier take datagrams; this one has the number 0.
+    pub operator_keys: String,
+    /// Where the other nodes take datagrams; this one has the number 0.
     pub peers: Vec<SocketAddr>,
-    /// How many of the workers the directory names; all of them where none.
-    pub listed: Option<usize>,
+    /// How many of the workers discovery lists; all of them where none.
+    pub listed_workers: Option<usize>,
 }
 
-impl Default for Options {
+impl Default for EnvironmentOptions {
     fn default() -> Self {
-        Options {
+        EnvironmentOptions {
             workers: 3,
             slots: 16,
-            front: String::new(),
+            submission_keys: String::new(),
             memory_mb: 192,
             sockets: 1024,
             quota: 100_000.0,
-            site: String::new(),
+            operator_keys: String::new(),
             peers: Vec::new(),
-            listed: None,
+            listed_workers: None,
         }
     }
 }
 
-/// The lab: it ends its node when it is dropped.
-pub struct Lab {
-    pub directory: Directory,
-    pub workers: Vec<Worker>,
-    /// Where submitters, consumers and operators connect.
-    pub submitters: String,
-    pub consumers: String,
-    pub operators: String,
+/// The environment: it ends its node when it is dropped.
+pub struct TestEnvironment {
+    /// Discovery.
+    pub discovery: DiscoveryStub,
+    /// The workers.
+    pub workers: Vec<WorkerStub>,
+    /// Where submitters connect.
+    pub submission_address: String,
+    /// Where clients connect.
+    pub client_address: String,
+    /// Where operators connect, at the process that was started last.
+    pub admin_address: String,
     folder: PathBuf,
-    options: Options,
-    nodes: Vec<Child>,
+    options: EnvironmentOptions,
+    processes: Vec<Child>,
     started: u64,
+    log: ProcessLog,
 }
 
 /// The node's program, as it was built beside the one that asks.
@@ -75,47 +83,51 @@
     found.expect("build the node first: cargo build, in the same profile")
 }
 
-impl Lab {
+impl TestEnvironment {
     /// Starts the stand-ins and a node, and waits until it serves.
     ///
     /// # Panics
     /// The node does not start.
-    pub fn start(options: Options) -> Self {
+    pub fn start(options: EnvironmentOptions) -> Self {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let number = COUNT.fetch_add(1, Ordering::SeqCst);
         let name = format!("marbledeck-test-support-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(&folder).expect("a folder for temporary files");
-        let directory = Directory::start();
-        let worker = |n: usize| Worker::start(&format!("w{n}"), options.slots);
-        let workers: Vec<Worker> = (1..=options.workers).map(worker).collect();
-        for worker in workers.iter().take(options.listed.unwrap_or(usize::MAX)) {
-            directory.set(&worker.id, worker.addr, "up");
+        let discovery = DiscoveryStub::start();
+        let worker = |n: usize| WorkerStub::start(&format!("w{n}"), options.slots);
+        let workers: Vec<WorkerStub> = (1..=options.workers).map(worker).collect();
+        for worker in workers
+            .iter()
+            .take(options.listed_workers.unwrap_or(usize::MAX))
+        {
+            discovery.set_worker(&worker.id, worker.address, "up");
         }
-        let mut lab = Lab {
-            directory,
+        let mut environment = TestEnvironment {
+            discovery,
             workers,
-            submitters: "127.0.0.1:0".to_owned(),
-            consumers: "127.0.0.1:0".to_owned(),
-            operators: String::new(),
+            submission_address: "127.0.0.1:0".to_owned(),
+            client_address: "127.0.0.1:0".to_owned(),
+            admin_address: String::new(),
             folder,
             options,
-            nodes: Vec::new(),
+            processes: Vec::new(),
             started: 0,
+            log: ProcessLog::default(),
         };
-        lab.spawn();
-        lab
+        environment.spawn();
+        environment
     }
 
     fn config(&self) -> String {
         let (memory, sockets) = (self.options.memory_mb, self.options.sockets);
         let (quota, started) = (self.options.quota, self.started);
-        // Where this one takes datagrams is known to who hears from it.
+        // Where this one takes datagrams is known to whoever receives one from it.
         let mut peers = "\"127.0.0.1:1\"".to_owned();
         for peer in &self.options.peers {
             let _ = write!(peers, ",\"{peer}\"");
         }
-        let tells = !self.options.peers.is_empty();
+        let may_gossip = !self.options.peers.is_empty();
         format!(
             r#"{{"name":"n0","seed":"{started:x}7","discovery":"{}",
             "limits":{{"memory_mb":{memory},"sockets":{sockets}}},
@@ -126,7 +138,7 @@
             "family-info":{{"class-kind":[-1,-1],"class-stretch":[2.0,2.5],"report-x0":"free slots",
             "tells-start":true,"progress-us":1000000}},
             "bounds":{{"conn-idle-us":5000000,"connect-timeout-us":250000,"max-open":200000,
-            "max-retry-after-us":2000000,"may-cancel":true,"may-tell":{tells},"probes":false,"retry-after":true,
+            "max-retry-after-us":2000000,"may-cancel":true,"may-tell":{may_gossip},"probes":false,"retry-after":true,
             "second-copies":true,"try-limit":3}},
             "profiles":[{{"name":"preview","effect":"safe","promise-us":5000000,"deadline-us":7500000}},
             {{"name":"sheet-publish","effect":"keyed","dedup-scope":"cell","dedup-window-us":40000000,
@@ -135,8 +147,8 @@
             "must-ask-in-us":10000000}},
             "tenants":[{{"name":"au","quota-per-s":{quota},"share":0.5}},
             {{"name":"sued","quota-per-s":{quota},"share":0.5}}]}}}}"#,
-            self.directory.addr,
-            self.directory.list()
+            self.discovery.address,
+            self.discovery.endpoint_list()
         )
     }
 
@@ -147,44 +159,40 @@
         let site = self.folder.join("site.toml");
         let text = format!(
             "[submission]\nlisten = \"{}\"\n{}\n{}\n",
-            self.submitters, self.options.front, self.options.site
+            self.submission_address, self.options.submission_keys, self.options.operator_keys
         );
         fs::write(&site, text).expect("written");
         let mut command = Command::new(binary());
         command
             .env("LB_CONFIG", &config)
-            .env("LB_LISTEN", &self.consumers);
+            .env("LB_LISTEN", &self.client_address);
         command
             .env("LB_OPS", "127.0.0.1:0")
             .env("TMPDIR", &self.folder);
         command.env_remove("LB_NAME").env_remove("LB_DISCOVERY");
         command.arg("--site").arg(&site).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the node starts");
-        let stderr = BufReader::new(child.stderr.take().expect("piped"));
-        let (sender, log) = channel();
-        let started = self.started;
-        std::thread::spawn(move || {
-            // With MARBLEDECK_LAB_LOG the nodes' logs are shown: each line with the node's number.
-            let shown = std::env::var_os("MARBLEDECK_LAB_LOG").is_some();
-            for line in stderr.lines().map_while(Result::ok) {
-                if shown {
-                    eprintln!("node {started}: {line}");
-                }
-                let _ = sender.send(line);
-            }
-        });
-        self.submitters = said(&log, "takes submissions at ");
-        self.operators = said(&log, "answers operators at ");
-        self.consumers = said(&log, "serves at ");
-        self.nodes.push(child);
+        let stderr = child.stderr.take().expect("piped");
+        self.processes.push(child);
+        let log_length = self.log.len();
+        self.log.follow(stderr, format!("node {}", self.started));
+        let wait_for = |text| self.log.wait_for(log_length, text, TIMEOUT);
+        let submission_address = wait_for("takes submissions at ");
+        let admin_address = wait_for("answers operators at ");
+        self.client_address = wait_for("serves at ");
+        self.submission_address = submission_address;
+        self.admin_address = admin_address;
     }
 
     /// Starts another process of the node beside the one that runs, and waits until it serves.
-    pub fn succeed(&mut self) {
+    ///
+    /// # Panics
+    /// It does not serve in time.
+    pub fn start_successor(&mut self) {
         self.spawn();
-        let until = Instant::now() + PATIENCE;
-        while self.operate("check").as_deref() != Some("ACK serving") {
-            assert!(Instant::now() < until, "the new process does not serve");
+        let deadline = Instant::now() + TIMEOUT;
+        while self.call_admin("check").as_deref() != Some("ACK serving") {
+            assert!(Instant::now() < deadline, "the new process does not serve");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -193,7 +201,7 @@
     pub fn members(&self) -> Vec<String> {
         use std::io::{Read, Write};
         let mut text = String::new();
-        if let Ok(mut stream) = std::net::TcpStream::connect(&self.operators) {
+        if let Ok(mut stream) = std::net::TcpStream::connect(&self.admin_address) {
             let said = stream.write_all(b"members\n");
             let _ = said.and_then(|()| stream.read_to_string(&mut text).map(drop));
         }
@@ -205,8 +213,8 @@
     ///
     /// # Panics
     /// It does not come to that.
-    pub fn until_member(&self, id: &str, is: impl Fn(Option<&str>) -> bool) {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_member(&self, id: &str, is: impl Fn(Option<&str>) -> bool) {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let members = self.members();
             let line = members
@@ -215,15 +223,15 @@
             if is(line.map(String::as_str)) {
                 return;
             }
-            assert!(Instant::now() < until, "{id}: {line:?}");
+            assert!(Instant::now() < deadline, "{id}: {line:?}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Says a line at the operators' address of the node that was started last.
-    pub fn operate(&self, call: &str) -> Option<String> {
+    /// Sends a line to the operators' address of the process that was started last.
+    pub fn call_admin(&self, call: &str) -> Option<String> {
         use std::io::Write;
-        let mut stream = std::net::TcpStream::connect(&self.operators).ok()?;
+        let mut stream = std::net::TcpStream::connect(&self.admin_address).ok()?;
         stream.write_all(format!("{call}\n").as_bytes()).ok()?;
         let mut answer = String::new();
         BufReader::new(stream).read_line(&mut answer).ok()?;
@@ -231,27 +239,30 @@
     }
 
     /// Sends a signal to the process that was started as this one, from 0 on.
+    ///
+    /// # Panics
+    /// It cannot be sent.
     pub fn signal(&self, which: usize, signal: &str) {
-        let id = self.nodes[which].id().to_string();
+        let id = self.processes[which].id().to_string();
         let sent = Command::new("kill").args([signal, &id]).status();
         assert!(sent.is_ok_and(|status| status.success()), "kill {signal}");
     }
 
     /// Waits for the end of a process; tells whether its status was 0.
-    pub fn ends(&mut self, which: usize) -> bool {
-        let until = Instant::now() + PATIENCE;
+    pub fn exits_cleanly(&mut self, which: usize) -> bool {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            match self.nodes[which].try_wait() {
+            match self.processes[which].try_wait() {
                 Ok(Some(status)) => return status.success(),
-                _ if Instant::now() > until => return false,
+                _ if Instant::now() > deadline => return false,
                 _ => std::thread::sleep(Duration::from_millis(5)),
             }
         }
     }
 
     /// Kills the node that was started last, and starts another at the same addresses.
-    pub fn crash(&mut self) {
-        if let Some(mut child) = self.nodes.pop() {
+    pub fn crash_and_restart(&mut self) {
+        if let Some(mut child) = self.processes.pop() {
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -260,15 +271,15 @@
 
     /// The most memory that the node that was started last has held, in KiB.
     pub fn peak_kib(&self) -> Option<u64> {
-        let id = self.nodes.last()?.id();
+        let id = self.processes.last()?.id();
         let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
         line.split_ascii_whitespace().nth(1)?.parse().ok()
     }
 
     /// The memory that it holds now, in KiB.
-    pub fn held_kib(&self) -> Option<u64> {
-        let id = self.nodes.last()?.id();
+    pub fn resident_kib(&self) -> Option<u64> {
+        let id = self.processes.last()?.id();
         let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
         line.split_ascii_whitespace().nth(1)?.parse().ok()
@@ -280,22 +291,9 @@
     }
 }
 
-/// What the node says after these words.
-fn said(log: &Receiver<String>, words: &str) -> String {
-    let until = Instant::now() + PATIENCE;
-    let mut seen = String::new();
-    while let Ok(line) = log.recv_timeout(until.saturating_duration_since(Instant::now())) {
-        if let Some((_, rest)) = line.split_once(words) {
-            return rest.trim().to_owned();
-        }
-        seen += &format!("\n{line}");
-    }
-    panic!("the node does not say '{words}':{seen}");
-}
-
-impl Drop for Lab {
+impl Drop for TestEnvironment {
     fn drop(&mut self) {
-        for child in &mut self.nodes {
+        for child in &mut self.processes {
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/test-support/src/registry.rs
+++ b/crates/test-support/src/eureka.rs
@@ -1,37 +1,38 @@
 //! A stand-in for a Eureka registry, on the public wire of its REST operations: register, renew, cancel, status
-//! overrides, whole lists and deltas, JSON and XML. A test tells it to have a bad day.
+//! overrides, whole lists and deltas, JSON and XML. A test can make it fail in several ways.
 
+use crate::accept::{listen, serve_connections};
 use crate::http::{self, Request};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 /// What a registry does besides answering as it should.
 #[derive(Clone, Debug, Default)]
-pub struct Mood {
+pub struct EurekaBehaviour {
     /// Answers come so late.
-    pub late: Duration,
-    /// Questions are read and never answered.
+    pub delay: Duration,
+    /// Requests are read and never answered.
     pub silent: bool,
-    /// Every question gets this status.
+    /// Every request gets this status.
     pub status: Option<u16>,
     /// Answers break off after so many bytes.
-    pub cut: Option<usize>,
+    pub truncate_after: Option<usize>,
     /// The hash code is never right.
     pub wrong_hash: bool,
     /// Changes do not show up in deltas.
-    pub loses_deltas: bool,
-    /// Lists and deltas are told as if there were nobody.
+    pub omits_deltas: bool,
+    /// Lists and deltas are empty.
     pub empty: bool,
 }
 
 #[derive(Clone)]
-struct Held {
+struct Registration {
     instance: Map<String, Value>,
-    overridden: Option<String>,
+    overridden_status: Option<String>,
     renewed: Instant,
     lease: Duration,
 }
@@ -39,12 +40,12 @@
 #[derive(Default)]
 struct State {
     /// By application and id.
-    held: BTreeMap<(String, String), Held>,
+    registrations: BTreeMap<(String, String), Registration>,
     /// What has changed, and when.
     recent: Vec<(Instant, String, Value)>,
-    mood: Mood,
-    /// How often each path was asked for.
-    asked: BTreeMap<String, usize>,
+    behaviour: EurekaBehaviour,
+    /// How often each path was requested.
+    requests: BTreeMap<String, usize>,
     cancelled: BTreeMap<(String, String), usize>,
     /// Leases that run out are removed.
     expires: bool,
@@ -52,35 +53,30 @@
 
 /// The stand-in; it serves until the program ends.
 #[derive(Clone)]
-pub struct Registry {
-    pub addr: SocketAddr,
+pub struct EurekaStub {
+    /// Where to connect.
+    pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-/// For how long a change is told in deltas.
+/// For how long a change shows up in deltas.
 const RECENT: Duration = Duration::from_secs(180);
 
-impl Registry {
+impl EurekaStub {
     /// Listens on a free port.
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let registry = Registry {
-            addr: listener.local_addr().expect("bound"),
+        let (listener, address) = listen();
+        let registry = EurekaStub {
+            address,
             state: Arc::default(),
         };
-        let own = registry.clone();
-        std::thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let own = own.clone();
-                std::thread::spawn(move || own.serve(stream));
-            }
-        });
+        serve_connections(listener, registry.clone(), EurekaStub::serve);
         registry
     }
 
     /// Where clients find it.
     pub fn url(&self) -> String {
-        format!("http://{}/eureka", self.addr)
+        format!("http://{}/eureka", self.address)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -88,28 +84,30 @@
     }
 
     /// From now on it behaves like this.
-    pub fn set_mood(&self, mood: Mood) {
-        self.state().mood = mood;
+    pub fn set_behaviour(&self, behaviour: EurekaBehaviour) {
+        self.state().behaviour = behaviour;
     }
 
     /// From now on leases run out.
-    pub fn expire(&self) {
+    pub fn enable_expiry(&self) {
         self.state().expires = true;
     }
 
     /// Forgets everything, as at a restart.
     pub fn restart(&self) {
         let mut state = self.state();
-        state.held.clear();
+        state.registrations.clear();
         state.recent.clear();
     }
 
-    /// An instance's status as it is shown; none where it is not held.
+    /// An instance's status as it is as_shown; none where it is not registration.
     pub fn status(&self, app: &str, id: &str) -> Option<String> {
         let state = self.state();
-        let held = state.held.get(&(app.to_uppercase(), id.to_owned()))?;
-        let shown = State::shown(held, "ADDED");
-        shown["status"].as_str().map(str::to_owned)
+        let registration = state
+            .registrations
+            .get(&(app.to_uppercase(), id.to_owned()))?;
+        let as_shown = State::as_shown(registration, "ADDED");
+        as_shown["status"].as_str().map(str::to_owned)
     }
 
     /// How often an instance was cancelled, or has expired.
@@ -118,9 +116,9 @@
         self.state().cancelled.get(&key).copied().unwrap_or(0)
     }
 
-    /// How often a path was asked for.
-    pub fn asked(&self, path: &str) -> usize {
-        self.state().asked.get(path).copied().unwrap_or(0)
+    /// How often a path was requested.
+    pub fn request_count(&self, path: &str) -> usize {
+        self.state().requests.get(path).copied().unwrap_or(0)
     }
 
     /// Registers a worker as its own client would.
@@ -140,8 +138,10 @@
     pub fn remove(&self, app: &str, id: &str, on_purpose: bool) {
         let mut state = self.state();
         let key = (app.to_uppercase(), id.to_owned());
-        if let Some(held) = state.held.get_mut(&key).filter(|_| on_purpose) {
-            held.instance.insert("status".to_owned(), "DOWN".into());
+        if let Some(registration) = state.registrations.get_mut(&key).filter(|_| on_purpose) {
+            registration
+                .instance
+                .insert("status".to_owned(), "DOWN".into());
         }
         state.cancel(&key);
     }
@@ -152,104 +152,138 @@
         };
         let mut reading = BufReader::new(reading);
         while let Ok(Some(request)) = http::read(&mut reading) {
-            let mood = self.state().mood.clone();
-            if mood.silent {
+            let behaviour = self.state().behaviour.clone();
+            if behaviour.silent {
                 std::thread::sleep(Duration::from_secs(3600));
                 return;
             }
-            std::thread::sleep(mood.late);
-            let (status, kind, body) = match mood.status {
-                Some(status) => (status, "text/plain", String::new()),
+            std::thread::sleep(behaviour.delay);
+            let answer = match behaviour.status {
+                Some(status) => Answer::empty(status),
                 None => self.answer(&request),
             };
             let head = format!(
-                "HTTP/1.1 {status} -\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n\r\n",
-                body.len()
+                "HTTP/1.1 {} -\r\nContent-Type: {}\r\nContent-Length: {}\r\n\r\n",
+                answer.status,
+                answer.content_type,
+                answer.body.len()
             );
-            let whole = head + &body;
-            let sent = &whole.as_bytes()[..mood.cut.unwrap_or(whole.len()).min(whole.len())];
+            let whole = head + &answer.body;
+            let sent = &whole.as_bytes()[..behaviour
+                .truncate_after
+                .unwrap_or(whole.len())
+                .min(whole.len())];
             if stream.write_all(sent).is_err() || sent.len() < whole.len() {
                 return;
             }
         }
     }
 
-    fn answer(&self, request: &Request) -> (u16, &'static str, String) {
+    fn answer(&self, request: &Request) -> Answer {
         let mut state = self.state();
-        state.sweep();
+        state.remove_expired();
         let path = request.target.split('?').next().unwrap_or_default();
         let path = path.trim_end_matches('/').to_owned();
-        *state.asked.entry(path.clone()).or_default() += 1;
+        *state.requests.entry(path.clone()).or_default() += 1;
         let parts: Vec<&str> = path.split('/').skip(2).collect();
-        let xml = request
-            .field("Accept")
-            .is_some_and(|accept| accept.contains("xml"));
-        let told = |value: Value| match xml {
-            true => (200, "application/xml", to_xml(&value)),
-            false => (200, "application/json", value.to_string()),
+        let accept = request.field("Accept");
+        let wants_xml = accept.is_some_and(|accept| accept.contains("xml"));
+        let has = |name: &'static str, value: Value| {
+            move |entry: &Registration| entry.instance.get(name) == Some(&value)
         };
-        let nothing = |status| (status, "text/plain", String::new());
-        match (request.method.as_str(), parts.as_slice()) {
-            ("GET", ["apps"]) => told(state.list(|_| true)),
-            ("GET", ["apps", "delta"]) => told(state.delta()),
-            ("GET", ["vips", vip]) => {
-                told(state.list(|held| held.instance.get("vipAddress") == Some(&json!(vip))))
-            }
-            ("GET", ["apps", app]) => {
-                let app = app.to_uppercase();
-                told(state.list(|held| held.instance.get("app") == Some(&json!(app))))
-            }
-            ("POST", ["apps", app]) => match serde_json::from_slice::<Value>(&request.body) {
-                Ok(value) => {
-                    let instance = value["instance"].clone();
-                    let id = instance["instanceId"]
-                        .as_str()
-                        .or(instance["hostName"].as_str());
-                    match id.map(str::to_owned) {
-                        Some(id) => {
-                            state.register(app, &id, instance);
-                            nothing(204)
-                        }
-                        None => nothing(400),
-                    }
-                }
-                Err(_) => nothing(400),
+        let value = match (request.method.as_str(), parts.as_slice()) {
+            ("GET", ["apps"]) => state.list(|_| true),
+            ("GET", ["apps", "delta"]) => state.delta(),
+            ("GET", ["vips", vip]) => state.list(has("vipAddress", json!(vip))),
+            ("GET", ["apps", app]) => state.list(has("app", json!(app.to_uppercase()))),
+            ("GET", ["apps", app, id]) => match state.registrations.get(&key(app, id)) {
+                Some(entry) => json!({"instance": entry.instance}),
+                None => return Answer::empty(404),
             },
-            (method, ["apps", app, id, rest @ ..]) => {
-                let key = (app.to_uppercase(), (*id).to_owned());
-                if !state.held.contains_key(&key) {
-                    return nothing(404);
-                }
-                match (method, rest) {
-                    ("GET", []) => told(json!({"instance": state.held[&key].instance})),
-                    ("PUT", []) => {
-                        if let Some(held) = state.held.get_mut(&key) {
-                            held.renewed = Instant::now();
-                        }
-                        nothing(200)
-                    }
-                    ("DELETE", []) => {
-                        state.cancel(&key);
-                        nothing(200)
-                    }
-                    ("PUT", ["status"]) => {
-                        let status = request.query("value").unwrap_or("UNKNOWN").to_owned();
-                        state.set_status(app, id, &status);
-                        nothing(200)
-                    }
-                    ("DELETE", ["status"]) => {
-                        state.set_status(app, id, "UP");
-                        nothing(200)
-                    }
-                    _ => nothing(405),
-                }
+            ("POST", ["apps", app]) => return Answer::empty(state.handle_register(app, request)),
+            (_, ["apps", app, id, rest @ ..]) => {
+                return Answer::empty(state.handle_instance(app, id, rest, request))
             }
-            _ => nothing(404),
+            _ => return Answer::empty(404),
+        };
+        Answer::list(&value, wants_xml)
+    }
+}
+
+/// The key of an instance.
+fn key(app: &str, id: &str) -> (String, String) {
+    (app.to_uppercase(), id.to_owned())
+}
+
+/// An answer of the registry.
+struct Answer {
+    status: u16,
+    content_type: &'static str,
+    body: String,
+}
+
+impl Answer {
+    fn empty(status: u16) -> Self {
+        Answer {
+            status,
+            content_type: "text/plain",
+            body: String::new(),
+        }
+    }
+
+    fn list(value: &Value, wants_xml: bool) -> Self {
+        let (content_type, body) = if wants_xml {
+            ("application/xml", to_xml(value))
+        } else {
+            ("application/json", value.to_string())
+        };
+        Answer {
+            status: 200,
+            content_type,
+            body,
         }
     }
 }
 
 impl State {
+    /// Registers an instance; the status of the answer.
+    fn handle_register(&mut self, app: &str, request: &Request) -> u16 {
+        let Ok(value) = serde_json::from_slice::<Value>(&request.body) else {
+            return 400;
+        };
+        let instance = value["instance"].clone();
+        let id = instance["instanceId"].as_str();
+        let id = id.or(instance["hostName"].as_str()).map(str::to_owned);
+        let Some(id) = id else {
+            return 400;
+        };
+        self.register(app, &id, instance);
+        204
+    }
+
+    /// Renews, cancels or overrides an instance; the status of the answer.
+    fn handle_instance(&mut self, app: &str, id: &str, rest: &[&str], request: &Request) -> u16 {
+        let key = key(app, id);
+        if !self.registrations.contains_key(&key) {
+            return 404;
+        }
+        match (request.method.as_str(), rest) {
+            ("PUT", []) => {
+                if let Some(entry) = self.registrations.get_mut(&key) {
+                    entry.renewed = Instant::now();
+                }
+            }
+            ("DELETE", []) => self.cancel(&key),
+            ("PUT", ["status"]) => {
+                let status = request.query("value").unwrap_or("UNKNOWN").to_owned();
+                self.set_status(app, id, &status);
+            }
+            ("DELETE", ["status"]) => self.set_status(app, id, "UP"),
+            _ => return 405,
+        }
+        200
+    }
+
     fn stamp() -> String {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         now.unwrap_or_default().as_millis().to_string()
@@ -266,44 +300,49 @@
         let lease = &instance
             .get("leaseInfo")
             .map(|lease| lease["durationInSecs"].clone());
-        let lease = lease.as_ref().and_then(|l| l.as_u64()).unwrap_or(90);
-        let held = Held {
+        let lease = lease.as_ref().and_then(Value::as_u64).unwrap_or(90);
+        let registration = Registration {
             instance,
-            overridden: None,
+            overridden_status: None,
             renewed: Instant::now(),
             lease: Duration::from_secs(lease),
         };
         let key = (app, id.to_owned());
-        self.held.insert(key.clone(), held);
+        self.registrations.insert(key.clone(), registration);
         self.changed(&key, "ADDED");
     }
 
-    fn shown(held: &Held, action: &str) -> Value {
-        let mut instance = held.instance.clone();
-        let overridden = held
-            .overridden
+    fn as_shown(registration: &Registration, action: &str) -> Value {
+        let mut instance = registration.instance.clone();
+        let overridden_status = registration
+            .overridden_status
             .clone()
             .unwrap_or_else(|| "UNKNOWN".to_owned());
-        if overridden != "UNKNOWN" {
-            instance.insert("status".to_owned(), overridden.clone().into());
+        if overridden_status != "UNKNOWN" {
+            instance.insert("status".to_owned(), overridden_status.clone().into());
         }
-        instance.insert("overriddenstatus".to_owned(), overridden.into());
+        instance.insert("overriddenstatus".to_owned(), overridden_status.into());
         instance.insert("actionType".to_owned(), action.into());
         Value::Object(instance)
     }
 
     fn changed(&mut self, key: &(String, String), action: &str) {
-        if let Some(held) = self.held.get(key).filter(|_| !self.mood.loses_deltas) {
-            let shown = Self::shown(held, action);
-            self.recent.push((Instant::now(), key.0.clone(), shown));
+        if let Some(registration) = self
+            .registrations
+            .get(key)
+            .filter(|_| !self.behaviour.omits_deltas)
+        {
+            let as_shown = Self::as_shown(registration, action);
+            self.recent.push((Instant::now(), key.0.clone(), as_shown));
         }
     }
 
     fn set_status(&mut self, app: &str, id: &str, status: &str) {
         let key = (app.to_uppercase(), id.to_owned());
-        if let Some(held) = self.held.get_mut(&key) {
-            held.overridden = (status != "UP").then(|| status.to_owned());
-            held.instance
+        if let Some(registration) = self.registrations.get_mut(&key) {
+            registration.overridden_status = (status != "UP").then(|| status.to_owned());
+            registration
+                .instance
                 .insert("lastDirtyTimestamp".to_owned(), Self::stamp().into());
         }
         self.changed(&key, "MODIFIED");
@@ -312,17 +351,18 @@
     fn cancel(&mut self, key: &(String, String)) {
         self.changed(key, "DELETED");
         *self.cancelled.entry(key.clone()).or_default() += 1;
-        self.held.remove(key);
+        self.registrations.remove(key);
     }
 
-    fn sweep(&mut self) {
+    fn remove_expired(&mut self) {
         self.recent.retain(|(at, ..)| at.elapsed() < RECENT);
         if self.expires {
-            let over = |held: &Held| held.renewed.elapsed() > held.lease;
+            let over =
+                |registration: &Registration| registration.renewed.elapsed() > registration.lease;
             let old: Vec<_> = self
-                .held
+                .registrations
                 .iter()
-                .filter(|(_, held)| over(held))
+                .filter(|(_, registration)| over(registration))
                 .map(|(k, _)| k.clone())
                 .collect();
             old.iter().for_each(|key| self.cancel(key));
@@ -330,14 +370,14 @@
     }
 
     fn hash(&self) -> String {
-        if self.mood.wrong_hash {
+        if self.behaviour.wrong_hash {
             return "UP_99999_".to_owned();
         }
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-        for held in self.held.values() {
-            let shown = Self::shown(held, "ADDED");
+        for registration in self.registrations.values() {
+            let as_shown = Self::as_shown(registration, "ADDED");
             *counts
-                .entry(shown["status"].as_str().unwrap_or("UNKNOWN").to_owned())
+                .entry(as_shown["status"].as_str().unwrap_or("UNKNOWN").to_owned())
                 .or_default() += 1;
         }
         counts
@@ -346,7 +386,7 @@
             .collect()
     }
 
-    fn told(&self, instances: Vec<(String, Value)>) -> Value {
+    fn applications(&self, instances: Vec<(String, Value)>) -> Value {
         let mut apps: BTreeMap<String, Vec<Value>> = BTreeMap::new();
         for (app, instance) in instances {
             apps.entry(app).or_default().push(instance);
@@ -355,7 +395,7 @@
             .into_iter()
             .map(|(name, i)| json!({"name": name, "instance": i}))
             .collect();
-        let hash = if self.mood.empty {
+        let hash = if self.behaviour.empty {
             String::new()
         } else {
             self.hash()
@@ -363,20 +403,23 @@
         json!({"applications": {"versions__delta": "1", "apps__hashcode": hash, "application": apps}})
     }
 
-    fn list(&self, wanted: impl Fn(&Held) -> bool) -> Value {
-        let held = self
-            .held
+    fn list(&self, wanted: impl Fn(&Registration) -> bool) -> Value {
+        let registration = self
+            .registrations
             .iter()
-            .filter(|(_, held)| !self.mood.empty && wanted(held));
-        self.told(
-            held.map(|((app, _), held)| (app.clone(), Self::shown(held, "ADDED")))
+            .filter(|(_, registration)| !self.behaviour.empty && wanted(registration));
+        self.applications(
+            registration
+                .map(|((app, _), registration)| {
+                    (app.clone(), Self::as_shown(registration, "ADDED"))
+                })
                 .collect(),
         )
     }
 
     fn delta(&self) -> Value {
-        let recent = self.recent.iter().filter(|_| !self.mood.empty);
-        self.told(
+        let recent = self.recent.iter().filter(|_| !self.behaviour.empty);
+        self.applications(
             recent
                 .map(|(_, app, instance)| (app.clone(), instance.clone()))
                 .collect(),
--- a/crates/test-support/src/http.rs
+++ b/crates/test-support/src/http.rs
@@ -5,28 +5,28 @@
 
 /// A request with its body.
 #[derive(Clone, Debug, Default)]
-
 pub struct Request {
     pub method: String,
     pub target: String,
+    /// Header fields, in order.
     pub fields: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Request {
+    /// A header field by its name, in any case.
     pub fn field(&self, name: &str) -> Option<&str> {
-        let found = self
-            .fields
-            .iter()
-            .find(|(n, _)| n.eq_ignore_ascii_case(name));
+        let mut fields = self.fields.iter();
+        let found = fields.find(|(known, _)| known.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
     /// A value of the query.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
-        let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-        pairs.into_iter().find(|(n, _)| *n == name).map(|(_, v)| v)
+        let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+        let found = pairs.find(|(known, _)| *known == name);
+        found.map(|(_, value)| value)
     }
 }
 
@@ -36,10 +36,10 @@
     if stream.read_line(&mut line)? == 0 {
         return Ok(None);
     }
-    let mut words = line.split_ascii_whitespace();
+    let mut parts = line.split_ascii_whitespace();
     let mut request = Request {
-        method: words.next().unwrap_or_default().to_owned(),
-        target: words.next().unwrap_or_default().to_owned(),
+        method: parts.next().unwrap_or_default().to_owned(),
+        target: parts.next().unwrap_or_default().to_owned(),
         ..Request::default()
     };
     loop {
@@ -50,11 +50,11 @@
         let Some((name, value)) = line.trim_end().split_once(':') else {
             break;
         };
-        request
-            .fields
-            .push((name.to_owned(), value.trim().to_owned()));
+        let field = (name.to_owned(), value.trim().to_owned());
+        request.fields.push(field);
     }
-    let length = request.field("Content-Length").and_then(|l| l.parse().ok());
+    let length = request.field("Content-Length");
+    let length = length.and_then(|length| length.parse().ok());
     request.body = vec![0; length.unwrap_or(0)];
     stream.read_exact(&mut request.body)?;
     Ok(Some(request))
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,20 +1,23 @@
-//! A node between stand-ins: a directory and render workers that speak the platform's protocol on loopback, with
-//! behaviour that a test chooses. For tests and measurements only; it uses threads, and nothing of it is in the node.
+//! A node between stand-ins: discovery, render workers and a Eureka registry that speak the platform's protocols on
+//! loopback, with behaviour that a test chooses. For tests and measurements only; it uses threads, and nothing of it is
+//! in the node.
 #![forbid(unsafe_code)]
 
-mod cable;
-mod directory;
-mod fleet;
+mod accept;
+mod cluster;
+mod discovery;
+mod environment;
+mod eureka;
 mod http;
-mod node;
-mod proxy;
-mod registry;
+mod lossy_proxy;
+mod network_link;
+mod process_log;
 mod worker;
 
-pub use cable::{Cable, Way};
-pub use directory::Directory;
-pub use fleet::{Fleet, FleetNode, FleetOptions};
-pub use node::{binary, Lab, Options};
-pub use proxy::Proxy;
-pub use registry::{Mood, Registry};
-pub use worker::{Act, Job, Worker};
+pub use cluster::{Cluster, ClusterNode, ClusterOptions};
+pub use discovery::DiscoveryStub;
+pub use environment::{binary, EnvironmentOptions, TestEnvironment};
+pub use eureka::{EurekaBehaviour, EurekaStub};
+pub use lossy_proxy::LossyProxy;
+pub use network_link::{LinkState, NetworkLink};
+pub use worker::{JobBehaviour, ReceivedJob, WorkerStub};
--- /dev/null
+++ b/crates/test-support/src/lossy_proxy.rs
@@ -0,0 +1,93 @@
+//! A proxy that loses answers: it copies lines between a submitter and a node, and breaks a connection just before a line
+//! that the test names.
+
+use crate::accept::{listen, serve_connections};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+
+/// Stands for no end to the lines that pass.
+const UNLIMITED: i64 = -1;
+
+/// The proxy; it works until the program ends.
+#[derive(Clone)]
+pub struct LossyProxy {
+    /// Where to connect.
+    pub address: SocketAddr,
+    target: Arc<Mutex<String>>,
+    /// Lines of the node that still pass before a connection breaks; negative for no end.
+    lines_left: Arc<AtomicI64>,
+    broken_connections: Arc<AtomicUsize>,
+}
+
+impl LossyProxy {
+    /// Listens on a free port, and connects to this address.
+    ///
+    /// # Panics
+    /// No port is free.
+    pub fn start(target: &str) -> Self {
+        let (listener, address) = listen();
+        let proxy = LossyProxy {
+            address,
+            target: Arc::new(Mutex::new(target.to_owned())),
+            lines_left: Arc::new(AtomicI64::new(UNLIMITED)),
+            broken_connections: Arc::default(),
+        };
+        serve_connections(listener, proxy.clone(), LossyProxy::serve);
+        proxy
+    }
+
+    /// After so many more lines of the node, the next one is lost with its connection; then all pass again.
+    pub fn lose_after(&self, lines: usize) {
+        self.lines_left.store(lines as i64, Ordering::SeqCst);
+    }
+
+    /// How many connections it has broken.
+    pub fn broken_connections(&self) -> usize {
+        self.broken_connections.load(Ordering::SeqCst)
+    }
+
+    fn serve(&self, client: TcpStream) {
+        let target = self.target.lock().expect("no panic holds it").clone();
+        let Ok(node) = TcpStream::connect(target) else {
+            return;
+        };
+        let _ = (client.set_nodelay(true), node.set_nodelay(true));
+        let (Ok(mut to_node), Ok(to_client), Ok(mut from_client)) =
+            (node.try_clone(), client.try_clone(), client.try_clone())
+        else {
+            return;
+        };
+        std::thread::spawn(move || {
+            let _ = std::io::copy(&mut from_client, &mut to_node);
+            let _ = to_node.shutdown(Shutdown::Write);
+        });
+        self.copy_answers(&node, to_client);
+        let _ = client.shutdown(Shutdown::Both);
+        let _ = node.shutdown(Shutdown::Both);
+    }
+
+    fn copy_answers(&self, node: &TcpStream, mut to_client: TcpStream) {
+        let mut lines = BufReader::new(node);
+        let mut line = Vec::new();
+        loop {
+            line.clear();
+            match lines.read_until(b'\n', &mut line) {
+                Ok(length) if length > 0 => {}
+                _ => return,
+            }
+            let left = self.lines_left.load(Ordering::SeqCst);
+            if left >= 0 {
+                self.lines_left.store(left - 1, Ordering::SeqCst);
+            }
+            if left == 0 {
+                self.broken_connections.fetch_add(1, Ordering::SeqCst);
+                return;
+            }
+            if to_client.write_all(&line).is_err() {
+                return;
+            }
+        }
+    }
+}
--- a/crates/test-support/src/worker.rs
+++ b/crates/test-support/src/worker.rs
@@ -1,97 +1,125 @@
-//! A stand-in for a render worker on the platform's wire: it notes what it has begun, and does with each job what the
-//! test says.
+//! A stand-in for a render worker on the platform's wire: it records the jobs that it has started, and does with each
+//! what the test says.
 
+use crate::accept::{listen, serve_connections};
 use crate::http::{self, Request};
 use std::io::{BufReader, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// How often a running job reports progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
+/// Longer than any test.
+const FOREVER: Duration = Duration::from_secs(3600);
+
 /// A job as a worker sees it.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct ReceivedJob {
+    /// The client's id of the request.
     pub txn: String,
+    /// The idempotency key.
     pub key: Option<String>,
+    /// Path and query.
     pub target: String,
+    /// The body.
     pub body: Vec<u8>,
     /// When its last byte had come.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 /// What a worker does with a job.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum JobBehaviour {
     /// Runs it for so long, then gives this result.
     Serve(Duration, String),
     /// Runs it for so long, and fails.
     Fail(Duration),
-    /// Turns it away unseen.
-    TurnAway,
-    /// Begins it, and breaks the connection after so long.
-    Break(Duration),
-    /// Begins it, runs for so long, and hands it back unstarted.
-    Return(Duration),
-    /// Takes it, and says nothing more.
-    Silent,
+    /// Rejects it unseen.
+    Reject,
+    /// Starts it, and breaks the connection after so long.
+    Reset(Duration),
+    /// Starts it, runs for so long, and hands it back unstarted.
+    HandBack(Duration),
+    /// Takes it, and sends nothing more.
+    Hang,
 }
 
-type Behaviour = Arc<dyn Fn(&Job) -> Act + Send + Sync>;
+type Behaviour = Arc<dyn Fn(&ReceivedJob) -> JobBehaviour + Send + Sync>;
+
+/// How a job ends that has started.
+struct JobEnd {
+    after: Duration,
+    /// The last state that is told; none where the connection breaks instead.
+    state: Option<&'static str>,
+    result: Option<String>,
+}
 
 /// The stand-in; it serves until the program ends.
 #[derive(Clone)]
-pub struct Worker {
+pub struct WorkerStub {
+    /// Its id.
     pub id: String,
-    pub addr: SocketAddr,
+    /// Where to connect.
+    pub address: SocketAddr,
     slots: usize,
-    busy: Arc<AtomicUsize>,
-    most: Arc<AtomicUsize>,
-    begun: Arc<Mutex<Vec<Job>>>,
+    running: Arc<AtomicUsize>,
+    max_running: Arc<AtomicUsize>,
+    started: Arc<Mutex<Vec<ReceivedJob>>>,
     behaviour: Arc<Mutex<Behaviour>>,
 }
 
-impl Worker {
-    /// Listens on a free port.
+impl WorkerStub {
+    /// Listens on a free port, and serves jobs in a few milliseconds.
+    ///
+    /// # Panics
+    /// No port is free.
     pub fn start(id: &str, slots: usize) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let worker = Worker {
+        let (listener, address) = listen();
+        let serve_soon = |job: &ReceivedJob| {
+            JobBehaviour::Serve(Duration::from_millis(5), format!("made {}", job.target))
+        };
+        let worker = WorkerStub {
             id: id.to_owned(),
-            addr: listener.local_addr().expect("bound"),
+            address,
             slots,
-            busy: Arc::default(),
-            most: Arc::default(),
-            begun: Arc::default(),
-            behaviour: Arc::new(Mutex::new(Arc::new(|job: &Job| {
-                Act::Serve(Duration::from_millis(5), format!("made {}", job.target))
-            }))),
+            running: Arc::default(),
+            max_running: Arc::default(),
+            started: Arc::default(),
+            behaviour: Arc::new(Mutex::new(Arc::new(serve_soon))),
         };
-        let own = worker.clone();
-        std::thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let own = own.clone();
-                std::thread::spawn(move || own.serve(stream));
-            }
-        });
+        serve_connections(listener, worker.clone(), WorkerStub::serve);
         worker
     }
 
     /// From now on, jobs are treated like this.
-    pub fn behave(&self, how: impl Fn(&Job) -> Act + Send + Sync + 'static) {
-        *self.behaviour.lock().expect("no panic holds it") = Arc::new(how);
+    ///
+    /// # Panics
+    /// A thread has panicked before.
+    pub fn set_behaviour(
+        &self,
+        behaviour: impl Fn(&ReceivedJob) -> JobBehaviour + Send + Sync + 'static,
+    ) {
+        *self.behaviour.lock().expect("no panic holds it") = Arc::new(behaviour);
     }
 
-    /// All jobs that it has begun.
-    pub fn begun(&self) -> Vec<Job> {
-        self.begun.lock().expect("no panic holds it").clone()
+    /// All jobs that it has started.
+    ///
+    /// # Panics
+    /// A thread has panicked before.
+    pub fn started_jobs(&self) -> Vec<ReceivedJob> {
+        self.started.lock().expect("no panic holds it").clone()
     }
 
-    /// The most jobs that it has had at a time.
-    pub fn most(&self) -> usize {
-        self.most.load(Ordering::SeqCst)
+    /// The most jobs that it has run at a time.
+    pub fn max_running(&self) -> usize {
+        self.max_running.load(Ordering::SeqCst)
     }
 
-    fn report(&self) -> String {
-        let free = self.slots.saturating_sub(self.busy.load(Ordering::SeqCst));
+    fn load_report(&self) -> String {
+        let running = self.running.load(Ordering::SeqCst);
+        let free = self.slots.saturating_sub(running);
         format!("{{\"x0\":{free}}}")
     }
 
@@ -111,69 +139,79 @@
 
     /// None where the connection is to end.
     fn answer(&self, stream: &mut TcpStream, request: Request) -> Option<()> {
-        let job = Job {
+        let job = ReceivedJob {
             txn: request.field("X-Txn")?.to_owned(),
             key: request.field("Idempotency-Key").map(str::to_owned),
             target: request.target.clone(),
-            at: Instant::now(),
+            received_at: Instant::now(),
             body: request.body,
         };
         let behaviour = self.behaviour.lock().expect("no panic holds it").clone();
-        let act = behaviour(&job);
-        if let Act::TurnAway = act {
-            let head = format!(
-                "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nX-Pressure: {}\r\nContent-Length: 0\r\n\r\n",
-                self.report()
-            );
-            return stream.write_all(head.as_bytes()).ok();
+        let behaviour = behaviour(&job);
+        if let JobBehaviour::Reject = behaviour {
+            return self.reject(stream);
         }
         let txn = job.txn.clone();
-        self.begun.lock().expect("no panic holds it").push(job);
-        if let Act::Silent = act {
-            std::thread::sleep(Duration::from_secs(3600));
-            return None;
-        }
-        let busy = self.busy.fetch_add(1, Ordering::SeqCst) + 1;
-        self.most.fetch_max(busy, Ordering::SeqCst);
-        let line = |state: &str, more: &str| {
-            let from = &self.id;
-            let line =
-                format!("{{\"id\":\"{txn}\",\"from\":\"{from}\",\"state\":\"{state}\"{more}}}\n");
-            format!("{:x}\r\n{line}\r\n", line.len())
+        self.started.lock().expect("no panic holds it").push(job);
+        let end = |after, state, result| JobEnd {
+            after,
+            state,
+            result,
         };
-        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        let started = stream.write_all((head.to_owned() + &line("started", "")).as_bytes());
-        let (span, last, result) = match act {
-            Act::Serve(span, result) => (span, "done", Some(result)),
-            Act::Fail(span) => (span, "failed", None),
-            Act::Return(span) => (span, "returned", None),
-            Act::Break(span) => (span, "", None),
-            Act::TurnAway | Act::Silent => unreachable!("answered above"),
+        let end = match behaviour {
+            JobBehaviour::Serve(after, result) => end(after, Some("done"), Some(result)),
+            JobBehaviour::Fail(after) => end(after, Some("failed"), None),
+            JobBehaviour::HandBack(after) => end(after, Some("returned"), None),
+            JobBehaviour::Reset(after) => end(after, None, None),
+            JobBehaviour::Hang | JobBehaviour::Reject => {
+                std::thread::sleep(FOREVER);
+                return None;
+            }
         };
-        // A word a second, as workers do.
-        let until = Instant::now() + span;
-        let mut alive = started.is_ok();
-        while let Some(left) = until
-            .checked_duration_since(Instant::now())
-            .filter(|l| !l.is_zero())
-        {
-            std::thread::sleep(left.min(Duration::from_secs(1)));
-            if alive && Instant::now() < until {
-                alive = stream
-                    .write_all(line("running", ",\"share\":0.5").as_bytes())
-                    .is_ok();
+        self.run(stream, &txn, end)
+    }
+
+    fn reject(&self, stream: &mut TcpStream) -> Option<()> {
+        let report = self.load_report();
+        let head = format!(
+            "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nX-Pressure: {report}\r\nContent-Length: 0\r\n\r\n"
+        );
+        stream.write_all(head.as_bytes()).ok()
+    }
+
+    fn run(&self, stream: &mut TcpStream, txn: &str, end: JobEnd) -> Option<()> {
+        let running = self.running.fetch_add(1, Ordering::SeqCst) + 1;
+        self.max_running.fetch_max(running, Ordering::SeqCst);
+        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        let started = head.to_owned() + &self.chunk(txn, "started", "");
+        let mut connected = stream.write_all(started.as_bytes()).is_ok();
+        let end_at = Instant::now() + end.after;
+        loop {
+            let left = end_at.saturating_duration_since(Instant::now());
+            if left.is_zero() {
+                break;
+            }
+            std::thread::sleep(left.min(PROGRESS_INTERVAL));
+            if connected && Instant::now() < end_at {
+                let progress = self.chunk(txn, "running", ",\"share\":0.5");
+                connected = stream.write_all(progress.as_bytes()).is_ok();
             }
         }
-        self.busy.fetch_sub(1, Ordering::SeqCst);
-        if last.is_empty() || !alive {
-            return None;
-        }
-        let result = result.map_or(String::new(), |text| {
+        self.running.fetch_sub(1, Ordering::SeqCst);
+        let state = end.state.filter(|_| connected)?;
+        let result = end.result.map_or(String::new(), |text| {
             format!(",\"result\":{}", serde_json::Value::from(text))
         });
-        let more = format!("{result},\"load\":{}", self.report());
-        stream
-            .write_all((line(last, &more) + "0\r\n\r\n").as_bytes())
-            .ok()
+        let more = format!("{result},\"load\":{}", self.load_report());
+        let last = self.chunk(txn, state, &more) + "0\r\n\r\n";
+        stream.write_all(last.as_bytes()).ok()
+    }
+
+    /// A line of an answer, as a chunk.
+    fn chunk(&self, txn: &str, state: &str, more: &str) -> String {
+        let from = &self.id;
+        let line =
+            format!("{{\"id\":\"{txn}\",\"from\":\"{from}\",\"state\":\"{state}\"{more}}}\n");
+        format!("{:x}\r\n{line}\r\n", line.len())
     }
 }
