--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -2,13 +2,14 @@
 //! what is to be durable to the disk's thread, and tells the node what the fleet has agreed on.
 
 mod apply;
+pub(crate) mod config;
 mod voting;
 
 use crate::admin;
 use crate::clock::millis;
-use crate::config::AgreementConfig;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
+use config::ConsensusConfig;
 use marbledeck_consensus::wire::{self, Answer, Frame, Said, MOST_COMMANDS};
 use marbledeck_consensus::{Change, Command, Outcome, Reader, What};
 use marbledeck_dispatcher::Micros;
@@ -54,7 +55,7 @@
 }
 
 pub struct Agreement {
-    config: AgreementConfig,
+    config: ConsensusConfig,
     peer: Peer,
     /// This start: later ones have greater numbers.
     boot: u64,
@@ -88,7 +89,7 @@
     /// # Errors
     /// The address that voters connect to cannot be had. A store that cannot be used keeps this node from voting only.
     pub fn new(
-        config: AgreementConfig,
+        config: ConsensusConfig,
         peer: Peer,
         now: Micros,
         net: &mut Net,
@@ -191,7 +192,7 @@
                 Ok(Some(token)) => {
                     let ip = net.peer_addr(token).map(|addr| addr.ip());
                     let known = ip.is_some_and(|ip| self.config.from.contains(&ip));
-                    if known && self.guests.len() >= self.config.guests() {
+                    if known && self.guests.len() >= self.config.max_accepted() {
                         // One that has not said who it is makes room for one that may.
                         let silent = |(_, guest): &(&Token, &Guest)| guest.node.is_none();
                         let oldest = self.guests.iter().filter(silent).map(|(t, _)| *t).min();
@@ -199,7 +200,7 @@
                             self.let_go(now, token, net);
                         }
                     }
-                    if !known || self.guests.len() >= self.config.guests() {
+                    if !known || self.guests.len() >= self.config.max_accepted() {
                         log::warn!("agreement: a connection from {ip:?} is not heeded");
                         net.close(token);
                         continue;
@@ -411,7 +412,7 @@
         if self.question.is_some() || now < self.next_ask {
             return;
         }
-        self.next_ask = now + self.config.ask_every();
+        self.next_ask = now + self.config.poll_interval();
         let votes = self.voting.as_ref().is_some_and(Voting::takes_part);
         let to = match votes {
             true => None,
@@ -443,7 +444,7 @@
             return;
         };
         let (question, known) = reader.ask(now);
-        let until = now + self.config.patience();
+        let until = now + self.config.answer_timeout();
         self.question = Some(Question {
             until,
             of: to.map(|(_, voter)| voter),
--- a/crates/node/src/consensus/voting.rs
+++ b/crates/node/src/consensus/voting.rs
@@ -1,7 +1,7 @@
 //! This node as a voter: its store, the voter of `marbledeck-consensus`, and the questions of nodes.
 
+use super::config::ConsensusConfig;
 use crate::clock::millis;
-use crate::config::AgreementConfig;
 use crate::net::{Net, Peer, Token};
 use marbledeck_consensus::wire::{Answer, Frame, Said};
 use marbledeck_consensus::{AgreementError, Command, Durable, Save, Terms, Voter, Warden};
@@ -120,7 +120,7 @@
     /// # Errors
     /// What is wrong, and what an operator can do about it.
     pub fn open(
-        config: &AgreementConfig,
+        config: &ConsensusConfig,
         now: Micros,
         peer: Peer,
         net: &mut Net,
--- a/crates/node/src/core/licensing.rs
+++ b/crates/node/src/core/licensing.rs
@@ -3,7 +3,7 @@
 //! decision module.
 
 use super::{Catalogue, Core, Malformed};
-use crate::config::SeatsConfig;
+use crate::licensing_config::LicensingConfig;
 use marbledeck_dispatcher::{ClassId, Micros, Outcome, RequestId};
 use marbledeck_licensing::{Desk, Licence};
 use std::rc::Rc;
@@ -28,8 +28,8 @@
     ///
     /// # Errors
     /// It names a class that the platform's settings do not.
-    pub fn new(config: SeatsConfig, catalogue: &Catalogue) -> Result<Self, String> {
-        let SeatsConfig {
+    pub fn new(config: LicensingConfig, catalogue: &Catalogue) -> Result<Self, String> {
+        let LicensingConfig {
             licences,
             classes,
             idle,
--- /dev/null
+++ b/crates/node/src/eureka/config.rs
@@ -0,0 +1,244 @@
+//! The settings of a Eureka registry as a source of workers.
+
+use crate::config_error::{ConfigError, ConfigProblem};
+use crate::config_file::{check_ranges, parse_address, seconds, RangeCheck};
+use marbledeck_dispatcher::Micros;
+use marbledeck_eureka::{Form, Keys};
+use serde::Deserialize;
+use std::net::SocketAddr;
+
+/// The part `[eureka]` of the operator file, as it is written.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(crate) struct EurekaSection {
+    urls: Vec<String>,
+    #[serde(default)]
+    apps: Vec<String>,
+    #[serde(default)]
+    vip: Option<String>,
+    #[serde(default = "default_poll_s")]
+    poll_s: usize,
+    #[serde(default = "default_timeout_s")]
+    timeout_s: usize,
+    #[serde(default = "default_full_s")]
+    full_s: usize,
+    #[serde(default = "default_deltas")]
+    deltas: bool,
+    #[serde(default = "default_form")]
+    form: String,
+    #[serde(default)]
+    secure: bool,
+    #[serde(default)]
+    id_key: Option<String>,
+    #[serde(default)]
+    zone_key: Option<String>,
+    #[serde(default)]
+    kind_key: Option<String>,
+    #[serde(default)]
+    rack_key: Option<String>,
+    #[serde(default)]
+    register: Option<RegistrationSection>,
+}
+
+/// The part `[eureka.register]`, as it is written.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct RegistrationSection {
+    app: String,
+    id: String,
+    address: String,
+    #[serde(default = "default_renew_s")]
+    renew_s: usize,
+}
+
+fn default_poll_s() -> usize {
+    10
+}
+
+fn default_timeout_s() -> usize {
+    5
+}
+
+fn default_full_s() -> usize {
+    60
+}
+
+fn default_deltas() -> bool {
+    true
+}
+
+fn default_form() -> String {
+    "json".to_owned()
+}
+
+fn default_renew_s() -> usize {
+    30
+}
+
+/// Where a registry is.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RegistryUrl {
+    /// Its IP address and port.
+    pub addr: SocketAddr,
+    /// Its service path, without a slash at its end.
+    pub path: String,
+}
+
+impl RegistryUrl {
+    fn parse(url: &str) -> Result<Self, ConfigProblem> {
+        let wrong = |wanted: &'static str| ConfigProblem::RegistryUrl {
+            url: url.to_owned(),
+            wanted,
+        };
+        let rest = url
+            .strip_prefix("http://")
+            .ok_or_else(|| wrong("want http://ADDRESS:PORT/PATH"))?;
+        let (addr, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
+        let addr = addr
+            .parse()
+            .map_err(|_| wrong("want an address with a port: no names are looked up"))?;
+        if !path.bytes().all(|b| b.is_ascii_graphic()) {
+            return Err(wrong("want a plain path"));
+        }
+        Ok(RegistryUrl {
+            addr,
+            path: path.trim_end_matches('/').to_owned(),
+        })
+    }
+}
+
+/// A Eureka registry as a source of workers.
+#[derive(Clone, Debug)]
+pub struct EurekaConfig {
+    /// The replicas of the registry, in the order in which they are asked.
+    pub urls: Vec<RegistryUrl>,
+    /// The applications whose instances are workers; empty for all.
+    pub apps: Vec<String>,
+    /// The virtual address whose instances are workers.
+    pub vip: Option<String>,
+    /// How often the registry is polled.
+    pub poll: Micros,
+    /// How long one poll may take.
+    pub timeout: Micros,
+    /// How often the complete list is fetched where deltas are.
+    pub full: Micros,
+    /// Whether deltas are fetched between complete lists.
+    pub deltas: bool,
+    /// The encoding that is asked for.
+    pub form: Form,
+    /// The metadata keys that describe a worker.
+    pub keys: Keys,
+    /// The node's own entry; none where it is not to register.
+    pub register: Option<Registration>,
+}
+
+/// The node's own entry in a registry.
+#[derive(Clone, Debug)]
+pub struct Registration {
+    /// The application's name.
+    pub app: String,
+    /// The instance's id.
+    pub id: String,
+    /// Where clients are to find the node.
+    pub addr: SocketAddr,
+    /// How often the entry is renewed.
+    pub renew: Micros,
+}
+
+impl EurekaSection {
+    /// Checks the values; `source` names the file and the part.
+    ///
+    /// # Errors
+    /// The first key whose value is wrong.
+    pub(crate) fn check(self, source: &str) -> Result<EurekaConfig, ConfigError> {
+        let checks = [
+            RangeCheck::new("poll_s", self.poll_s, 1, 3600),
+            RangeCheck::new("timeout_s", self.timeout_s, 1, 600),
+            RangeCheck::new("full_s", self.full_s, 1, 86_400),
+        ];
+        check_ranges(source, &checks)?;
+        let urls = parse_urls(source, &self.urls)?;
+        if self.vip.as_ref().is_some_and(|vip| !is_plain_word(vip)) {
+            return Err(ConfigError::new(
+                format!("{source}: vip"),
+                "want a plain word",
+            ));
+        }
+        let form = parse_form(source, &self.form)?;
+        let register = self.register.map(|section| section.check(source));
+        Ok(EurekaConfig {
+            register: register.transpose()?,
+            urls,
+            apps: self.apps,
+            vip: self.vip,
+            poll: seconds(self.poll_s),
+            timeout: seconds(self.timeout_s),
+            full: seconds(self.full_s),
+            deltas: self.deltas,
+            form,
+            keys: Keys {
+                id: self.id_key,
+                zone: self.zone_key,
+                kind: self.kind_key,
+                rack: self.rack_key,
+                secure: self.secure,
+            },
+        })
+    }
+}
+
+impl RegistrationSection {
+    fn check(self, source: &str) -> Result<Registration, ConfigError> {
+        let source = format!("{source}: register");
+        check_ranges(
+            &source,
+            &[RangeCheck::new("renew_s", self.renew_s, 1, 3600)],
+        )?;
+        for (key, word) in [("app", &self.app), ("id", &self.id)] {
+            if !is_plain_word(word) || word.contains(['/', '?', '#', '%']) {
+                return Err(ConfigError::new(
+                    format!("{source}: {key}"),
+                    "want a plain word",
+                ));
+            }
+        }
+        Ok(Registration {
+            addr: parse_address(format!("{source}: address"), &self.address)?,
+            app: self.app,
+            id: self.id,
+            renew: seconds(self.renew_s),
+        })
+    }
+}
+
+fn parse_urls(source: &str, urls: &[String]) -> Result<Vec<RegistryUrl>, ConfigError> {
+    let mut parsed: Vec<RegistryUrl> = Vec::new();
+    for (position, url) in urls.iter().enumerate() {
+        let url = RegistryUrl::parse(url)
+            .map_err(|problem| ConfigError::new(format!("{source}: urls[{position}]"), problem))?;
+        parsed.push(url);
+    }
+    let key = format!("{source}: urls");
+    if parsed.is_empty() {
+        return Err(ConfigError::new(key, "want one or more"));
+    }
+    if parsed.iter().any(|url| url.path != parsed[0].path) {
+        return Err(ConfigError::new(key, "want the same path for all of them"));
+    }
+    Ok(parsed)
+}
+
+fn parse_form(source: &str, form: &str) -> Result<Form, ConfigError> {
+    match form {
+        "json" => Ok(Form::Json),
+        "xml" => Ok(Form::Xml),
+        _ => Err(ConfigError::new(
+            format!("{source}: form"),
+            "want json or xml",
+        )),
+    }
+}
+
+fn is_plain_word(word: &str) -> bool {
+    !word.is_empty() && word.bytes().all(|b| b.is_ascii_graphic())
+}
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -1,11 +1,13 @@
 //! The link to a Eureka registry: asks what `marbledeck-eureka` wants asked, hands it the answers as they come, and tells
 //! the membership of what it finds, a bounded part of it in each turn.
 
-use crate::config::EurekaConfig;
+pub(crate) mod config;
+
 use crate::fleet::Fleet;
 use crate::net::http::{self, Body, ResponseHead};
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
+use config::EurekaConfig;
 use marbledeck_dispatcher::Micros;
 use marbledeck_eureka::{Change, Encoding, Form, Lease, LeaseAsk, LeaseSettings, Poll, Settings};
 use marbledeck_membership::{MembershipChange, SourceId};
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -1,9 +1,11 @@
 //! The link to the other nodes of the tier: a service that carries the datagrams of `marbledeck-gossip`.
 
+pub(crate) mod config;
+
 use crate::clock::millis;
-use crate::config::PeersConfig;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
+use config::PeersConfig;
 use marbledeck_dispatcher::{Micros, WorkerId};
 use marbledeck_gossip::{message, Asked, Peers, Questions};
 use std::collections::HashMap;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use marbledeck_cli::{Common, JobCommand, NodeCommand, SessionCommand};
-use marbledeck_node::config::{Config, SiteConfig, SubmissionConfig};
+use marbledeck_node::config::{NodeConfig, OperatorConfig, SubmissionConfig};
 use marbledeck_node::logger;
 use marbledeck_node::node::{Node, Signals};
 use std::error::Error;
@@ -89,7 +89,7 @@
             return marbledeck_cli::node(NodeCommand::Capabilities(common))
         }
         Some(Command::Config(ConfigCommand::Check { file })) => {
-            let read = SiteConfig::read(&file);
+            let read = OperatorConfig::read(&file);
             read.map(|_| println!("{}: nothing is wrong", file.display()))
                 .map_err(Into::into)
         }
@@ -113,7 +113,7 @@
     let mut site = how
         .site
         .as_deref()
-        .map(SiteConfig::read)
+        .map(OperatorConfig::read)
         .transpose()?
         .unwrap_or_default();
     if let Some(file) = &how.submission {
@@ -124,14 +124,14 @@
         end: pipe(signal_hook::consts::SIGTERM)?,
         reload: pipe(signal_hook::consts::SIGHUP)?,
     };
-    if site.agreement.is_some() {
+    if site.consensus.is_some() {
         // A file that may not grow is a full disk, and no reason to end.
         let noted: std::sync::Arc<std::sync::atomic::AtomicBool> = Default::default();
         signal_hook::flag::register(signal_hook::consts::SIGXFSZ, noted)?;
     }
-    let read = || Config::read(|name| std::env::var(name).ok());
+    let read = || NodeConfig::read(|name| std::env::var(name).ok());
     let config = read()?;
-    logger::start(config.log);
+    logger::start(config.log_level);
     Node::new(config, site, signals, Box::new(read))?.run();
     Ok(())
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -3,7 +3,7 @@
 use crate::admin::{self, Call, Ops};
 use crate::clients::Consumers;
 use crate::clock::{millis, Clock};
-use crate::config::{Config, ConfigError, SiteConfig};
+use crate::config::{ConfigError, NodeConfig, OperatorConfig};
 use crate::consensus::Agreement;
 use crate::core::licensing::Licensing;
 use crate::core::{Command, Core};
@@ -50,7 +50,7 @@
 }
 
 /// Reads the configuration as it is now.
-pub type Read = Box<dyn Fn() -> Result<Config, ConfigError>>;
+pub type Read = Box<dyn Fn() -> Result<NodeConfig, ConfigError>>;
 
 pub struct Node {
     clock: Clock,
@@ -108,11 +108,11 @@
 }
 
 impl Limits {
-    fn of(config: &Config, spared: usize) -> Self {
+    fn of(config: &NodeConfig, spared: usize) -> Self {
         Limits {
-            consumers: most_consumers(config.most_consumers, spared),
-            workers: config.most_worker_connections,
-            bodies: config.bodies,
+            consumers: most_consumers(config.limits.client_connections, spared),
+            workers: config.limits.worker_connections,
+            bodies: config.limits.body_bytes,
         }
     }
 }
@@ -140,18 +140,23 @@
 
 impl Node {
     /// Listens, and starts from the list that the configuration has; SIGHUP reads it anew through `read`.
-    pub fn new(config: Config, site: SiteConfig, signals: Signals, read: Read) -> io::Result<Self> {
+    pub fn new(
+        config: NodeConfig,
+        site: OperatorConfig,
+        signals: Signals,
+        read: Read,
+    ) -> io::Result<Self> {
         let clock = Clock::start();
         let now = clock.now();
         let mut net = Net::new()?;
         let submission = site.submission;
         let spared = submission.as_ref().map_or(0, |front| front.max_submitters)
-            + site.agreement.as_ref().map_or(0, |part| part.descriptors())
+            + site.consensus.as_ref().map_or(0, |part| part.descriptors())
             + site.site.as_ref().map_or(0, |_| MOST_LINKS);
         let limits = Limits::of(&config, spared);
         let core = Core::new(config.settings, config.catalogue, config.seed, now);
         let mut core = core.map_err(io::Error::other)?;
-        let met = config.handover.as_deref();
+        let met = config.handover_socket.as_deref();
         let met = met.and_then(handover::meet::<Bequest>);
         let (link, bequest, mut listeners) = match met {
             Some(met) => (Some(met.link), met.bequest, met.listeners),
@@ -184,25 +189,30 @@
                 .for_each(|service| service.met(now));
         }
         let ops = config
-            .ops
+            .operators
             .map(|addr| Ops::new(addr, &mut net))
             .transpose()?;
         if let Some(ops) = &ops {
             log::info!("{} answers operators at {}", config.name, ops.addr);
         }
         let mut workers = Workers::new(Figures {
-            reads: config.reads,
-            reports: config.reports,
-            idle: config.idle,
+            reads: config.report_fields,
+            reports: config.workers_report_load,
+            idle: config.worker_idle_timeout,
             connect_timeout: config.connect_timeout,
-            progress: config.progress,
-            most: config.most_worker_connections,
+            progress: config.progress_interval,
+            most: config.limits.worker_connections,
             by_submission,
         });
         let mut members = Membership::new(config.zones, config.kinds);
-        let clocks = Clocks::new(now, config.drain_grace, config.pushed, config.seed);
+        let clocks = Clocks::new(
+            now,
+            config.drain_grace,
+            config.lists_are_pushed,
+            config.seed,
+        );
         let source = members.add_source("directory", None);
-        let mut directory = Directory::new(config.directory, source, clocks);
+        let mut directory = Directory::new(config.discovery, source, clocks);
         let known = match &link {
             Some(_) => {
                 log::info!("{} takes over from a process that runs", config.name);
@@ -210,25 +220,25 @@
                 directory.inherit(now, bequest.fleet.told_in_us);
                 bequest.fleet.list
             }
-            None => config.known.unwrap_or_default(),
+            None => config.cached_list.unwrap_or_default(),
         };
-        let fixed = (!site.statics.is_empty()).then(|| members.add_source("static", None));
+        let fixed = (!site.static_workers.is_empty()).then(|| members.add_source("static", None));
         if let Some(eureka) = site.eureka {
-            let source = members.add_source("eureka", Some(site.guard));
+            let source = members.add_source("eureka", Some(site.self_preservation));
             let peer = Peer::Service(services.len() as u8);
             let link = Eureka::new(eureka, source, peer, now, config.seed);
             services.push(Box::new(link));
         }
-        if let Some(peers) = config.peers.filter(|_| site.peers) {
+        if let Some(peers) = config.peers.filter(|_| site.gossip) {
             let peer = Peer::Service(services.len() as u8);
             services.push(Box::new(Tier::new(peers, peer, now, &mut net)));
         }
-        if let Some(seats) = site.seats {
+        if let Some(seats) = site.licensing {
             core.licensing =
                 Some(Licensing::new(seats, core.catalogue()).map_err(io::Error::other)?);
         }
         let mut agreed = Agreed::default();
-        if let Some(agreement) = site.agreement {
+        if let Some(agreement) = site.consensus {
             let peer = Peer::Service(services.len() as u8);
             let part = Agreement::new(agreement, peer, now, &mut net)?;
             agreed.reader = Some(part.reader());
@@ -243,7 +253,9 @@
         let mut fleet = Fleet::new(members);
         directory.known(now, known, &mut fleet, &mut core);
         if let Some(source) = fixed {
-            let told = fleet.members.apply_full_list(now, source, site.statics);
+            let told = fleet
+                .members
+                .apply_full_list(now, source, site.static_workers);
             fleet.changed(now, told, &mut core);
         }
         // What other sources had said to the process that this one replaces, until they say it anew.
@@ -256,7 +268,7 @@
             }
         }
         let link = link.map(|link| net.join(link.into(), Peer::Partner));
-        let path = config.handover.as_deref();
+        let path = config.handover_socket.as_deref();
         let mut handover = Handover::new(path, link.transpose()?, &mut net);
         if !bequest.services.is_empty() {
             let names = services.iter().map(|service| service.name().to_owned());
@@ -285,8 +297,8 @@
             limits,
             signals,
             read,
-            directory_in_file: config.directory_in_file,
-            facts: config.facts,
+            directory_in_file: config.discovery_in_file,
+            facts: config.platform_settings,
             ending: None,
             closed: false,
             settling: None,
@@ -650,12 +662,12 @@
             Ok(config) => config,
             Err(e) => return log::error!("reload: {e}; all stays as it was"),
         };
-        if config.facts != self.facts {
+        if config.platform_settings != self.facts {
             log::warn!("reload: other settings count from the next start");
         }
         self.limits = Limits::of(&config, self.spared);
         self.apportion(now);
-        let named = config.directory_in_file;
+        let named = config.discovery_in_file;
         if let Some(addr) = named.filter(|_| named != self.directory_in_file) {
             self.directory_in_file = named;
             let Context { net, directory, .. } = &mut self.context;
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -1,14 +1,15 @@
 //! Batch submission in DRMAA terms, as `docs/submission.md` describes it: carries lines between submitters'
 //! connections and the protocol's server, which `marbledeck-submission` has without sockets.
 
+pub(crate) mod config;
 mod desk;
 
 use crate::clock::millis;
-use crate::config::SubmissionConfig;
 use crate::core::Verdict;
 use crate::handover;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
+use config::SubmissionConfig;
 use desk::NodeDesk;
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use marbledeck_submission::frame::{self, TooLong};
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -1,6 +1,6 @@
 //! Faulty configuration: every message names the key.
 
-use marbledeck_node::config::{Config, SiteConfig, SubmissionConfig};
+use marbledeck_node::config::{NodeConfig, OperatorConfig, SubmissionConfig};
 use rstest::rstest;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -57,7 +57,7 @@
 )]
 #[case(r#""discovery":"127.0.0.1:1","#, "", "LB_DISCOVERY: not set")]
 #[case("{", "", "LB_CONFIG: ")]
-fn a_faulty_file(#[case] right: &str, #[case] wrong: &str, #[case] message: &str) {
+fn faulty_node_file_names_the_key(#[case] right: &str, #[case] wrong: &str, #[case] message: &str) {
     let tests = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/exchanges");
     let text = fs::read_to_string(tests.join("config.json")).unwrap();
     let text = text.replace("\"MEMBERS\"", "").replacen(right, wrong, 1);
@@ -67,7 +67,7 @@
         "LB_LISTEN" => Some("127.0.0.1:0".to_owned()),
         _ => None,
     };
-    let error = Config::read(var).err().expect("faulty").to_string();
+    let error = NodeConfig::read(var).err().expect("faulty").to_string();
     fs::remove_file(&path).unwrap();
     assert!(error.starts_with(message), "{error}");
 }
@@ -78,7 +78,7 @@
 #[case("listen = \"127.0.0.1:0\"\nmax_bulk = 0", "max_bulk: want 1 to 65536")]
 #[case("listen = \"127.0.0.1:0\"\nmax_bluk = 9", "unknown field `max_bluk`")]
 #[case("listen = ", "invalid")]
-fn a_faulty_front(#[case] text: &str, #[case] message: &str) {
+fn faulty_submission_file_names_the_key(#[case] text: &str, #[case] message: &str) {
     let path = written(message, text);
     let error = SubmissionConfig::read(&path).unwrap_err().to_string();
     fs::remove_file(&path).unwrap();
@@ -91,12 +91,12 @@
 
 /// The file of the repository holds the defaults, as it says.
 #[test]
-fn the_front_of_the_repository() {
+fn shipped_submission_file_has_the_defaults() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/submission.toml");
     let short = written("short", "listen = \"127.0.0.1:7100\"");
-    let defaults = SubmissionConfig::read(&short);
+    let defaults = SubmissionConfig::read(&short).unwrap();
     fs::remove_file(&short).unwrap();
-    assert_eq!(SubmissionConfig::read(&path), defaults);
+    assert_eq!(SubmissionConfig::read(&path).unwrap(), defaults);
 }
 
 #[rstest]
@@ -137,9 +137,12 @@
     "[[static]]\nid = \"\"\naddress = \"127.0.0.1:1\"",
     "static[0].id: want an id"
 )]
-fn a_faulty_site(#[case] text: &str, #[case] message: &str) {
+fn faulty_operator_file_names_the_key(#[case] text: &str, #[case] message: &str) {
     let path = written(&format!("site-{message}"), text);
-    let error = SiteConfig::read(&path).err().expect("faulty").to_string();
+    let error = OperatorConfig::read(&path)
+        .err()
+        .expect("faulty")
+        .to_string();
     fs::remove_file(&path).unwrap();
     let own = path.display().to_string();
     assert!(
@@ -148,7 +151,7 @@
     );
 }
 
-/// The parts of the agreement and the seats: each fault names its key.
+/// The part for consensus: each fault names its key.
 #[rstest]
 #[case("node = 4", "agreement: node: want 1 to 3")]
 #[case("lease_ms = 100", "agreement: lease_ms: want 300 to 60000")]
@@ -163,7 +166,7 @@
 #[case(r#"fleet = """#, "agreement: fleet: want a name of 1 to 128 bytes")]
 #[case("colour = 1", "agreement.colour: unknown field")]
 #[case("", "agreement: store: missing: this node votes")]
-fn a_faulty_agreement(#[case] line: &str, #[case] message: &str) {
+fn faulty_consensus_part_names_the_key(#[case] line: &str, #[case] message: &str) {
     let mut keys = vec![
         "fleet = \"f\"",
         "node = 1",
@@ -177,7 +180,10 @@
     let voters: String = (1..=3).map(voter).collect();
     let text = format!("[agreement]\n{}\n{line}\n{voters}", keys.join("\n"));
     let path = written(message, &text);
-    let error = SiteConfig::read(&path).err().expect("a fault").to_string();
+    let error = OperatorConfig::read(&path)
+        .err()
+        .expect("a fault")
+        .to_string();
     fs::remove_file(&path).unwrap();
     assert!(error.contains(message), "{error}");
 }
@@ -196,9 +202,12 @@
     "[sites]\nname = \"a\"",
     "sites: wants the parts [agreement] and [submission]"
 )]
-fn faulty_seats(#[case] text: &str, #[case] message: &str) {
+fn faulty_licensing_and_federation_parts_name_the_key(#[case] text: &str, #[case] message: &str) {
     let path = written(message, text);
-    let error = SiteConfig::read(&path).err().expect("a fault").to_string();
+    let error = OperatorConfig::read(&path)
+        .err()
+        .expect("a fault")
+        .to_string();
     fs::remove_file(&path).unwrap();
     assert!(error.contains(message), "{error}");
 }
@@ -206,11 +215,11 @@
 /// The file of the repository is off in all its parts, and with all comments taken away it is right, with the defaults
 /// that it shows.
 #[test]
-fn the_site_of_the_repository() {
+fn shipped_operator_file_is_off_and_uncommented_has_the_defaults() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/site.toml");
-    let site = SiteConfig::read(&path).unwrap();
-    assert!(site.submission.is_none() && site.eureka.is_none() && site.statics.is_empty());
-    assert!(site.agreement.is_none() && site.seats.is_none() && site.site.is_none());
+    let site = OperatorConfig::read(&path).unwrap();
+    assert!(site.submission.is_none() && site.eureka.is_none() && site.static_workers.is_empty());
+    assert!(site.consensus.is_none() && site.licensing.is_none() && site.site.is_none());
     let text = fs::read_to_string(&path).unwrap();
     let plain = |line: &str| match line.strip_prefix('#') {
         Some(rest) if rest.starts_with('[') || rest.contains(" = ") => rest.to_owned(),
@@ -218,13 +227,13 @@
     };
     let all: Vec<String> = text.lines().map(plain).collect();
     let path = written("whole site", &all.join("\n"));
-    let whole = SiteConfig::read(&path).unwrap();
+    let whole = OperatorConfig::read(&path).unwrap();
     fs::remove_file(&path).unwrap();
-    assert_eq!(whole.guard, site.guard);
+    assert_eq!(whole.self_preservation, site.self_preservation);
     let front = written("front", "listen = \"127.0.0.1:7100\"");
     let defaults = SubmissionConfig::read(&front).unwrap();
     fs::remove_file(&front).unwrap();
     assert_eq!(whole.submission, Some(defaults));
-    assert!(whole.eureka.is_some() && whole.statics.len() == 1);
-    assert!(whole.agreement.is_some() && whole.seats.is_some() && whole.site.is_some());
+    assert!(whole.eureka.is_some() && whole.static_workers.len() == 1);
+    assert!(whole.consensus.is_some() && whole.licensing.is_some() && whole.site.is_some());
 }
--- a/crates/node/tests/golden/node_file.rs
+++ b/crates/node/tests/golden/node_file.rs
@@ -3,7 +3,7 @@
 use crate::assert_golden;
 use crate::support::Folder;
 use crate::text::{without_numbers_after, without_type_names};
-use marbledeck_node::config::Config;
+use marbledeck_node::config::NodeConfig;
 use serde_json::{json, Value};
 use std::fmt::Write as _;
 
@@ -42,7 +42,7 @@
 }
 
 /// Reads a file with these variables beside it; what is wrong with it where it is not taken.
-fn read(folder: &Folder, file: &Value, variables: &[(&str, &str)]) -> Result<Config, String> {
+fn read(folder: &Folder, file: &Value, variables: &[(&str, &str)]) -> Result<NodeConfig, String> {
     let path = folder.file("config.json", &file.to_string());
     let variable = |name: &str| match name {
         "LB_CONFIG" => Some(path.display().to_string()),
@@ -51,7 +51,7 @@
             found.map(|(_, value)| (*value).to_owned())
         }
     };
-    Config::read(variable).map_err(|error| {
+    NodeConfig::read(variable).map_err(|error| {
         let error = folder.hide(&error.to_string());
         without_type_names(&without_numbers_after(&error, "column ", "<n>"))
     })
@@ -207,21 +207,21 @@
 }
 
 /// A configuration, a key of the file in each line; times are in microseconds.
-fn described(config: &Config) -> String {
+fn described(config: &NodeConfig) -> String {
     let mut text = String::new();
     let _ = writeln!(text, "name: {}", config.name);
     let _ = writeln!(text, "listen: {}", config.listen);
-    let _ = writeln!(text, "discovery: {}", config.directory);
-    let in_file = config.directory_in_file.map(|address| address.to_string());
+    let _ = writeln!(text, "discovery: {}", config.discovery);
+    let in_file = config.discovery_in_file.map(|address| address.to_string());
     let _ = writeln!(
         text,
         "discovery in the file: {}",
         in_file.unwrap_or("none".to_owned())
     );
-    let ops = config.ops.map(|address| address.to_string());
+    let ops = config.operators.map(|address| address.to_string());
     let _ = writeln!(text, "ops: {}", ops.unwrap_or("none".to_owned()));
     let handover = config
-        .handover
+        .handover_socket
         .as_ref()
         .map(|path| path.display().to_string());
     let _ = writeln!(
@@ -230,15 +230,15 @@
         handover.unwrap_or("none".to_owned())
     );
     let _ = writeln!(text, "seed: {:x}", config.seed);
-    let _ = writeln!(text, "consumers: {}", config.most_consumers);
+    let _ = writeln!(text, "consumers: {}", config.limits.client_connections);
     let _ = writeln!(
         text,
         "connections to workers: {}",
-        config.most_worker_connections
+        config.limits.worker_connections
     );
-    let _ = writeln!(text, "bytes of bodies: {}", config.bodies);
-    let _ = writeln!(text, "log level: {}", config.log);
-    if let Some(known) = &config.known {
+    let _ = writeln!(text, "bytes of bodies: {}", config.limits.body_bytes);
+    let _ = writeln!(text, "log level: {}", config.log_level);
+    if let Some(known) = &config.cached_list {
         let _ = writeln!(
             text,
             "known: {}",
@@ -259,21 +259,25 @@
     text
 }
 
-fn describe_settings(config: &Config, text: &mut String) {
+fn describe_settings(config: &NodeConfig, text: &mut String) {
     let _ = writeln!(text, "localities: {}", config.zones.join(", "));
     let _ = writeln!(text, "kinds: {}", config.kinds.join(", "));
-    let _ = writeln!(text, "workers send reports: {}", config.reports);
-    let _ = writeln!(text, "report-x0 is free slots: {}", config.reads.free_slots);
+    let _ = writeln!(text, "workers send reports: {}", config.workers_report_load);
+    let _ = writeln!(
+        text,
+        "report-x0 is free slots: {}",
+        config.report_fields.free_slots
+    );
     let _ = writeln!(
         text,
         "report-x1 is free memory: {}",
-        config.reads.free_memory
+        config.report_fields.free_memory
     );
-    let _ = writeln!(text, "lists are pushed: {}", config.pushed);
-    let _ = writeln!(text, "conn-idle-us: {}", config.idle.0);
+    let _ = writeln!(text, "lists are pushed: {}", config.lists_are_pushed);
+    let _ = writeln!(text, "conn-idle-us: {}", config.worker_idle_timeout.0);
     let _ = writeln!(text, "connect-timeout-us: {}", config.connect_timeout.0);
     let _ = writeln!(text, "drain-grace-us: {}", config.drain_grace.0);
-    let progress = config.progress.map(|span| span.0.to_string());
+    let progress = config.progress_interval.map(|span| span.0.to_string());
     let _ = writeln!(
         text,
         "progress-us: {}",
--- a/crates/node/tests/golden/operator_file.rs
+++ b/crates/node/tests/golden/operator_file.rs
@@ -3,7 +3,7 @@
 use crate::assert_golden;
 use crate::support::{program, Folder};
 use crate::text;
-use marbledeck_node::config::{SiteConfig, SubmissionConfig};
+use marbledeck_node::config::{OperatorConfig, SubmissionConfig};
 use std::fmt::Write as _;
 use std::fs;
 use std::path::Path;
@@ -339,7 +339,8 @@
 #[test]
 fn values() {
     let folder = Folder::new();
-    let read = |text: &str| SiteConfig::read(&folder.file("site.toml", text)).expect("it is right");
+    let read =
+        |text: &str| OperatorConfig::read(&folder.file("site.toml", text)).expect("it is right");
     let voters = "[[agreement.voters]]\nnumber = 1\naddress = \"127.0.0.1:1\"\n[[agreement.voters]]\nnumber = 2\n\
                   address = \"127.0.0.1:1\"\n[[agreement.voters]]\nnumber = 3\naddress = \"127.0.0.1:1\"\n";
     let least = format!(
@@ -361,21 +362,21 @@
 }
 
 /// A configuration, a key of the file in each line; times are in microseconds.
-fn described(site: &SiteConfig) -> String {
+fn described(site: &OperatorConfig) -> String {
     let mut text = String::new();
     if let Some(front) = &site.submission {
         describe_submission(front, &mut text);
     }
-    let guard = &site.guard;
+    let guard = &site.self_preservation;
     let _ = writeln!(text, "membership.keep_s: {} us", guard.retention.0);
     let _ = writeln!(text, "membership.stale_s: {} us", guard.silence_timeout.0);
     let _ = writeln!(text, "membership.probe_s: {} us", guard.probe_interval.0);
     let _ = writeln!(text, "membership.fails: {}", guard.max_failures);
     let _ = writeln!(text, "membership.budget: {}", guard.probe_budget);
     let _ = writeln!(text, "membership.probes: {}", guard.probes);
-    let _ = writeln!(text, "peers.share: {}", site.peers);
+    let _ = writeln!(text, "peers.share: {}", site.gossip);
     describe_eureka(site, &mut text);
-    for worker in &site.statics {
+    for worker in &site.static_workers {
         let cell = worker
             .cell
             .map_or("none".to_owned(), |cell| cell.0.to_string());
@@ -389,7 +390,7 @@
         );
     }
     describe_agreement(site, &mut text);
-    if let Some(seats) = &site.seats {
+    if let Some(seats) = &site.licensing {
         let _ = writeln!(text, "seats.licences: {}", seats.licences.join(", "));
         for (class, licences) in &seats.classes {
             let _ = writeln!(text, "seats.classes.{class}: {}", licences.join(", "));
@@ -424,7 +425,7 @@
     let _ = writeln!(text, "submission.session_s: {}", front.session_s);
 }
 
-fn describe_eureka(site: &SiteConfig, text: &mut String) {
+fn describe_eureka(site: &OperatorConfig, text: &mut String) {
     let Some(eureka) = &site.eureka else {
         return;
     };
@@ -454,8 +455,8 @@
     }
 }
 
-fn describe_agreement(site: &SiteConfig, text: &mut String) {
-    let Some(agreement) = &site.agreement else {
+fn describe_agreement(site: &OperatorConfig, text: &mut String) {
+    let Some(agreement) = &site.consensus else {
         return;
     };
     let _ = writeln!(text, "agreement.fleet: {}", agreement.fleet);
--- a/crates/node/tests/seats.rs
+++ b/crates/node/tests/seats.rs
@@ -2,7 +2,7 @@
 
 use marbledeck_dispatcher::{Micros, Outcome, WorkerEntry, WorkerId, WorkerListKind};
 use marbledeck_licensing::{Part, Reading};
-use marbledeck_node::config::SeatsConfig;
+use marbledeck_node::config::LicensingConfig;
 use marbledeck_node::core::licensing::Licensing;
 use marbledeck_node::core::{
     Catalogue, Command, Core, InvokerCall, Malformed, Order, Verdict, Work,
@@ -30,7 +30,7 @@
         ..WorkerEntry::default()
     };
     core.listed(Micros(0), WorkerListKind::Full, (0..3).map(entry).collect());
-    let config = SeatsConfig {
+    let config = LicensingConfig {
         licences: vec!["av1".into(), "aac".into()],
         classes: [("encode".to_owned(), vec!["av1".to_owned()])].into(),
         idle: Micros(60_000_000),
