--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -1,86 +1,82 @@
 //! The link between two processes of one node while one replaces the other: over a Unix socket in `$TMPDIR`, named
 //! after the node.
 //!
-//! The running process hands on its listening sockets, so that both take connections from one queue and none is lost
-//! when it closes its own end; with them goes what operators and the directory have told. After that, each tells the
-//! other a [`Word`] a line. Nothing here may keep a process from serving: whatever fails, it goes on alone.
+//! The running process passes on its listening sockets, so that both accept connections from one queue and none is lost
+//! when it closes its own end; with them goes what operators and discovery have stated. After that, the processes
+//! exchange [`Message`]s. Nothing here may keep a process from serving: whatever fails, it goes on alone.
 
-mod meet;
+mod connect;
+mod message;
 
-pub use meet::meet;
+pub use connect::connect;
+pub use message::{HandoverEvent, Message, Side};
 
 use crate::net::{Net, Peer, Token};
-use serde::{Deserialize, Serialize};
-use serde_json::Value;
+use serde::Serialize;
 use std::fs::Permissions;
 use std::io;
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixListener;
 use std::path::Path;
 
-/// The bequest begins with its length: eight hexadecimal digits and a line's end.
-const HEAD: usize = 9;
+/// The state begins with its length: eight hexadecimal digits and a line's end.
+const HEAD_LENGTH: usize = 9;
+/// Messages for a partner wait while more bytes than this are still to be sent to it.
+const MAX_BACKLOG: usize = 64 * 1024;
+/// Only the node's own user may connect.
+const SOCKET_MODE: u32 = 0o600;
 
-/// Words for a partner wait while more than this is still to be sent to it.
-const BACKLOG: usize = 64 * 1024;
-
-/// Which of the two partners.
+/// The process that this one replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
-    /// The process that this one replaces.
-    Predecessor,
-    /// The process that replaces this one.
-    Successor,
+enum Predecessor {
+    /// There is none, or no more.
+    None,
+    /// It may still accept work.
+    Serving(Token),
+    /// It accepts nothing more.
+    ShuttingDown(Token),
 }
 
-impl Side {
-    pub const BOTH: [Side; 2] = [Side::Predecessor, Side::Successor];
+/// The process that replaces this one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Successor {
+    /// There is none, or no more.
+    None,
+    /// It cannot serve yet.
+    Starting(Token),
+    /// It serves.
+    Serving(Token),
 }
 
-/// What one process tells the other.
-#[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Word {
-    /// An operator has taken this worker out.
-    Out(String),
-    /// An operator has called it back.
-    Back(String),
-    /// The new process can serve: the old one need take nothing more.
-    Serving,
-    /// The old process takes nothing more.
-    Ending,
-    /// The services that the new process has; said only to one that has named its own.
-    #[serde(rename = "parties")]
-    Services(Vec<String>),
-    /// A word of the service of this name.
-    #[serde(rename = "party")]
-    Service(String, Value),
+impl Predecessor {
+    fn token(self) -> Option<Token> {
+        match self {
+            Predecessor::None => None,
+            Predecessor::Serving(token) | Predecessor::ShuttingDown(token) => Some(token),
+        }
+    }
 }
 
-/// What has come of a link.
-#[derive(Debug, PartialEq, Eq)]
-pub enum News {
-    /// A process has come to replace this one; it wants what is [bequeathed](Handover::bequeath).
-    Successor(Token),
-    Told(Side, Word),
-    /// One of the partners is gone.
-    Lost(Side),
+impl Successor {
+    fn token(self) -> Option<Token> {
+        match self {
+            Successor::None => None,
+            Successor::Starting(token) | Successor::Serving(token) => Some(token),
+        }
+    }
 }
 
+/// The links to the other processes of this node.
 pub struct Handover {
     listener: Option<Token>,
-    /// The process that this one replaces, and the one that replaces it.
-    predecessor: Option<Token>,
-    successor: Option<Token>,
-    /// The successor can serve.
-    succeeded: bool,
-    /// The predecessor takes nothing more.
-    preceded: bool,
+    predecessor: Predecessor,
+    successor: Successor,
 }
 
 impl Handover {
-    /// Listens at this path for the process that will replace this one. `met` is the link to the one it replaces.
-    pub fn new(path: Option<&Path>, met: Option<Token>, net: &mut Net) -> Self {
+    /// Listens at this path for the process that will replace this one. `predecessor` is the link to the one that it
+    /// replaces.
+    pub fn new(path: Option<&Path>, predecessor: Option<Token>, net: &mut Net) -> Self {
         let listener = path.and_then(|path| match listen(path, net) {
             Ok(token) => Some(token),
             Err(e) => {
@@ -90,122 +86,110 @@
         });
         Handover {
             listener,
-            predecessor: met,
-            successor: None,
-            succeeded: false,
-            preceded: false,
+            predecessor: predecessor.map_or(Predecessor::None, Predecessor::Serving),
+            successor: Successor::None,
         }
     }
 
     /// Whether another process of this node runs.
-    pub fn paired(&self) -> bool {
-        self.predecessor.is_some() || self.successor.is_some()
+    pub fn has_partner(&self) -> bool {
+        self.predecessor != Predecessor::None || self.successor != Successor::None
     }
 
     /// Whether there is a successor that serves.
-    pub fn succeeded(&self) -> bool {
-        self.succeeded
+    pub fn has_serving_successor(&self) -> bool {
+        matches!(self.successor, Successor::Serving(_))
     }
 
     /// Whether jobs may be coming to both processes.
-    pub fn shares(&self) -> bool {
-        self.predecessor.is_some() && !self.preceded || self.succeeded
+    pub fn shares_jobs(&self) -> bool {
+        matches!(self.predecessor, Predecessor::Serving(_)) || self.has_serving_successor()
     }
 
-    /// Takes the processes that come to replace this one; the last to come is the one that does.
-    pub fn accept(&mut self, net: &mut Net) -> Option<News> {
+    /// Accepts a process that comes to replace this one; the last to come is the one that does.
+    pub fn accept(&mut self, net: &mut Net) -> Option<HandoverEvent> {
         let token = net.accept(self.listener?).ok().flatten()?;
-        self.succeeded = false;
-        if let Some(old) = self.successor.replace(token) {
-            net.close(old);
+        let earlier = std::mem::replace(&mut self.successor, Successor::Starting(token));
+        if let Some(earlier) = earlier.token() {
+            net.close(earlier);
         }
-        Some(News::Successor(token))
+        Some(HandoverEvent::SuccessorConnected(token))
     }
 
-    /// Hands these listeners and what is known to the successor.
-    pub fn bequeath(
+    /// Passes these listeners and the state on to the successor.
+    pub fn send_state(
         &mut self,
-        heir: Token,
-        bequest: &impl Serialize,
+        successor: Token,
+        state: &impl Serialize,
         listeners: &[Token],
         net: &mut Net,
     ) {
-        let body = serde_json::to_string(bequest).unwrap_or_default();
+        let body = serde_json::to_string(state).unwrap_or_default();
         let message = format!("{:08x}\n{body}", body.len());
-        if let Err(e) = net.pass(heir, message.as_bytes(), listeners) {
+        if let Err(e) = net.pass(successor, message.as_bytes(), listeners) {
             log::warn!("handover: {e}");
-            self.drop_link(heir, net);
-        }
-    }
-
-    /// Something has come over a link. Tells it word by word, until there is none.
-    pub fn ready(&mut self, token: Token, net: &mut Net) -> Option<News> {
-        let partner = [self.predecessor, self.successor].contains(&Some(token));
-        let Some(conn) = net.get(token).filter(|_| partner) else {
-            net.close(token);
-            return None;
-        };
-        let side = match self.successor == Some(token) {
-            true => Side::Successor,
-            false => Side::Predecessor,
-        };
-        let bytes = conn.input.all();
-        let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
-            // A word has its end within the ring; one that has not is none.
-            let over = conn.eof || conn.broken || conn.input.is_full();
-            return over.then(|| {
-                self.drop_link(token, net);
-                News::Lost(side)
-            });
-        };
-        let word = serde_json::from_slice(&bytes[..end]);
-        conn.input.consume(end + 1);
-        net.touch(token);
-        match word {
-            Ok(Word::Serving) if self.successor != Some(token) => self.ready(token, net),
-            Ok(word) => {
-                self.succeeded |= word == Word::Serving;
-                self.preceded |= word == Word::Ending && self.predecessor == Some(token);
-                Some(News::Told(side, word))
-            }
-            Err(e) => {
-                log::warn!("handover: {e}");
-                self.drop_link(token, net);
-                Some(News::Lost(side))
-            }
+            self.drop_link(successor, net);
         }
     }
 
-    /// Tells every partner; one that reads nothing is none.
-    pub fn tell(&mut self, word: &Word, net: &mut Net) {
-        let mut line = serde_json::to_vec(word).unwrap_or_default();
-        line.push(b'\n');
-        for token in [self.predecessor, self.successor].into_iter().flatten() {
-            if !net.write(token, &line) {
-                self.drop_link(token, net);
+    /// Something has come over a link: the next event there, until there is none.
+    pub fn next_event(&mut self, token: Token, net: &mut Net) -> Option<HandoverEvent> {
+        loop {
+            let Some(side) = self.side_of(token) else {
+                net.close(token);
+                return None;
+            };
+            let Some(conn) = net.get(token) else {
+                net.close(token);
+                return None;
+            };
+            let bytes = conn.input.all();
+            let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
+                // A message has its end within the ring; one that has not is none.
+                if conn.eof || conn.broken || conn.input.is_full() {
+                    self.drop_link(token, net);
+                    return Some(HandoverEvent::Lost(side));
+                }
+                return None;
+            };
+            let message = serde_json::from_slice(&bytes[..end]);
+            conn.input.consume(end + 1);
+            net.touch(token);
+            match message {
+                // Only a successor's beginning to serve has a meaning.
+                Ok(Message::Serving) if side == Side::Predecessor => {}
+                Ok(message) => {
+                    self.note_state(side, &message);
+                    return Some(HandoverEvent::Received(side, message));
+                }
+                Err(e) => {
+                    log::warn!("handover: {e}");
+                    self.drop_link(token, net);
+                    return Some(HandoverEvent::Lost(side));
+                }
             }
         }
     }
 
-    fn of(&self, side: Side) -> Option<Token> {
-        match side {
-            Side::Predecessor => self.predecessor,
-            Side::Successor => self.successor,
+    /// Sends to every partner; one that reads nothing is dropped.
+    pub fn send_to_all(&mut self, message: &Message, net: &mut Net) {
+        for side in Side::BOTH {
+            self.send_to(side, message, net);
         }
     }
 
-    /// Whether a word more may be told to this partner: there is one, and it reads.
+    /// Whether there is such a partner, and it has read enough to be sent one more message.
     pub fn has_room(&self, side: Side, net: &mut Net) -> bool {
-        self.of(side)
-            .is_some_and(|token| net.has_room(token, BACKLOG))
+        self.token_of(side)
+            .is_some_and(|token| net.has_room(token, MAX_BACKLOG))
     }
 
-    /// Tells one partner; one that reads nothing is none. Tells whether it is there still.
-    pub fn tell_to(&mut self, side: Side, word: &Word, net: &mut Net) -> bool {
-        let Some(token) = self.of(side) else {
+    /// Sends to one partner, if there is one; one that reads nothing is dropped, and the result is false.
+    pub fn send_to(&mut self, side: Side, message: &Message, net: &mut Net) -> bool {
+        let Some(token) = self.token_of(side) else {
             return true;
         };
-        let mut line = serde_json::to_vec(word).unwrap_or_default();
+        let mut line = serde_json::to_vec(message).unwrap_or_default();
         line.push(b'\n');
         let fits = net.write(token, &line);
         if !fits {
@@ -214,18 +198,48 @@
         fits
     }
 
-    /// Whether all that was told to the successor has left.
+    /// Whether all that was sent to the successor has left.
     pub fn is_flushed(&self, net: &mut Net) -> bool {
-        let successor = self.successor.and_then(|token| net.get(token));
+        let successor = self.successor.token().and_then(|token| net.get(token));
         successor.is_none_or(|conn| conn.output.is_empty())
     }
 
+    /// Closes the link to a partner: this process goes on alone.
     pub fn drop_link(&mut self, token: Token, net: &mut Net) {
         net.close(token);
-        if self.successor == Some(token) {
-            (self.successor, self.succeeded) = (None, false);
+        if self.successor.token() == Some(token) {
+            self.successor = Successor::None;
+        } else {
+            self.predecessor = Predecessor::None;
+        }
+    }
+
+    fn note_state(&mut self, side: Side, message: &Message) {
+        match (message, side, self.predecessor, self.successor) {
+            (Message::Serving, Side::Successor, _, Successor::Starting(token)) => {
+                self.successor = Successor::Serving(token);
+            }
+            (Message::ShuttingDown, Side::Predecessor, Predecessor::Serving(token), _) => {
+                self.predecessor = Predecessor::ShuttingDown(token);
+            }
+            _ => {}
+        }
+    }
+
+    fn token_of(&self, side: Side) -> Option<Token> {
+        match side {
+            Side::Predecessor => self.predecessor.token(),
+            Side::Successor => self.successor.token(),
+        }
+    }
+
+    fn side_of(&self, token: Token) -> Option<Side> {
+        if self.successor.token() == Some(token) {
+            Some(Side::Successor)
+        } else if self.predecessor.token() == Some(token) {
+            Some(Side::Predecessor)
         } else {
-            self.predecessor = None;
+            None
         }
     }
 }
@@ -237,7 +251,7 @@
     let _ = std::fs::remove_file(&beside);
     let listener = UnixListener::bind(&beside)?;
     listener.set_nonblocking(true)?;
-    std::fs::set_permissions(&beside, Permissions::from_mode(0o600))?;
+    std::fs::set_permissions(&beside, Permissions::from_mode(SOCKET_MODE))?;
     std::fs::rename(&beside, path)?;
     net.adopt(listener.into(), Peer::Partner)
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,17 +1,19 @@
 //! The program: without a command it is the node, which reads the configuration and serves until SIGTERM; with one, it
-//! speaks to a node's submission front.
+//! speaks to a node's submission server, checks a file, or asks a node at its operations address.
 #![forbid(unsafe_code)]
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use marbledeck_cli::{Common, JobCommand, NodeCommand, SessionCommand};
-use marbledeck_node::config::{NodeConfig, OperatorConfig, SubmissionConfig};
+use marbledeck_node::config::{ConfigError, NodeConfig, OperatorConfig, SubmissionConfig};
 use marbledeck_node::logger;
-use marbledeck_node::node::{Node, Signals};
-use std::error::Error;
+use marbledeck_node::node::{Node, Signals, StartError};
 use std::io::{self, Write};
+use std::net::TcpStream;
 use std::os::unix::net::UnixStream;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
 
 /// Spreads thumbnail jobs over render workers
 #[derive(Parser)]
@@ -74,11 +76,22 @@
     Check { file: PathBuf },
 }
 
+/// Why the program ends with a failure.
+#[derive(Debug, thiserror::Error)]
+enum RunError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Start(#[from] StartError),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let served = match arguments.command {
-        None => serve(arguments.serve),
-        Some(Command::Serve(how)) => serve(how),
+    let result = match arguments.command {
+        None => serve(&arguments.serve),
+        Some(Command::Serve(options)) => serve(&options),
         Some(Command::Job(command)) => return marbledeck_cli::job(command),
         Some(Command::Session(command)) => return marbledeck_cli::session(command),
         Some(Command::Queues(common)) => return marbledeck_cli::node(NodeCommand::Queues(common)),
@@ -88,63 +101,79 @@
         Some(Command::Capabilities(common)) => {
             return marbledeck_cli::node(NodeCommand::Capabilities(common))
         }
-        Some(Command::Config(ConfigCommand::Check { file })) => {
-            let read = OperatorConfig::read(&file);
-            read.map(|_| println!("{}: nothing is wrong", file.display()))
-                .map_err(Into::into)
-        }
-        Some(Command::Members { ops }) => members(&ops).map_err(Into::into),
+        Some(Command::Config(ConfigCommand::Check { file })) => check_operator_file(&file),
+        Some(Command::Members { ops }) => print_members(&ops),
         Some(Command::Completions { shell }) => {
-            let mut command = Arguments::command();
-            clap_complete::generate(shell, &mut command, "marbledeck", &mut io::stdout());
+            print_completions(shell);
             Ok(())
         }
     };
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("marbledeck: {what}");
+        Err(error) => {
+            eprintln!("marbledeck: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(how: Serve) -> Result<(), Box<dyn Error>> {
-    let mut site = how
-        .site
-        .as_deref()
-        .map(OperatorConfig::read)
-        .transpose()?
-        .unwrap_or_default();
-    if let Some(file) = &how.submission {
-        site.submission = Some(SubmissionConfig::read(file)?);
-    }
+/// Runs the node until SIGTERM.
+fn serve(options: &Serve) -> Result<(), RunError> {
+    let operator_config = read_operator_config(options)?;
     // Before all else: a signal that comes while the node starts is neither lost nor its end.
     let signals = Signals {
-        end: pipe(signal_hook::consts::SIGTERM)?,
-        reload: pipe(signal_hook::consts::SIGHUP)?,
+        end: signal_pipe(signal_hook::consts::SIGTERM)?,
+        reload: signal_pipe(signal_hook::consts::SIGHUP)?,
     };
-    if site.consensus.is_some() {
-        // A file that may not grow is a full disk, and no reason to end.
-        let noted: std::sync::Arc<std::sync::atomic::AtomicBool> = Default::default();
-        signal_hook::flag::register(signal_hook::consts::SIGXFSZ, noted)?;
+    if operator_config.consensus.is_some() {
+        ignore_file_size_signal()?;
     }
-    let read = || NodeConfig::read(|name| std::env::var(name).ok());
-    let config = read()?;
+    let read_config = || NodeConfig::read(|name| std::env::var(name).ok());
+    let config = read_config()?;
     logger::start(config.log_level);
-    Node::new(config, site, signals, Box::new(read))?.run();
+    Node::new(config, operator_config, signals, Box::new(read_config))?.run();
     Ok(())
 }
 
-/// Asks a node's operators' address for its workers.
-fn members(ops: &str) -> io::Result<()> {
-    let mut stream = std::net::TcpStream::connect(ops)?;
+fn read_operator_config(options: &Serve) -> Result<OperatorConfig, ConfigError> {
+    let mut config = match &options.site {
+        Some(file) => OperatorConfig::read(file)?,
+        None => OperatorConfig::default(),
+    };
+    if let Some(file) = &options.submission {
+        config.submission = Some(SubmissionConfig::read(file)?);
+    }
+    Ok(config)
+}
+
+/// A file that may not grow is a full disk for the store of consensus, and no reason to end.
+fn ignore_file_size_signal() -> io::Result<()> {
+    let noted: Arc<AtomicBool> = Arc::default();
+    signal_hook::flag::register(signal_hook::consts::SIGXFSZ, noted)?;
+    Ok(())
+}
+
+fn check_operator_file(file: &Path) -> Result<(), RunError> {
+    OperatorConfig::read(file)?;
+    println!("{}: nothing is wrong", file.display());
+    Ok(())
+}
+
+/// Asks a node's operations address for its workers.
+fn print_members(address: &str) -> Result<(), RunError> {
+    let mut stream = TcpStream::connect(address)?;
     stream.write_all(b"members\n")?;
-    io::copy(&mut stream, &mut io::stdout()).map(drop)
+    io::copy(&mut stream, &mut io::stdout())?;
+    Ok(())
+}
+
+fn print_completions(shell: clap_complete::Shell) {
+    let mut command = Arguments::command();
+    clap_complete::generate(shell, &mut command, "marbledeck", &mut io::stdout());
 }
 
 /// The reading end of a pipe that gets a byte at each such signal.
-fn pipe(signal: i32) -> io::Result<UnixStream> {
+fn signal_pipe(signal: i32) -> io::Result<UnixStream> {
     let (reader, writer) = UnixStream::pair()?;
     signal_hook::low_level::pipe::register(signal, writer)?;
     reader.set_nonblocking(true)?;
--- /dev/null
+++ b/crates/node/src/node/commands.rs
@@ -0,0 +1,140 @@
+//! The end of each turn: what the core has decided is carried out, and all that was written leaves.
+
+use super::Node;
+use crate::core::Command;
+use crate::service::Context;
+use marbledeck_dispatcher::{Micros, WorkerId};
+
+impl Node {
+    /// Carries out what the core wants done, and writes it out.
+    pub(super) fn finish_turn(&mut self, now: Micros) {
+        self.carry_out(now);
+        if self.context.workers.is_writing() {
+            self.recheck_before_sending();
+        }
+        let Context {
+            net, core, workers, ..
+        } = &mut self.context;
+        net.settle(now);
+        workers.written(net, core);
+    }
+
+    /// The last look before attempts begin. This process may have stood still, or been busy for long with what had come
+    /// before: what forbids an attempt counts though it came after that was decided. All bytes leave right after this.
+    fn recheck_before_sending(&mut self) {
+        let now = self.clock.now();
+        let context = &mut self.context;
+        context.now = now;
+        let (fleet, net, core) = (&mut context.fleet, &mut context.net, &mut context.core);
+        context.directory.wake(now, fleet, net, core);
+        let awaited = context.directory.awaited();
+        if let Some(ready) = awaited.and_then(|token| net.look(token)) {
+            context.directory.ready(now, ready.token, fleet, net, core);
+        }
+        let leaving = context.workers.leaving(net);
+        self.clients.look(now, leaving, net, core);
+        context.workers.withdraw(now, fleet, net, core);
+        // What becomes of their jobs is not left to the next turn.
+        self.carry_out(now);
+    }
+
+    /// Carries out what the core and the services want done.
+    pub(super) fn carry_out(&mut self, now: Micros) {
+        // First, so that the other process knows of a job that is passed on before any worker does.
+        self.send_partner_messages(now);
+        self.carry_out_commands(now);
+        for number in 0..self.services.len() {
+            self.services[number].settled(now, &mut self.context);
+            self.send_operator_replies(number);
+        }
+        self.send_partner_messages(now);
+    }
+
+    fn send_operator_replies(&mut self, number: usize) {
+        while self.operators.is_some() {
+            let Some((caller, text)) = self.services[number].reply() else {
+                return;
+            };
+            self.send_to_operator(caller, &text);
+        }
+    }
+
+    fn carry_out_commands(&mut self, now: Micros) {
+        loop {
+            let Context {
+                net,
+                core,
+                workers,
+                fleet,
+                ..
+            } = &mut self.context;
+            for worker in std::mem::take(&mut fleet.stale) {
+                workers.forget(worker, net);
+            }
+            let Some(command) = core.command() else {
+                return;
+            };
+            self.carry_out_command(now, command);
+        }
+    }
+
+    fn carry_out_command(&mut self, now: Micros, command: Command) {
+        let Context {
+            net,
+            core,
+            workers,
+            directory,
+            fleet,
+            ..
+        } = &mut self.context;
+        match command {
+            Command::Call(call) => {
+                for service in &mut self.services {
+                    service.called(now, call.worker);
+                }
+                let target = fleet.aim(call.worker);
+                workers.call(now, &call, target, net, core);
+            }
+            Command::GiveUp { id, attempt } => workers.give_up(id, attempt, net),
+            Command::Probe(worker) => self.probe(now, worker),
+            Command::CameBack(worker) => {
+                for service in &mut self.services {
+                    service.came_back(now, worker);
+                }
+            }
+            Command::Watch => directory.watch(now, net),
+            Command::Answer { id, verdict, sent } => {
+                if !self.clients.answer(now, id, &verdict, net, core) {
+                    let mut services = self.services.iter_mut();
+                    services.any(|service| service.answer(now, id, &verdict, sent));
+                }
+            }
+            Command::Running(id, worker) => {
+                for service in &mut self.services {
+                    service.running(now, id, worker, &self.context);
+                }
+            }
+            Command::Requeued(id) => {
+                for service in &mut self.services {
+                    service.requeued(now, id);
+                }
+            }
+        }
+    }
+
+    /// Asks a worker for its load, and the services for what they know of it.
+    fn probe(&mut self, now: Micros, worker: WorkerId) {
+        for service in &mut self.services {
+            service.probes(now, worker, &mut self.context);
+        }
+        let Context {
+            net,
+            core,
+            workers,
+            fleet,
+            ..
+        } = &mut self.context;
+        let target = fleet.aim(worker);
+        workers.probe(now, worker, target, net, core);
+    }
+}
--- /dev/null
+++ b/crates/node/src/node/mod.rs
@@ -0,0 +1,211 @@
+//! The node: the core with its services and connections, served by one event loop.
+//!
+//! [`builder`] puts the parts together; this module is the event loop. [`commands`] carries out what the core decides,
+//! [`operators`] what operators call for. [`shutdown`], [`reload`] and [`succession`] are the steps of SIGTERM, SIGHUP
+//! and of replacing a running process; [`limits`] shares what the node may hold between its processes.
+
+mod builder;
+mod commands;
+mod limits;
+mod operators;
+mod reload;
+mod shutdown;
+mod signals;
+mod succession;
+
+pub use builder::StartError;
+pub use signals::Signals;
+
+use crate::admin::Ops;
+use crate::clients::Consumers;
+use crate::clock::{millis, Clock};
+use crate::config::{ConfigError, NodeConfig};
+use crate::federation::Outbox;
+use crate::handover::Handover;
+use crate::net::{Peer, Ready, Token};
+use crate::service::{Context, Service};
+use limits::SharedLimits;
+use marbledeck_dispatcher::Micros;
+use marbledeck_platform_settings::PlatformSettings;
+use shutdown::Lifecycle;
+use std::net::SocketAddr;
+use succession::Readiness;
+
+/// How often the counts are logged.
+const LOG_INTERVAL: Micros = millis(10_000);
+
+/// Reads the configuration as it is now.
+pub type ReadConfig = Box<dyn Fn() -> Result<NodeConfig, ConfigError>>;
+
+/// The node: one process of it.
+pub struct Node {
+    clock: Clock,
+    context: Context,
+    clients: Consumers,
+    /// The services, by their numbers.
+    services: Vec<Box<dyn Service>>,
+    operators: Option<Ops>,
+    handover: Handover,
+    limits: SharedLimits,
+    signals: Signals,
+    read_config: ReadConfig,
+    /// The address of discovery that the file had when it was last read: only a change of it is acted upon.
+    discovery_in_file: Option<SocketAddr>,
+    /// The platform's settings of the start: changes of them are not acted upon.
+    platform_settings: PlatformSettings,
+    lifecycle: Lifecycle,
+    /// Whether the predecessor knows that this process can serve.
+    readiness: Readiness,
+    /// The names of the successor's services.
+    successor_services: Vec<String>,
+    next_log: Micros,
+}
+
+impl Node {
+    /// Serves until SIGTERM has come and all that was open has ended.
+    pub fn run(&mut self) {
+        let mut events = Vec::new();
+        loop {
+            let now = self.clock.now();
+            self.announce_readiness();
+            self.finish_turn(now);
+            if self.is_finished(now) {
+                log::info!("{}", self.context.core.by_class());
+                log::info!("ended: {}", self.context.core.counts());
+                return;
+            }
+            let next_wake = self.next_wake();
+            self.context
+                .net
+                .wait(self.clock.now(), next_wake, &mut events);
+            // Timers first: however many events have come, they are punctual.
+            self.wake(self.clock.now());
+            for event in events.drain(..) {
+                if let Some(ready) = self.context.net.pump(event) {
+                    self.handle_event(ready);
+                }
+            }
+        }
+    }
+
+    fn next_wake(&self) -> Option<Micros> {
+        let own = [
+            self.context.core.next_wake(),
+            self.context.workers.next_wake(),
+            self.context.directory.next_wake(),
+            self.context.outbox.as_ref().and_then(Outbox::next_wake),
+            self.context.fleet.members.next_wake(),
+            self.clients.next_wake(),
+            self.operators.as_ref().and_then(Ops::next_wake),
+            self.lifecycle.next_wake(),
+            Some(self.next_log),
+        ];
+        let services = self.services.iter().map(|service| service.next_wake());
+        own.into_iter().chain(services).flatten().min()
+    }
+
+    /// Handles all timers that are due.
+    fn wake(&mut self, now: Micros) {
+        self.context.now = now;
+        let Context {
+            net,
+            core,
+            workers,
+            directory,
+            fleet,
+            ..
+        } = &mut self.context;
+        // First: by a list that is too old nothing is sent, whatever else is due.
+        directory.wake(now, fleet, net, core);
+        core.wake(now);
+        workers.wake(now, net, core);
+        fleet.wake(now, workers, net, core);
+        self.clients.wake(now, net);
+        for service in &mut self.services {
+            service.wake(now, &mut self.context);
+        }
+        self.lifecycle.expire_successor_timeout(now);
+        if let Some(operators) = &mut self.operators {
+            operators.wake(now, &mut self.context.net);
+        }
+        if self.lifecycle.take_due_settling(now) {
+            log::info!("settling {} that are open", self.context.core.unanswered());
+            self.context.core.settle(now);
+        }
+        if now >= self.next_log {
+            self.next_log = now + LOG_INTERVAL;
+            log::info!("{}", self.context.core.counts());
+            log::info!("{}", self.context.core.by_class());
+        }
+    }
+
+    fn handle_event(&mut self, event: Ready) {
+        let (now, token) = (self.clock.now(), event.token);
+        self.context.now = now;
+        match event.peer {
+            Peer::Consumer if event.listener => self.clients.accept(now, &mut self.context.net),
+            Peer::Consumer => {
+                let Context { net, core, .. } = &mut self.context;
+                self.clients.ready(now, token, net, core);
+            }
+            Peer::Worker => {
+                let Context {
+                    net, core, workers, ..
+                } = &mut self.context;
+                workers.ready(now, token, net, core);
+            }
+            Peer::Directory => {
+                let Context {
+                    net,
+                    core,
+                    directory,
+                    fleet,
+                    ..
+                } = &mut self.context;
+                directory.ready(now, token, fleet, net, core);
+            }
+            Peer::Service(number) => {
+                if let Some(service) = self.services.get_mut(usize::from(number)) {
+                    service.ready(now, event, &mut self.context);
+                }
+            }
+            Peer::Operator => self.handle_operator_event(now, &event),
+            Peer::Partner => self.handle_partner_event(now, &event),
+            Peer::End => self.shut_down(now),
+            Peer::Reload => self.reload(now),
+        }
+        self.carry_out(now);
+    }
+
+    fn handle_operator_event(&mut self, now: Micros, event: &Ready) {
+        let Some(operators) = &mut self.operators else {
+            return;
+        };
+        let net = &mut self.context.net;
+        if event.listener {
+            operators.accept(now, net);
+        } else if let Some(call) = operators.ready(event.token, net) {
+            self.handle_operator_call(now, event.token, call);
+        }
+    }
+
+    fn handle_partner_event(&mut self, now: Micros, event: &Ready) {
+        if event.listener {
+            let accepted = self.handover.accept(&mut self.context.net);
+            self.handle_handover_event(now, accepted);
+            return;
+        }
+        while let Some(received) = self.handover.next_event(event.token, &mut self.context.net) {
+            self.handle_handover_event(now, Some(received));
+        }
+    }
+
+    /// All sockets that the successor takes over.
+    fn listeners(&self) -> Vec<Token> {
+        let of_services = self.services.iter().flat_map(|service| service.listeners());
+        [self.clients.listener]
+            .into_iter()
+            .chain(of_services)
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/node/src/node/operators.rs
@@ -0,0 +1,85 @@
+//! What operators call for.
+
+use super::Node;
+use crate::admin::{self, Call};
+use crate::handover::Message;
+use crate::net::Token;
+use crate::service::Context;
+use marbledeck_dispatcher::Micros;
+
+impl Node {
+    /// Carries out an operator's call, and answers.
+    pub(super) fn handle_operator_call(&mut self, now: Micros, caller: Token, call: Call) {
+        let answer = match call {
+            Call::Check => self.check_serving(),
+            Call::Vars => {
+                let Context { core, fleet, .. } = &self.context;
+                let (listed, avoided) = fleet.count(|worker| core.rests(now, worker));
+                let text = admin::figures(core, listed, avoided);
+                return self.send_to_operator(caller, &text);
+            }
+            Call::Members => {
+                let text = admin::members(&self.context.fleet.members.views(now));
+                return self.send_to_operator(caller, &text);
+            }
+            Call::SetDown(id) => self.set_out_of_service(now, id, true),
+            Call::SetUp(id) => self.set_out_of_service(now, id, false),
+            call @ (Call::Records | Call::Change(_)) => {
+                let mut services = self.services.iter_mut();
+                if services.any(|service| service.operate(now, caller, &call, &mut self.context)) {
+                    return;
+                }
+                Err("there is no part [agreement] in the operator file".into())
+            }
+        };
+        if let Some(operators) = &mut self.operators {
+            operators.answer(caller, answer, &mut self.context.net);
+        }
+    }
+
+    /// Sends an answer of several lines.
+    pub(super) fn send_to_operator(&mut self, caller: Token, text: &str) {
+        if let Some(operators) = &mut self.operators {
+            operators.say(caller, text, &mut self.context.net);
+        }
+    }
+
+    /// Whether this process can serve, and if not, why.
+    pub(super) fn check_serving(&self) -> admin::Answer {
+        if self.lifecycle.is_shutting_down() {
+            Err("ending".into())
+        } else if self.context.core.has_workers() {
+            Ok("serving".into())
+        } else {
+            Err("no worker is known".into())
+        }
+    }
+
+    /// An operator takes a worker out of service or puts it back.
+    fn set_out_of_service(&mut self, now: Micros, id: String, is_out: bool) -> admin::Answer {
+        if !self.context.fleet.members.is_known(&id) {
+            return Err("unknown render worker".into());
+        }
+        let answer = describe_service_state(&id, is_out);
+        self.apply_out_of_service(now, &id, is_out);
+        let message = if is_out {
+            Message::WorkerOut(id)
+        } else {
+            Message::WorkerBack(id)
+        };
+        self.handover.send_to_all(&message, &mut self.context.net);
+        Ok(answer)
+    }
+
+    /// Whichever process was called, both act on it.
+    pub(super) fn apply_out_of_service(&mut self, now: Micros, id: &str, is_out: bool) {
+        log::info!("operators: {}", describe_service_state(id, is_out));
+        let Context { core, fleet, .. } = &mut self.context;
+        fleet.set_out(now, id, is_out, core);
+    }
+}
+
+fn describe_service_state(id: &str, is_out: bool) -> String {
+    let state = if is_out { "out" } else { "may serve" };
+    format!("{id} {state}")
+}
