--- a/crates/node/src/admin/figures.rs
+++ b/crates/node/src/admin/figures.rs
@@ -2,6 +2,7 @@
 //! where they end and calls where they are written.
 
 use crate::core::Core;
+use crate::fleet::FleetCounts;
 use marbledeck_dispatcher::WorkerState;
 use marbledeck_membership::WorkerView;
 use std::fmt::Write;
@@ -33,8 +34,8 @@
     text
 }
 
-/// The figures, and the line that ends them. `listed` workers are in the list, `avoided` of them get nothing now.
-pub fn text(core: &Core, listed: usize, avoided: usize) -> String {
+/// The figures, and the line that ends them.
+pub fn text(core: &Core, fleet: FleetCounts) -> String {
     let mut text = String::new();
     let counts = core.counts();
     for (name, class) in core.catalogue().names().zip(&counts.classes) {
@@ -50,8 +51,8 @@
     }
     let now = [
         ("active", core.unanswered()),
-        ("pool_size", listed),
-        ("pool_ejected", avoided),
+        ("pool_size", fleet.listed),
+        ("pool_ejected", fleet.avoided),
     ];
     for (what, number) in now {
         let _ = writeln!(text, "node_{what} {number}");
--- a/crates/node/src/config/node.rs
+++ b/crates/node/src/config/node.rs
@@ -3,7 +3,7 @@
 use crate::config_error::{ConfigError, ConfigProblem};
 use crate::config_file::{parse_address, parse_json};
 use crate::core::Catalogue;
-use crate::discovery::Listing;
+use crate::discovery::EndpointList;
 use crate::gossip::config::PeersConfig;
 use marbledeck_dispatcher::{LoadReporting, Micros, Settings};
 use marbledeck_platform_settings::{PlatformSettings, ReportFields};
@@ -44,7 +44,7 @@
     #[serde(default)]
     limits: LimitsSection,
     #[serde(default, rename = "known")]
-    cached_list: Option<Listing>,
+    cached_list: Option<EndpointList>,
     #[serde(default)]
     peer_listen: Option<String>,
     #[serde(default)]
@@ -98,7 +98,7 @@
     /// The seed of all random draws.
     pub seed: u64,
     /// The endpoint list that the node had last.
-    pub cached_list: Option<Listing>,
+    pub cached_list: Option<EndpointList>,
     /// The other nodes; none where the platform does not let them send to each other.
     pub peers: Option<PeersConfig>,
     /// The platform's settings as they are written.
--- a/crates/node/src/consensus/apply.rs
+++ b/crates/node/src/consensus/apply.rs
@@ -1,6 +1,6 @@
 //! What the records mean to this node: rates, workers out of service, seats.
 
-use crate::service::Context;
+use crate::context::Context;
 use marbledeck_consensus::{Acting, Body, Record};
 use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::Reading;
@@ -55,11 +55,11 @@
 
     /// Brings the node in line with what it may act on now.
     pub fn renew(&mut self, now: Micros, context: &mut Context) {
-        let Some(reader) = &context.agreed.reader else {
+        let Some(reader) = &context.records.reader else {
             return;
         };
         let (held, due) = (reader.holds(now), self.next.is_some_and(|at| now >= at));
-        if context.agreed.readings == self.readings && held == self.held && !due {
+        if context.records.readings == self.readings && held == self.held && !due {
             return;
         }
         if self.held && !held {
@@ -67,8 +67,8 @@
         } else if held && !self.held {
             log::info!("agreement: revision {} confirmed", reader.revision());
         }
-        let fresh = context.agreed.readings != self.readings;
-        (self.readings, self.held) = (context.agreed.readings, held);
+        let fresh = context.records.readings != self.readings;
+        (self.readings, self.held) = (context.records.readings, held);
         let until = Some(reader.until()).filter(|until| *until > now);
         self.next = until.into_iter().chain(reader.next_change(now)).min();
 
@@ -109,11 +109,11 @@
             })
             .collect();
         if let Some(licensing) = context.core.licensing.as_mut().filter(|_| fresh || due) {
-            let (until, parts) = (reader.until(), context.agreed.answer.held());
+            let (until, parts) = (reader.until(), context.records.answer.held());
             licensing.desk.read(&Reading {
-                free: context.agreed.answer.free.clone(),
+                free: context.records.answer.free.clone(),
                 until,
-                done: context.agreed.answer.moved,
+                done: context.records.answer.moved,
                 parts,
                 pools,
             });
@@ -154,6 +154,6 @@
             told.append(members.remove_worker(now, source, id, true));
         }
         self.out = out;
-        context.fleet.changed(now, told, &mut context.core);
+        context.fleet.apply_change(now, told, &mut context.core);
     }
 }
--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -7,8 +7,9 @@
 
 use crate::admin;
 use crate::clock::millis;
+use crate::context::Context;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::service::{Context, Service};
+use crate::service::Service;
 use config::ConsensusConfig;
 use marbledeck_consensus::wire::{self, Answer, Frame, Said, MOST_COMMANDS};
 use marbledeck_consensus::{Change, Command, Outcome, Reader, What};
@@ -440,7 +441,7 @@
         let moves = moves.map(|(number, what)| self.command(number, What::Seats(what)));
         let change = self.changes.front().map(|(_, command)| command.clone());
         let commands: Vec<Command> = moves.into_iter().chain(change).collect();
-        let Some(reader) = &mut context.agreed.reader else {
+        let Some(reader) = &mut context.records.reader else {
             return;
         };
         let (question, known) = reader.ask(now);
@@ -484,7 +485,7 @@
     }
 
     fn answered(&mut self, now: Micros, answer: Answer, context: &mut Context) {
-        let Some(reader) = &mut context.agreed.reader else {
+        let Some(reader) = &mut context.records.reader else {
             return;
         };
         if !reader.answered(now, &answer) {
@@ -511,8 +512,8 @@
                 self.next_ask = now;
             }
         }
-        context.agreed.readings += 1;
-        context.agreed.answer = answer;
+        context.records.readings += 1;
+        context.records.answer = answer;
     }
 
     /// Lets the voter work, and sends what it wants sent.
@@ -552,7 +553,7 @@
     /// What an operator is shown.
     fn records(&self, now: Micros, context: &Context) -> String {
         let mut text = String::new();
-        let Some(reader) = &context.agreed.reader else {
+        let Some(reader) = &context.records.reader else {
             return text;
         };
         for name in reader.names() {
@@ -621,7 +622,7 @@
         "agreement"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
+    fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         self.now = now;
         if event.listener {
             return self.accept(now, &mut context.net);
@@ -679,7 +680,7 @@
         self.ask(now, context);
     }
 
-    fn settled(&mut self, now: Micros, context: &mut Context) {
+    fn finish_turn(&mut self, now: Micros, context: &mut Context) {
         self.now = now;
         // What is answered may free the next question, and that one ask the voter again.
         for _ in 0..2 {
@@ -689,7 +690,7 @@
         self.applied.renew(now, context);
     }
 
-    fn operate(
+    fn handle_operator_call(
         &mut self,
         now: Micros,
         caller: Token,
@@ -707,7 +708,7 @@
         true
     }
 
-    fn reply(&mut self) -> Option<(Token, String)> {
+    fn next_operator_reply(&mut self) -> Option<(Token, String)> {
         self.replies.pop_front()
     }
 }
--- /dev/null
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -0,0 +1,123 @@
+//! The endpoint list as discovery writes it, and the reports that it stands for.
+
+use crate::clock::Clock;
+use marbledeck_dispatcher::CellId;
+use marbledeck_membership::{Membership, SourceReport, Status};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// The phase of a worker that has left the list.
+const REMOVED: &str = "removed";
+/// The phase of a worker that takes requests.
+const UP: &str = "up";
+/// The phase of a worker that finishes what it has.
+const DRAINING: &str = "draining";
+/// So many endpoints of a source surely fit into what is passed on to a successor.
+const MAX_ENDPOINTS_PER_SOURCE: usize = 4000;
+/// The names of the sources that a successor has by itself, or is passed in another way.
+const OWN_SOURCES: [&str; 2] = ["directory", "static"];
+
+/// A list, or the part of one that has changed.
+#[derive(Clone, Debug, Default, Deserialize, Serialize)]
+#[serde(rename = "Listing")]
+pub struct EndpointList {
+    /// Which state of the list this is; later ones are greater.
+    pub revision: u64,
+    /// Whether this is the complete list.
+    #[serde(default)]
+    pub complete: bool,
+    /// The workers.
+    #[serde(default, rename = "members")]
+    pub endpoints: Vec<EndpointEntry>,
+}
+
+/// A worker, as a list has it.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+#[serde(rename = "Member")]
+pub struct EndpointEntry {
+    /// Its id.
+    pub id: String,
+    /// Its IP address and port.
+    #[serde(rename = "host_port")]
+    pub address: String,
+    /// The name of its zone.
+    #[serde(default, rename = "locality")]
+    pub zone: String,
+    /// The name of its kind.
+    #[serde(default, rename = "flavor")]
+    pub kind: String,
+    /// Its cell.
+    #[serde(default)]
+    pub cell: Option<u32>,
+    /// Whether it takes requests.
+    #[serde(default)]
+    pub phase: String,
+    /// When it started, in Unix milliseconds; 0 for long ago.
+    #[serde(default)]
+    pub up_since_ms: u64,
+}
+
+impl EndpointEntry {
+    /// What the entry reports, and whether it reports that the worker is gone.
+    pub fn into_report(self) -> (SourceReport, bool) {
+        let is_removed = self.phase == REMOVED;
+        let address = self.address.parse().ok();
+        if address.is_none() && !is_removed {
+            log::warn!("directory: '{}' is no address", self.address);
+        }
+        let report = SourceReport {
+            id: self.id,
+            address,
+            // An unknown phase is no invitation to send there.
+            status: match self.phase.as_str() {
+                UP => Status::Up,
+                DRAINING => Status::Draining,
+                _ => Status::Unknown,
+            },
+            zone: self.zone,
+            kind: self.kind,
+            cell: self.cell.map(CellId),
+            started_at: Clock::from_unix_ms(self.up_since_ms),
+            version: 0,
+        };
+        (report, is_removed)
+    }
+}
+
+impl From<&SourceReport> for EndpointEntry {
+    fn from(report: &SourceReport) -> Self {
+        let address = report.address.map(|address| address.to_string());
+        let phase = match report.status {
+            Status::Up => UP,
+            _ => DRAINING,
+        };
+        EndpointEntry {
+            id: report.id.clone(),
+            address: address.unwrap_or_default(),
+            zone: report.zone.clone(),
+            kind: report.kind.clone(),
+            cell: report.cell.map(|cell| cell.0),
+            phase: phase.to_owned(),
+            up_since_ms: report.started_at.map_or(0, |started| started.0 / 1000),
+        }
+    }
+}
+
+/// What these entries report.
+pub fn into_reports(entries: Vec<EndpointEntry>) -> Vec<SourceReport> {
+    let reports = entries.into_iter().map(EndpointEntry::into_report);
+    reports.map(|(report, _)| report).collect()
+}
+
+/// The reports of all sources besides discovery and the operator file, by the sources' names: for a successor.
+pub fn entries_of_other_sources(members: &Membership) -> BTreeMap<String, Vec<EndpointEntry>> {
+    let mut entries = BTreeMap::new();
+    for (source, name) in members.source_names() {
+        if OWN_SOURCES.contains(&name) {
+            continue;
+        }
+        let reports = members.reports(source).take(MAX_ENDPOINTS_PER_SOURCE);
+        entries.insert(name.to_owned(), reports.map(EndpointEntry::from).collect());
+    }
+    entries
+}
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,196 +1,132 @@
-//! The directory: watches the list of workers, one call after the other, and turns it into the module's entries.
+//! The client of discovery: watches the endpoint list, one call after the other, and passes its changes on to the fleet.
 
-mod clocks;
+mod endpoint_list;
+mod staleness;
 
-pub use clocks::{Ask, Clocks, Fault};
+pub use endpoint_list::{entries_of_other_sources, into_reports, EndpointEntry, EndpointList};
+pub use staleness::{Fault, PlannedCall, Query, StalenessTracker};
 
-use crate::clock::Clock;
 use crate::core::Core;
 use crate::fleet::Fleet;
 use crate::net::http::{self, Body};
 use crate::net::{Net, Peer, Token};
-use marbledeck_dispatcher::{CellId, Micros, WorkerListKind};
-use marbledeck_membership::{Membership, MembershipChange, SourceId, SourceReport, Status};
+use marbledeck_dispatcher::{Micros, WorkerListKind};
+use marbledeck_membership::{Membership, MembershipChange, SourceId};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::io;
 use std::net::SocketAddr;
 
-/// A list, or part of one, as the directory writes it.
-#[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Listing {
-    pub revision: u64,
-    #[serde(default)]
-    pub complete: bool,
-    #[serde(default)]
-    pub members: Vec<Member>,
-}
-
-/// A worker as the directory writes it.
-#[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Member {
-    pub id: String,
-    pub host_port: String,
-    #[serde(default)]
-    pub locality: String,
-    #[serde(default)]
-    pub flavor: String,
-    #[serde(default)]
-    pub cell: Option<u32>,
-    #[serde(default)]
-    pub phase: String,
-    #[serde(default)]
-    pub up_since_ms: u64,
-}
+const HTTP_OK: u16 = 200;
 
-/// The words that members stand for.
-pub fn words(members: Vec<Member>) -> Vec<SourceReport> {
-    members.into_iter().map(|member| member.word().0).collect()
+/// What a successor can start from.
+#[derive(Debug, Default, Serialize, Deserialize)]
+pub struct DiscoveryState {
+    /// The ids of the workers that are out of service by hand.
+    #[serde(rename = "out")]
+    pub out_of_service: BTreeSet<String>,
+    /// The endpoint list as discovery sent it last.
+    pub list: EndpointList,
+    /// In so many microseconds a change that was missed may count as notified; none where nothing is in doubt.
+    #[serde(default, rename = "told_in_us")]
+    pub notified_in_us: Option<u64>,
 }
 
-/// The words of all other sources, for another process of this node: as many as are surely handed on.
-pub fn others(members: &Membership) -> BTreeMap<String, Vec<Member>> {
-    const MOST: usize = 4000;
-    let sources = members.source_names();
-    let told = sources
-        .into_iter()
-        .filter(|(_, name)| *name != "directory" && *name != "static");
-    told.map(|(source, name)| {
-        (
-            name.to_owned(),
-            members.reports(source).take(MOST).map(Member::of).collect(),
-        )
-    })
-    .collect()
+/// A call that is not answered yet.
+struct Call {
+    token: Token,
+    sent_at: Micros,
+    /// The answer's head, and what is still to come of its body.
+    head: Option<(http::ResponseHead, Body)>,
+    content: Vec<u8>,
 }
 
-/// What another process of this node can start from.
-#[derive(Debug, Default, Serialize, Deserialize)]
-pub struct Bequest {
-    /// The workers taken out by hand.
-    pub out: BTreeSet<String>,
-    /// The directory's list as last told.
-    pub list: Listing,
-    /// In so many microseconds something that was not heard may count as told; none where nothing is in doubt.
-    #[serde(default)]
-    pub told_in_us: Option<u64>,
+/// A call that has failed.
+struct CallError {
+    fault: Fault,
+    message: String,
 }
 
-/// The phase of a worker that has left the list.
-const GONE: &str = "removed";
-
-/// The phases, as the directory writes them.
-const UP: &str = "up";
-const DRAINING: &str = "draining";
-
-impl Member {
-    /// What it says, and whether it says that the worker is gone.
-    fn word(self) -> (SourceReport, bool) {
-        let addr = self.host_port.parse().ok();
-        if addr.is_none() && self.phase != GONE {
-            log::warn!("directory: '{}' is no address", self.host_port);
-        }
-        let word = SourceReport {
-            id: self.id,
-            address: addr,
-            // An unknown phase is no invitation to send there.
-            status: match self.phase.as_str() {
-                UP => Status::Up,
-                DRAINING => Status::Draining,
-                _ => Status::Unknown,
-            },
-            zone: self.locality,
-            kind: self.flavor,
-            cell: self.cell.map(CellId),
-            started_at: Clock::from_unix_ms(self.up_since_ms),
-            version: 0,
-        };
-        (word, self.phase == GONE)
-    }
-
-    /// A word as the directory writes it.
-    fn of(word: &SourceReport) -> Self {
-        Member {
-            id: word.id.clone(),
-            host_port: word.address.map_or(String::new(), |addr| addr.to_string()),
-            locality: word.zone.clone(),
-            flavor: word.kind.clone(),
-            cell: word.cell.map(|cell| cell.0),
-            phase: match word.status {
-                Status::Up => UP.to_owned(),
-                _ => DRAINING.to_owned(),
-            },
-            up_since_ms: word.started_at.map_or(0, |at| at.0 / 1000),
+impl CallError {
+    fn broken(error: impl std::fmt::Display) -> Self {
+        CallError {
+            fault: Fault::Broken,
+            message: error.to_string(),
         }
     }
 }
 
-struct Call {
-    token: Token,
-    asked: Micros,
-    head: Option<(http::ResponseHead, Body)>,
-    content: Vec<u8>,
-}
-
-pub struct Directory {
-    addr: SocketAddr,
+/// The client of discovery.
+pub struct Discovery {
+    address: SocketAddr,
     source: SourceId,
+    /// The revision of the list that this node has.
     revision: u64,
     call: Option<Call>,
-    clocks: Clocks,
-    /// When it is asked again.
-    again: Option<Micros>,
-    /// The list is too old by the rule's clock: its workers count as draining.
-    distrusted: bool,
+    staleness: StalenessTracker,
+    /// When the next call is due, while there is none.
+    next_call: Option<Micros>,
+    /// The list is too old: its workers count as draining.
+    is_distrusted: bool,
     /// An open connection between two calls.
     idle: Option<Token>,
 }
 
-impl Directory {
-    /// Watches this directory, which is this source of the fleet.
-    pub fn new(addr: SocketAddr, source: SourceId, clocks: Clocks) -> Self {
-        Directory {
-            addr,
+impl Discovery {
+    /// Watches discovery at this address, which is this source of the fleet.
+    pub fn new(address: SocketAddr, source: SourceId, staleness: StalenessTracker) -> Self {
+        Discovery {
+            address,
             source,
             revision: 0,
             call: None,
-            clocks,
+            staleness,
             // At once, whatever the settings call the way of the lists.
-            again: Some(Micros(0)),
-            distrusted: false,
+            next_call: Some(Micros(0)),
+            is_distrusted: false,
             idle: None,
         }
     }
 
-    /// What another process of this node can start from: the list as last told, and who is out by hand.
-    pub fn bequest(&self, now: Micros, members: &Membership) -> Bequest {
-        // A directory that is only being moved to counts its revisions in its own way.
-        let moving = self.clocks.is_moving();
-        let revision = if moving { 0 } else { self.revision };
-        let list = Listing {
-            revision,
-            complete: true,
-            members: members.reports(self.source).map(Member::of).collect(),
+    /// What a successor can start from: the list as it came last, and who is out of service by hand.
+    pub fn state(&self, now: Micros, members: &Membership) -> DiscoveryState {
+        // A discovery service that is only being moved to counts its revisions in its own way.
+        let revision = if self.staleness.is_moving() {
+            0
+        } else {
+            self.revision
         };
-        Bequest {
-            out: members.out_of_service().clone(),
-            list,
-            told_in_us: self.clocks.bequest().map(|told| (told - now).0),
+        let endpoints = members.reports(self.source).map(EndpointEntry::from);
+        let notified_at = self.staleness.doubt_for_successor();
+        DiscoveryState {
+            out_of_service: members.out_of_service().clone(),
+            list: EndpointList {
+                revision,
+                complete: true,
+                endpoints: endpoints.collect(),
+            },
+            notified_in_us: notified_at.map(|notified_at| (notified_at - now).0),
         }
     }
 
     /// Takes over the doubt of the process that this one replaces.
-    pub fn inherit(&mut self, now: Micros, told_in_us: Option<u64>) {
-        if let Some(told) = told_in_us {
-            self.clocks.inherit(now + Micros(told));
+    pub fn inherit_doubt(&mut self, now: Micros, notified_in_us: Option<u64>) {
+        if let Some(notified_in) = notified_in_us {
+            self.staleness.inherit_doubt(now + Micros(notified_in));
         }
     }
 
-    /// Starts from the list that this node last had; it may be old.
-    pub fn known(&mut self, now: Micros, listing: Listing, fleet: &mut Fleet, core: &mut Core) {
-        self.revision = listing.revision;
-        let told = self.learn(now, true, listing.members, fleet);
-        fleet.pass_on(now, WorkerListKind::Cached, told, core);
+    /// Starts from the list that this node had last; it may be old.
+    pub fn load_cached_list(
+        &mut self,
+        now: Micros,
+        list: EndpointList,
+        fleet: &mut Fleet,
+        core: &mut Core,
+    ) {
+        self.revision = list.revision;
+        let change = self.update_membership(now, true, list.endpoints, fleet);
+        fleet.apply_list(now, WorkerListKind::Cached, change, core);
     }
 
     /// The connection on which an answer may come.
@@ -198,50 +134,47 @@
         self.call.as_ref().map(|call| call.token)
     }
 
-    /// When [`Directory::wake`] is next wanted.
+    /// When [`Discovery::wake`] is next wanted.
     pub fn next_wake(&self) -> Option<Micros> {
-        let trusted = self.clocks.trusted_until().filter(|_| !self.distrusted);
-        let call = self.clocks.until().or(self.again);
-        call.into_iter().chain(trusted).min()
+        let trusted_until = self.staleness.trusted_until();
+        let trusted_until = trusted_until.filter(|_| !self.is_distrusted);
+        let call = self.staleness.call_deadline().or(self.next_call);
+        call.into_iter().chain(trusted_until).min()
     }
 
+    /// Stops trusting a list that is too old, gives up a silent call, and makes the next call when it is due.
     pub fn wake(&mut self, now: Micros, fleet: &mut Fleet, net: &mut Net, core: &mut Core) {
-        let due = |at: Option<Micros>| at.is_some_and(|at| at <= now);
-        if due(self.clocks.trusted_until()) && !self.distrusted {
-            self.distrusted = true;
+        let is_due = |due: Option<Micros>| due.is_some_and(|due| due <= now);
+        if is_due(self.staleness.trusted_until()) && !self.is_distrusted {
+            self.is_distrusted = true;
             log::warn!(
                 "directory: the list is too old to send by; nothing new goes to its workers"
             );
-            let told = fleet.members.set_trusted(self.source, false);
-            fleet.changed(now, told, core);
+            let change = fleet.members.set_trusted(self.source, false);
+            fleet.apply_change(now, change, core);
         }
         match self.call {
-            Some(_) if due(self.clocks.until()) => {
-                self.fail(now, Fault::Silent, "no answer in time", net);
+            Some(_) if is_due(self.staleness.call_deadline()) => {
+                self.handle_failure(now, Fault::Silent, "no answer in time", net);
             }
-            None if due(self.again) => self.watch(now, net),
+            None if is_due(self.next_call) => self.watch(now, net),
             _ => {}
         }
     }
 
-    /// Goes over to another directory at once: the old one may be about to end. The list stays until the new
-    /// one has told its own, whole, since its revisions may be others.
-    pub fn move_to(&mut self, now: Micros, addr: SocketAddr, net: &mut Net) {
-        if addr == self.addr {
+    /// Moves to another discovery service at once: the old one may be about to end. The list stays until the new one has
+    /// sent its own, complete, since its revisions may be others.
+    pub fn move_to(&mut self, now: Micros, address: SocketAddr, net: &mut Net) {
+        if address == self.address {
             return;
         }
-        log::info!("directory: now at {addr}");
-        for token in self
-            .call
-            .take()
-            .map(|call| call.token)
-            .into_iter()
-            .chain(self.idle.take())
-        {
+        log::info!("directory: now at {address}");
+        let call = self.call.take().map(|call| call.token);
+        for token in call.into_iter().chain(self.idle.take()) {
             net.close(token);
         }
-        self.addr = addr;
-        self.clocks.moved(now);
+        self.address = address;
+        self.staleness.handle_move(now);
         self.watch(now, net);
     }
 
@@ -250,43 +183,51 @@
         if self.call.is_some() {
             return;
         }
-        self.again = None;
+        self.next_call = None;
         let idle = self.idle.take().filter(|token| net.is_quiet(*token));
-        let call = self.clocks.ask(now);
-        let token = match idle.map_or_else(|| net.connect(self.addr, Peer::Directory), Ok) {
+        let call = self.staleness.next_call(now);
+        let connection = match idle {
+            Some(token) => Ok(token),
+            None => net.connect(self.address, Peer::Directory),
+        };
+        let token = match connection {
             Ok(token) => token,
             Err(e) => {
                 let fault = match e.kind() {
                     io::ErrorKind::ConnectionRefused => Fault::Unreachable,
-                    // No descriptor, say: the directory may well be there.
+                    // No descriptor, say: discovery may well be there.
                     _ => Fault::Refused,
                 };
-                return self.fail(now, fault, &e.to_string(), net);
+                return self.handle_failure(now, fault, &e.to_string(), net);
             }
         };
-        let query = match call.ask {
-            Ask::Whole => String::new(),
-            Ask::Changes { wait } => {
-                format!("?after={}&wait_ms={}", self.revision, wait.0 / 1000)
-            }
-        };
-        let request = format!(
-            "GET /v1/endpoints{query} HTTP/1.1\r\nHost: {}\r\n\r\n",
-            self.addr
-        );
+        let request = self.request(call.query);
         self.call = Some(Call {
             token,
-            asked: now,
+            sent_at: now,
             head: None,
             content: Vec::new(),
         });
         if !net.write(token, request.as_bytes()) {
-            self.fail(now, Fault::Refused, "the request does not fit", net);
+            self.handle_failure(now, Fault::Refused, "the request does not fit", net);
         }
     }
 
-    /// Something has come from the directory.
-    pub fn ready(
+    fn request(&self, query: Query) -> String {
+        let parameters = match query {
+            Query::CompleteList => String::new(),
+            Query::Changes { wait } => {
+                format!("?after={}&wait_ms={}", self.revision, wait.0 / 1000)
+            }
+        };
+        format!(
+            "GET /v1/endpoints{parameters} HTTP/1.1\r\nHost: {}\r\n\r\n",
+            self.address
+        )
+    }
+
+    /// Something has come from discovery.
+    pub fn handle_event(
         &mut self,
         now: Micros,
         token: Token,
@@ -294,104 +235,111 @@
         net: &mut Net,
         core: &mut Core,
     ) {
-        if self.call.as_ref().is_none_or(|call| call.token != token) {
+        if self.awaited() != Some(token) {
             self.idle = self.idle.filter(|idle| *idle != token);
             return net.close(token);
         }
         match self.read(token, net) {
             Ok(None) => {}
-            Ok(Some(listing)) => {
-                self.told(now, listing, fleet, core);
+            Ok(Some(list)) => {
+                self.apply_list(now, list, fleet, core);
                 // A watch goes on only where the next call comes soon after the answer: now.
                 self.watch(now, net);
             }
-            Err((fault, what)) => self.fail(now, fault, &what, net),
+            Err(error) => self.handle_failure(now, error.fault, &error.message, net),
         }
     }
 
-    /// The listing, once it has wholly come.
-    fn read(&mut self, token: Token, net: &mut Net) -> Result<Option<Listing>, (Fault, String)> {
-        let broken = |what: &dyn std::fmt::Display| (Fault::Broken, what.to_string());
+    /// The list, once it has come completely.
+    fn read(&mut self, token: Token, net: &mut Net) -> Result<Option<EndpointList>, CallError> {
         let (Some(call), Some(conn)) = (&mut self.call, net.get(token)) else {
             return Ok(None);
         };
         if call.head.is_none() {
-            let head = http::response_head(conn.input.all()).map_err(|e| broken(&e))?;
-            if let Some((head, used)) = head {
-                conn.input.consume(used);
-                if head.status != 200 {
-                    return Err((Fault::Refused, format!("status {}", head.status)));
+            let head = http::response_head(conn.input.all()).map_err(CallError::broken)?;
+            if let Some((head, length)) = head {
+                conn.input.consume(length);
+                if head.status != HTTP_OK {
+                    return Err(CallError {
+                        fault: Fault::Refused,
+                        message: format!("status {}", head.status),
+                    });
                 }
-                let body = Body::of_response(&head).map_err(|e| broken(&e))?;
+                let body = Body::of_response(&head).map_err(CallError::broken)?;
                 call.head = Some((head, body));
             }
         }
         if let Some((head, body)) = &mut call.head {
-            let bytes = conn.input.all();
-            let used = body.take(bytes, &mut call.content);
-            conn.input.consume(used.map_err(|e| broken(&e))?);
-            let over = conn.eof && body.ends_with_connection();
-            if body.is_done() || over {
-                let reusable = head.keep_alive && conn.is_open() && conn.input.is_empty();
-                let listing = serde_json::from_slice(&call.content).map_err(|e| broken(&e))?;
-                if reusable {
+            let taken = body.take(conn.input.all(), &mut call.content);
+            conn.input.consume(taken.map_err(CallError::broken)?);
+            if body.is_done() || conn.eof && body.ends_with_connection() {
+                let is_reusable = head.keep_alive && conn.is_open() && conn.input.is_empty();
+                let list = serde_json::from_slice(&call.content).map_err(CallError::broken)?;
+                if is_reusable {
                     self.idle = Some(token);
                 } else {
                     net.close(token);
                 }
-                return Ok(Some(listing));
+                return Ok(Some(list));
             }
         }
-        match (conn.eof || conn.broken, conn.is_connecting()) {
-            (true, true) => Err((Fault::Unreachable, "no connection".to_owned())),
-            (true, false) => Err(broken(&"the connection broke")),
-            (false, _) => Ok(None),
+        if !conn.eof && !conn.broken {
+            Ok(None)
+        } else if conn.is_connecting() {
+            Err(CallError {
+                fault: Fault::Unreachable,
+                message: "no connection".to_owned(),
+            })
+        } else {
+            Err(CallError::broken("the connection broke"))
         }
     }
 
-    fn told(&mut self, now: Micros, listing: Listing, fleet: &mut Fleet, core: &mut Core) {
-        let asked = self.call.take().map_or(now, |call| call.asked);
-        let (members, revision) = (listing.members.len(), listing.revision);
+    fn apply_list(&mut self, now: Micros, list: EndpointList, fleet: &mut Fleet, core: &mut Core) {
+        let sent_at = self.call.take().map_or(now, |call| call.sent_at);
+        let (endpoints, revision) = (list.endpoints.len(), list.revision);
         log::debug!(
-            "directory: revision {revision}, {members} lines, after {} us",
-            (now - asked).0
+            "directory: revision {revision}, {endpoints} lines, after {} us",
+            (now - sent_at).0
         );
         self.revision = revision;
-        self.clocks.answered();
-        let kind = match listing.complete {
-            true => WorkerListKind::Full,
-            false => WorkerListKind::Delta,
+        self.staleness.handle_answer();
+        let kind = if list.complete {
+            WorkerListKind::Full
+        } else {
+            WorkerListKind::Delta
         };
-        let mut told = self.learn(now, listing.complete, listing.members, fleet);
+        let mut change = self.update_membership(now, list.complete, list.endpoints, fleet);
         // After what is new: only those that are still named are trusted again.
-        if std::mem::take(&mut self.distrusted) {
+        if std::mem::take(&mut self.is_distrusted) {
             log::info!("directory: the list is trusted again");
-            told.append(fleet.members.set_trusted(self.source, true));
+            change.append(fleet.members.set_trusted(self.source, true));
         }
-        fleet.pass_on(now, kind, told, core);
+        fleet.apply_list(now, kind, change, core);
     }
 
-    /// The call has failed: the list stays, and is asked for again soon, since the rule's clock may be running.
-    fn fail(&mut self, now: Micros, fault: Fault, what: &str, net: &mut Net) {
+    /// The call has failed: the list stays, and is asked for again soon, since the rule's delay may be running.
+    fn handle_failure(&mut self, now: Micros, fault: Fault, message: &str, net: &mut Net) {
         if let Some(call) = self.call.take() {
             net.close(call.token);
         }
-        let at = self.clocks.failed(now, fault);
-        let ms = (at - now).0 / 1000;
-        log::warn!("directory: {what}; asked again in {ms} ms");
-        self.again = Some(at);
+        let next_call = self.staleness.handle_failure(now, fault);
+        let pause_ms = (next_call - now).0 / 1000;
+        log::warn!("directory: {message}; asked again in {pause_ms} ms");
+        self.next_call = Some(next_call);
     }
 
-    fn learn(
+    fn update_membership(
         &self,
         now: Micros,
-        complete: bool,
-        members: Vec<Member>,
+        is_complete: bool,
+        endpoints: Vec<EndpointEntry>,
         fleet: &mut Fleet,
     ) -> MembershipChange {
-        let words = members.into_iter().map(Member::word).collect();
+        let reports = endpoints.into_iter().map(EndpointEntry::into_report);
+        let reports = reports.collect();
         fleet
             .members
-            .apply_discovery_list(now, self.source, complete, words)
+            .apply_discovery_list(now, self.source, is_complete, reports)
     }
 }
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -3,10 +3,11 @@
 
 pub(crate) mod config;
 
+use crate::context::Context;
 use crate::fleet::Fleet;
 use crate::net::http::{self, Body, ResponseHead};
 use crate::net::{Net, Peer, Ready, Token};
-use crate::service::{Context, Service};
+use crate::service::Service;
 use config::EurekaConfig;
 use marbledeck_dispatcher::Micros;
 use marbledeck_eureka::{Change, Encoding, Form, Lease, LeaseAsk, LeaseSettings, Poll, Settings};
@@ -305,7 +306,7 @@
         "eureka"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
+    fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         let ours = self
             .call
             .as_ref()
@@ -338,7 +339,7 @@
         }
         self.backlog.extend(self.poll.take_changes());
         let told = self.tell(now, &mut context.fleet);
-        context.fleet.changed(now, told, &mut context.core);
+        context.fleet.apply_change(now, told, &mut context.core);
     }
 
     /// Another process renews the node's entry from now on: without a gap, and without a cancel.
@@ -351,7 +352,7 @@
         }
     }
 
-    fn end(&mut self, now: Micros) {
+    fn begin_shutdown(&mut self, now: Micros) {
         if let Some(own) = &mut self.own {
             own.lease.leave(now);
         }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,104 +1,123 @@
-//! The fleet as the node has it: the membership, what the links to the workers are to forget, and the way of changes to
-//! the core.
+//! The fleet of workers: the membership, the connections that its changes make useless, and how changes reach the core.
 
 use crate::core::Core;
-use crate::net::Net;
-use crate::workers::Workers;
 use marbledeck_dispatcher::{Micros, WorkerEntry, WorkerId, WorkerListKind, WorkerState};
-use marbledeck_membership::{Endpoint, Membership, MembershipChange};
+use marbledeck_membership::{Endpoint, HealthEvidence, Membership, MembershipChange};
 use std::net::SocketAddr;
 
-/// What a call was decided by: the worker's entry, and its address.
+/// The endpoint that an attempt was decided for, as it was then.
 #[derive(Clone, Debug)]
-pub struct Aim {
+pub struct AttemptTarget {
+    /// What the dispatcher knew of the worker.
     pub entry: WorkerEntry,
-    pub addr: SocketAddr,
+    /// The worker's address.
+    pub address: SocketAddr,
 }
 
+/// How many workers there are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FleetCounts {
+    /// Workers that a source names.
+    pub listed: usize,
+    /// Those of them that get nothing now.
+    pub avoided: usize,
+}
+
+/// The workers, as this node knows them.
 pub struct Fleet {
+    /// Which workers there are, by all sources.
     pub members: Membership,
-    /// Workers whose connections are of no more use: gone, moved or started anew.
-    pub stale: Vec<WorkerId>,
+    /// Workers whose connections are of no more use: they are gone, were moved or have restarted.
+    pub stale_workers: Vec<WorkerId>,
 }
 
 impl Fleet {
+    /// The fleet of this membership, with no connection yet.
     pub fn new(members: Membership) -> Self {
         Fleet {
             members,
-            stale: Vec::new(),
+            stale_workers: Vec::new(),
         }
     }
 
-    /// Tells the core what has changed.
-    pub fn pass_on(
+    /// Tells the core what a list of discovery has changed.
+    pub fn apply_list(
         &mut self,
         now: Micros,
         kind: WorkerListKind,
-        told: MembershipChange,
+        change: MembershipChange,
         core: &mut Core,
     ) {
-        self.stale.extend(told.stale_workers);
-        core.listed(now, kind, told.entries);
+        self.stale_workers.extend(change.stale_workers);
+        core.listed(now, kind, change.entries);
     }
 
-    /// The same, for changes that no list of the platform's brought.
-    pub fn changed(&mut self, now: Micros, told: MembershipChange, core: &mut Core) {
-        self.stale.extend(told.stale_workers.iter().copied());
-        if !told.entries.is_empty() {
-            core.listed(now, WorkerListKind::Delta, told.entries);
+    /// Tells the core of a change that no list of discovery brought.
+    pub fn apply_change(&mut self, now: Micros, change: MembershipChange, core: &mut Core) {
+        self.stale_workers.extend(change.stale_workers);
+        if !change.entries.is_empty() {
+            core.listed(now, WorkerListKind::Delta, change.entries);
         }
     }
 
-    /// Whether a worker is as it was when a call there was decided, and takes new ones.
-    pub fn stands(&self, call: &Aim) -> bool {
-        let entry = self.members.published_entry(call.entry.worker);
-        entry == Some(&call.entry) && call.entry.state == WorkerState::Ready && {
-            let place = self.place(call.entry.worker);
-            place.is_some_and(|place| place.address == call.addr)
-        }
+    /// Whether a worker is as it was when an attempt there was decided, and takes new ones.
+    pub fn is_current(&self, target: &AttemptTarget) -> bool {
+        let worker = target.entry.worker;
+        let is_unchanged = self.members.published_entry(worker) == Some(&target.entry);
+        let endpoint = self.endpoint(worker);
+        is_unchanged
+            && target.entry.state == WorkerState::Ready
+            && endpoint.is_some_and(|endpoint| endpoint.address == target.address)
     }
 
-    /// A worker as it is now, for a call that goes there.
-    pub fn aim(&self, worker: WorkerId) -> Option<(Aim, &Endpoint)> {
-        let (entry, place) = (
-            self.members.published_entry(worker)?.clone(),
-            self.place(worker)?,
-        );
-        let addr = place.address;
-        Some((Aim { entry, addr }, place))
+    /// A worker as it is now, for an attempt there.
+    pub fn target(&self, worker: WorkerId) -> Option<(AttemptTarget, &Endpoint)> {
+        let entry = self.members.published_entry(worker)?.clone();
+        let endpoint = self.endpoint(worker)?;
+        let address = endpoint.address;
+        Some((AttemptTarget { entry, address }, endpoint))
     }
 
-    pub fn place(&self, worker: WorkerId) -> Option<&Endpoint> {
+    /// Where a worker is.
+    pub fn endpoint(&self, worker: WorkerId) -> Option<&Endpoint> {
         self.members.endpoint(worker)
     }
 
-    /// Takes in what the links have seen of workers, looks at the doubtful ones, and has them asked.
-    pub fn wake(&mut self, now: Micros, workers: &mut Workers, net: &mut Net, core: &mut Core) {
-        let mut told = MembershipChange::default();
-        for (worker, sign) in std::mem::take(&mut workers.signs) {
-            told.append(self.members.record_evidence(now, worker, sign));
-        }
-        if self.members.next_wake().is_some_and(|at| at <= now) {
-            told.append(self.members.wake(now));
+    /// Takes in what the connections have shown of workers, and handles suspicions whose time has come. Returns the
+    /// workers that are to be probed.
+    pub fn wake(
+        &mut self,
+        now: Micros,
+        evidence: Vec<(WorkerId, HealthEvidence)>,
+        core: &mut Core,
+    ) -> Vec<WorkerId> {
+        let mut change = MembershipChange::default();
+        for (worker, evidence) in evidence {
+            change.append(self.members.record_evidence(now, worker, evidence));
         }
-        for worker in self.members.take_due_probes() {
-            workers.look(now, worker, self.members.endpoint(worker), net);
+        if self.members.next_wake().is_some_and(|due| due <= now) {
+            change.append(self.members.wake(now));
         }
-        self.changed(now, told, core);
+        let probes = self.members.take_due_probes();
+        self.apply_change(now, change, core);
+        probes
     }
 
-    /// Takes a worker out by hand, or calls it back, whatever any source has told or will tell of it meanwhile.
-    pub fn set_out(&mut self, now: Micros, id: &str, out: bool, core: &mut Core) {
-        let told = self.members.set_out_of_service(id, out);
-        self.changed(now, told, core);
+    /// Takes a worker out of service by hand, or puts it back, whatever any source has reported or will report of it.
+    pub fn set_out_of_service(&mut self, now: Micros, id: &str, is_out: bool, core: &mut Core) {
+        let change = self.members.set_out_of_service(id, is_out);
+        self.apply_change(now, change, core);
     }
 
-    /// How many workers are named, and how many of them are out by hand or as `resting` tells.
-    pub fn count(&self, resting: impl Fn(WorkerId) -> bool) -> (usize, usize) {
+    /// Counts the workers. Those get nothing that are out by hand, or that are ejected, as `is_ejected` tells.
+    pub fn count(&self, is_ejected: impl Fn(WorkerId) -> bool) -> FleetCounts {
         let avoided = self
             .members
             .workers()
-            .filter(|(worker, _, out)| *out || resting(*worker));
-        (self.members.len(), avoided.count())
+            .filter(|(worker, _, is_out)| *is_out || is_ejected(*worker));
+        FleetCounts {
+            listed: self.members.len(),
+            avoided: avoided.count(),
+        }
     }
 }
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -3,8 +3,9 @@
 pub(crate) mod config;
 
 use crate::clock::millis;
+use crate::context::Context;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::service::{Context, Service};
+use crate::service::Service;
 use config::PeersConfig;
 use marbledeck_dispatcher::{Micros, WorkerId};
 use marbledeck_gossip::{message, Asked, Peers, Questions};
@@ -67,7 +68,7 @@
         "peers"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
+    fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         let mut bytes = [0; message::LONGEST + 1];
         for _ in 0..TURN {
             let Some((len, from)) = context.net.receive(event.token, &mut bytes) else {
@@ -103,11 +104,11 @@
         self.peers.wake(now);
     }
 
-    fn settled(&mut self, _now: Micros, context: &mut Context) {
+    fn finish_turn(&mut self, _now: Micros, context: &mut Context) {
         self.flush(&mut context.net);
     }
 
-    fn probes(&mut self, now: Micros, worker: WorkerId, context: &mut Context) {
+    fn handle_probe(&mut self, now: Micros, worker: WorkerId, context: &mut Context) {
         match self.peers.ask(now, worker) {
             Asked::Known(calls) => {
                 context.core.ask_held(worker);
@@ -123,11 +124,11 @@
         }
     }
 
-    fn called(&mut self, now: Micros, worker: WorkerId) {
+    fn handle_attempt_start(&mut self, now: Micros, worker: WorkerId) {
         self.peers.called(now, worker);
     }
 
-    fn came_back(&mut self, now: Micros, worker: WorkerId) {
+    fn handle_attempt_end(&mut self, now: Micros, worker: WorkerId) {
         self.peers.ended(now, worker);
     }
 }
--- a/crates/node/src/node/builder.rs
+++ b/crates/node/src/node/builder.rs
@@ -13,16 +13,19 @@
     ResourceLimits, SubmissionConfig,
 };
 use crate::consensus::Agreement;
+use crate::context::Context;
 use crate::core::licensing::Licensing;
 use crate::core::Core;
-use crate::discovery::{self, Clocks, Directory, Listing};
+use crate::discovery::{self, Discovery, EndpointList, StalenessTracker};
 use crate::eureka::Eureka;
-use crate::federation::{Outbox, Sites};
+use crate::federation::Federation;
 use crate::fleet::Fleet;
 use crate::gossip::Tier;
 use crate::handover::{Handover, Message};
 use crate::net::{Net, Peer};
-use crate::service::{Agreed, Context, Service};
+use crate::placement::ForwardedJobs;
+use crate::records::AgreedRecords;
+use crate::service::Service;
 use crate::submission::Submissions;
 use crate::workers::{Figures, Workers};
 use marbledeck_dispatcher::{Micros, SettingsError};
@@ -73,7 +76,7 @@
         let limits = SharedLimits::new(config.limits, &operator_config);
         let net = Net::new()?;
         let workers = Workers::new(worker_figures(&config, &operator_config));
-        let (directory, fleet) = new_discovery(now, &config);
+        let (discovery, fleet) = new_discovery(now, &config);
         let core = Core::new(config.settings, config.catalogue, config.seed, now)?;
         let handover_socket = config.handover_socket.as_deref();
         let mut builder = Builder {
@@ -86,10 +89,10 @@
                 net,
                 core,
                 workers,
-                directory,
+                discovery,
                 fleet,
-                agreed: Agreed::default(),
-                outbox: None,
+                records: AgreedRecords::default(),
+                forwarded_jobs: None,
             },
             services: Vec::new(),
         };
@@ -171,7 +174,7 @@
             submission.addr
         );
         if self.inheritance.has_service(submission.name()) {
-            submission.met(self.now);
+            submission.handle_predecessor(self.now);
         }
         self.services.push(Box::new(submission));
         Ok(())
@@ -187,17 +190,17 @@
     }
 
     /// The endpoint list to start from: that of the process that this one replaces, or else the cached one.
-    fn take_over_or(&mut self, cached_list: Option<Listing>) -> Listing {
+    fn take_over_or(&mut self, cached_list: Option<EndpointList>) -> EndpointList {
         if self.inheritance.link.is_none() {
             return cached_list.unwrap_or_default();
         }
         log::info!("{} takes over from a process that runs", self.node_name);
         let state = std::mem::take(&mut self.inheritance.state.discovery);
         let Context {
-            directory, fleet, ..
+            discovery, fleet, ..
         } = &mut self.context;
-        fleet.members.restore_out_of_service(state.out);
-        directory.inherit(self.now, state.told_in_us);
+        fleet.members.restore_out_of_service(state.out_of_service);
+        discovery.inherit_doubt(self.now, state.notified_in_us);
         state.list
     }
 
@@ -246,7 +249,7 @@
         };
         let peer = self.next_peer();
         let consensus = Agreement::new(config, peer, self.now, &mut self.context.net)?;
-        self.context.agreed.reader = Some(consensus.reader());
+        self.context.records.reader = Some(consensus.reader());
         self.services.push(Box::new(consensus));
         Ok(())
     }
@@ -255,33 +258,33 @@
         let Some(site) = site else {
             return;
         };
-        self.context.outbox = Some(Outbox::new(site));
-        let federation = Sites::new(self.next_peer());
+        self.context.forwarded_jobs = Some(ForwardedJobs::new(site));
+        let federation = Federation::new(self.next_peer());
         self.services.push(Box::new(federation));
     }
 
     /// Tells the core of all workers that are known.
-    fn load_lists(&mut self, list: Listing, static_workers: Option<StaticWorkers>) {
+    fn load_lists(&mut self, list: EndpointList, static_workers: Option<StaticWorkers>) {
         let now = self.now;
         let Context {
             core,
             workers,
-            directory,
+            discovery,
             fleet,
             ..
         } = &mut self.context;
         workers.wants_signs = fleet.members.uses_evidence();
-        directory.known(now, list, fleet, core);
+        discovery.load_cached_list(now, list, fleet, core);
         if let Some(StaticWorkers { source, reports }) = static_workers {
             let change = fleet.members.apply_full_list(now, source, reports);
-            fleet.changed(now, change, core);
+            fleet.apply_change(now, change, core);
         }
         // What other sources had reported to the process that this one replaces, until they report anew.
         for (name, list) in std::mem::take(&mut self.inheritance.state.sources) {
             if let Some(source) = fleet.members.source(&name) {
-                let reports = discovery::words(list);
+                let reports = discovery::into_reports(list);
                 let change = fleet.members.apply_full_list(now, source, reports);
-                fleet.changed(now, change, core);
+                fleet.apply_change(now, change, core);
             }
         }
     }
@@ -315,15 +318,15 @@
 }
 
 /// The client of discovery, and the fleet, whose first source it is.
-fn new_discovery(now: Micros, config: &NodeConfig) -> (Directory, Fleet) {
+fn new_discovery(now: Micros, config: &NodeConfig) -> (Discovery, Fleet) {
     let mut members = Membership::new(config.zones.clone(), config.kinds.clone());
     let source = members.add_source("directory", None);
-    let clocks = Clocks::new(
+    let staleness = StalenessTracker::new(
         now,
         config.drain_grace,
         config.lists_are_pushed,
         config.seed,
     );
-    let directory = Directory::new(config.discovery, source, clocks);
-    (directory, Fleet::new(members))
+    let discovery = Discovery::new(config.discovery, source, staleness);
+    (discovery, Fleet::new(members))
 }
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -1,8 +1,8 @@
 //! The end of each turn: what the core has decided is carried out, and all that was written leaves.
 
 use super::Node;
+use crate::context::Context;
 use crate::core::Command;
-use crate::service::Context;
 use marbledeck_dispatcher::{Micros, WorkerId};
 
 impl Node {
@@ -26,10 +26,12 @@
         let context = &mut self.context;
         context.now = now;
         let (fleet, net, core) = (&mut context.fleet, &mut context.net, &mut context.core);
-        context.directory.wake(now, fleet, net, core);
-        let awaited = context.directory.awaited();
+        context.discovery.wake(now, fleet, net, core);
+        let awaited = context.discovery.awaited();
         if let Some(ready) = awaited.and_then(|token| net.look(token)) {
-            context.directory.ready(now, ready.token, fleet, net, core);
+            context
+                .discovery
+                .handle_event(now, ready.token, fleet, net, core);
         }
         let leaving = context.workers.leaving(net);
         self.clients.look(now, leaving, net, core);
@@ -44,7 +46,7 @@
         self.send_partner_messages(now);
         self.carry_out_commands(now);
         for number in 0..self.services.len() {
-            self.services[number].settled(now, &mut self.context);
+            self.services[number].finish_turn(now, &mut self.context);
             self.send_operator_replies(number);
         }
         self.send_partner_messages(now);
@@ -52,7 +54,7 @@
 
     fn send_operator_replies(&mut self, number: usize) {
         while self.operators.is_some() {
-            let Some((caller, text)) = self.services[number].reply() else {
+            let Some((caller, text)) = self.services[number].next_operator_reply() else {
                 return;
             };
             self.send_to_operator(caller, &text);
@@ -68,7 +70,7 @@
                 fleet,
                 ..
             } = &mut self.context;
-            for worker in std::mem::take(&mut fleet.stale) {
+            for worker in std::mem::take(&mut fleet.stale_workers) {
                 workers.forget(worker, net);
             }
             let Some(command) = core.command() else {
@@ -83,40 +85,40 @@
             net,
             core,
             workers,
-            directory,
+            discovery,
             fleet,
             ..
         } = &mut self.context;
         match command {
             Command::Call(call) => {
                 for service in &mut self.services {
-                    service.called(now, call.worker);
+                    service.handle_attempt_start(now, call.worker);
                 }
-                let target = fleet.aim(call.worker);
+                let target = fleet.target(call.worker);
                 workers.call(now, &call, target, net, core);
             }
             Command::GiveUp { id, attempt } => workers.give_up(id, attempt, net),
             Command::Probe(worker) => self.probe(now, worker),
             Command::CameBack(worker) => {
                 for service in &mut self.services {
-                    service.came_back(now, worker);
+                    service.handle_attempt_end(now, worker);
                 }
             }
-            Command::Watch => directory.watch(now, net),
+            Command::Watch => discovery.watch(now, net),
             Command::Answer { id, verdict, sent } => {
                 if !self.clients.answer(now, id, &verdict, net, core) {
                     let mut services = self.services.iter_mut();
-                    services.any(|service| service.answer(now, id, &verdict, sent));
+                    services.any(|service| service.handle_answer(now, id, &verdict, sent));
                 }
             }
             Command::Running(id, worker) => {
                 for service in &mut self.services {
-                    service.running(now, id, worker, &self.context);
+                    service.handle_run_start(now, id, worker, &self.context);
                 }
             }
             Command::Requeued(id) => {
                 for service in &mut self.services {
-                    service.requeued(now, id);
+                    service.handle_requeue(now, id);
                 }
             }
         }
@@ -125,7 +127,7 @@
     /// Asks a worker for its load, and the services for what they know of it.
     fn probe(&mut self, now: Micros, worker: WorkerId) {
         for service in &mut self.services {
-            service.probes(now, worker, &mut self.context);
+            service.handle_probe(now, worker, &mut self.context);
         }
         let Context {
             net,
@@ -134,7 +136,7 @@
             fleet,
             ..
         } = &mut self.context;
-        let target = fleet.aim(worker);
+        let target = fleet.target(worker);
         workers.probe(now, worker, target, net, core);
     }
 }
--- a/crates/node/src/node/limits.rs
+++ b/crates/node/src/node/limits.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::admin;
 use crate::config::{ConsensusConfig, OperatorConfig, ResourceLimits};
-use crate::federation::MOST_LINKS;
+use crate::federation;
 use marbledeck_dispatcher::Micros;
 
 /// The limits of the node, and the part of them that is this process's.
@@ -55,7 +55,10 @@
     let consensus = config.consensus.as_ref();
     submission.map_or(0, |submission| submission.max_submitters)
         + consensus.map_or(0, ConsensusConfig::descriptors)
-        + config.site.as_ref().map_or(0, |_| MOST_LINKS)
+        + config
+            .site
+            .as_ref()
+            .map_or(0, |_| federation::MAX_CONNECTIONS)
 }
 
 impl Node {
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -20,10 +20,11 @@
 use crate::clients::Consumers;
 use crate::clock::{millis, Clock};
 use crate::config::{ConfigError, NodeConfig};
-use crate::federation::Outbox;
+use crate::context::Context;
 use crate::handover::Handover;
 use crate::net::{Peer, Ready, Token};
-use crate::service::{Context, Service};
+use crate::placement::ForwardedJobs;
+use crate::service::Service;
 use limits::SharedLimits;
 use marbledeck_dispatcher::Micros;
 use marbledeck_platform_settings::PlatformSettings;
@@ -92,8 +93,11 @@
         let own = [
             self.context.core.next_wake(),
             self.context.workers.next_wake(),
-            self.context.directory.next_wake(),
-            self.context.outbox.as_ref().and_then(Outbox::next_wake),
+            self.context.discovery.next_wake(),
+            self.context
+                .forwarded_jobs
+                .as_ref()
+                .and_then(ForwardedJobs::next_wake),
             self.context.fleet.members.next_wake(),
             self.clients.next_wake(),
             self.operators.as_ref().and_then(Ops::next_wake),
@@ -111,15 +115,18 @@
             net,
             core,
             workers,
-            directory,
+            discovery,
             fleet,
             ..
         } = &mut self.context;
         // First: by a list that is too old nothing is sent, whatever else is due.
-        directory.wake(now, fleet, net, core);
+        discovery.wake(now, fleet, net, core);
         core.wake(now);
         workers.wake(now, net, core);
-        fleet.wake(now, workers, net, core);
+        let evidence = std::mem::take(&mut workers.signs);
+        for worker in fleet.wake(now, evidence, core) {
+            workers.look(now, worker, fleet.endpoint(worker), net);
+        }
         self.clients.wake(now, net);
         for service in &mut self.services {
             service.wake(now, &mut self.context);
@@ -158,15 +165,15 @@
                 let Context {
                     net,
                     core,
-                    directory,
+                    discovery,
                     fleet,
                     ..
                 } = &mut self.context;
-                directory.ready(now, token, fleet, net, core);
+                discovery.handle_event(now, token, fleet, net, core);
             }
             Peer::Service(number) => {
                 if let Some(service) = self.services.get_mut(usize::from(number)) {
-                    service.ready(now, event, &mut self.context);
+                    service.handle_event(now, event, &mut self.context);
                 }
             }
             Peer::Operator => self.handle_operator_event(now, &event),
--- a/crates/node/src/node/operators.rs
+++ b/crates/node/src/node/operators.rs
@@ -2,9 +2,9 @@
 
 use super::Node;
 use crate::admin::{self, Call};
+use crate::context::Context;
 use crate::handover::Message;
 use crate::net::Token;
-use crate::service::Context;
 use marbledeck_dispatcher::Micros;
 
 impl Node {
@@ -14,8 +14,8 @@
             Call::Check => self.check_serving(),
             Call::Vars => {
                 let Context { core, fleet, .. } = &self.context;
-                let (listed, avoided) = fleet.count(|worker| core.rests(now, worker));
-                let text = admin::figures(core, listed, avoided);
+                let counts = fleet.count(|worker| core.rests(now, worker));
+                let text = admin::figures(core, counts);
                 return self.send_to_operator(caller, &text);
             }
             Call::Members => {
@@ -26,7 +26,9 @@
             Call::SetUp(id) => self.set_out_of_service(now, id, false),
             call @ (Call::Records | Call::Change(_)) => {
                 let mut services = self.services.iter_mut();
-                if services.any(|service| service.operate(now, caller, &call, &mut self.context)) {
+                if services.any(|service| {
+                    service.handle_operator_call(now, caller, &call, &mut self.context)
+                }) {
                     return;
                 }
                 Err("there is no part [agreement] in the operator file".into())
@@ -75,7 +77,7 @@
     pub(super) fn apply_out_of_service(&mut self, now: Micros, id: &str, is_out: bool) {
         log::info!("operators: {}", describe_service_state(id, is_out));
         let Context { core, fleet, .. } = &mut self.context;
-        fleet.set_out(now, id, is_out, core);
+        fleet.set_out_of_service(now, id, is_out, core);
     }
 }
 
--- a/crates/node/src/node/reload.rs
+++ b/crates/node/src/node/reload.rs
@@ -1,7 +1,7 @@
 //! SIGHUP: the configuration is read anew.
 
 use super::{signals, Node};
-use crate::service::Context;
+use crate::context::Context;
 use marbledeck_dispatcher::Micros;
 
 impl Node {
@@ -24,8 +24,8 @@
         let named = config.discovery_in_file;
         if let Some(address) = named.filter(|_| named != self.discovery_in_file) {
             self.discovery_in_file = named;
-            let Context { net, directory, .. } = &mut self.context;
-            directory.move_to(now, address, net);
+            let Context { net, discovery, .. } = &mut self.context;
+            discovery.move_to(now, address, net);
         }
         log::info!("reload: done");
     }
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -158,7 +158,7 @@
         };
         self.clients.ending = true;
         for service in &mut self.services {
-            service.end(now);
+            service.begin_shutdown(now);
         }
         self.handover
             .send_to_all(&Message::ShuttingDown, &mut self.context.net);
--- a/crates/node/src/node/succession.rs
+++ b/crates/node/src/node/succession.rs
@@ -2,7 +2,7 @@
 //! messages between the two are handled.
 
 use super::Node;
-use crate::discovery;
+use crate::discovery::{self, DiscoveryState, EndpointEntry};
 use crate::handover::{self, HandoverEvent, Message, Side};
 use crate::net::Token;
 use marbledeck_dispatcher::Micros;
@@ -18,13 +18,13 @@
 pub(super) struct HandoverState {
     /// What discovery and operators have stated.
     #[serde(flatten)]
-    pub(super) discovery: discovery::Bequest,
+    pub(super) discovery: DiscoveryState,
     /// The names of its services.
     #[serde(default, rename = "parties")]
     pub(super) services: Vec<String>,
     /// The reports of its other sources, by their names.
     #[serde(default)]
-    pub(super) sources: BTreeMap<String, Vec<discovery::Member>>,
+    pub(super) sources: BTreeMap<String, Vec<EndpointEntry>>,
 }
 
 /// Whether the predecessor knows that this process can serve.
@@ -133,9 +133,9 @@
         let members = &self.context.fleet.members;
         let names = self.services.iter().map(|service| service.name());
         HandoverState {
-            discovery: self.context.directory.bequest(now, members),
+            discovery: self.context.discovery.state(now, members),
             services: names.map(str::to_owned).collect(),
-            sources: discovery::others(members),
+            sources: discovery::entries_of_other_sources(members),
         }
     }
 
@@ -153,7 +153,7 @@
             Message::Service(name, message) => {
                 let mut services = self.services.iter_mut();
                 if let Some(service) = services.find(|service| service.name() == name) {
-                    service.told(now, side, message, &mut self.context);
+                    service.handle_partner_message(now, side, message, &mut self.context);
                 }
             }
         }
@@ -164,7 +164,7 @@
         for service in &mut self.services {
             let mut names = self.successor_services.iter();
             if names.any(|name| name == service.name()) {
-                service.hand_over(now, &mut self.context);
+                service.begin_handover(now, &mut self.context);
             }
         }
         if self.lifecycle.is_shutting_down() {
@@ -174,7 +174,7 @@
 
     fn notify_lost_partner(&mut self, now: Micros, side: Side) {
         for service in &mut self.services {
-            service.lost(now, side);
+            service.handle_partner_lost(now, side);
         }
     }
 
@@ -190,7 +190,7 @@
     fn send_service_messages(&mut self, now: Micros, side: Side, number: usize) {
         while self.handover.has_room(side, &mut self.context.net) {
             let service = &mut self.services[number];
-            let Some(message) = service.next_word(side) else {
+            let Some(message) = service.next_partner_message(side) else {
                 return;
             };
             let message = Message::Service(service.name().to_owned(), message);
--- /dev/null
+++ b/crates/node/src/records.rs
@@ -0,0 +1,16 @@
+//! The records that the nodes have agreed on, as far as this node knows them. The service for consensus keeps them up to
+//! date; others read them.
+
+use marbledeck_consensus::wire::Answer;
+use marbledeck_consensus::Reader;
+
+/// The latest reading of the records. Empty where consensus is off.
+#[derive(Default)]
+pub struct AgreedRecords {
+    /// What this node may act on; none where consensus is off.
+    pub reader: Option<Reader>,
+    /// How many readings there were.
+    pub readings: u64,
+    /// The latest reading.
+    pub answer: Answer,
+}
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -1,74 +1,43 @@
-//! Peers that register themselves with the loop: fronts and sources that the node can do without.
+//! The interface of services: parts that register with the event loop, and that the node can do without.
 //!
-//! The loop knows a service by its number only. It hands it what has happened on its sockets and what has become of
-//! invocations, asks when it next wants to be woken, and carries its words to the other process of this node while one
-//! replaces the other.
+//! The event loop knows a service by its number only. It passes on what has happened on its sockets and what has become
+//! of requests, asks when it next wants to be woken, and carries its messages to the other process of this node while
+//! one replaces the other.
 
 use crate::admin;
-use crate::core::{Core, Verdict};
-use crate::discovery::Directory;
-use crate::federation::Outbox;
-use crate::fleet::Fleet;
+use crate::context::Context;
+use crate::core::Verdict;
 use crate::handover::Side;
-use crate::net::{Net, Ready, Token};
-use crate::workers::Workers;
-use marbledeck_consensus::wire::Answer;
-use marbledeck_consensus::Reader;
+use crate::net::{Ready, Token};
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use serde_json::Value;
 
-/// What services work with.
-pub struct Context {
-    /// The time of this turn.
-    pub now: Micros,
-    pub net: Net,
-    pub core: Core,
-    pub workers: Workers,
-    pub directory: Directory,
-    pub fleet: Fleet,
-    /// What the nodes of the fleet have agreed on, as far as this one knows.
-    pub agreed: Agreed,
-    /// Jobs that other sites are to run; none where the part is off.
-    pub outbox: Option<Outbox>,
-}
-
-/// What the service of the agreement tells the others. Empty where the part is off.
-#[derive(Default)]
-pub struct Agreed {
-    /// What this node may act on; none where the part is off.
-    pub reader: Option<Reader>,
-    /// Counts the readings.
-    pub readings: u64,
-    /// What the last one told of this node's own.
-    pub answer: Answer,
-}
-
-/// One kind of peer. What a service has no use for has a default.
+/// One service. What it has no use for has a default that does nothing.
 pub trait Service {
-    /// By which the service of another process is found.
+    /// The name by which the same service of another process is found.
     fn name(&self) -> &'static str;
 
-    /// The sockets that listen for it and are handed on in an upgrade.
+    /// The listening sockets that are passed on to a successor.
     fn listeners(&self) -> Vec<Token> {
         Vec::new()
     }
 
     /// Something has happened on one of its sockets.
-    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context);
+    fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context);
 
     /// When [`Service::wake`] is next wanted.
     fn next_wake(&self) -> Option<Micros> {
         None
     }
 
-    /// Its time has come.
-    fn wake(&mut self, _now: Micros, _hub: &mut Context) {}
+    /// Handles the timers that are due.
+    fn wake(&mut self, _now: Micros, _context: &mut Context) {}
 
-    /// The core's commands of this turn are carried out.
-    fn settled(&mut self, _now: Micros, _hub: &mut Context) {}
+    /// Does what is left to do at the end of a turn, when the core's commands are carried out.
+    fn finish_turn(&mut self, _now: Micros, _context: &mut Context) {}
 
-    /// The final answer of an invocation; tells whether it was one of this service's.
-    fn answer(
+    /// Takes the final answer of a request, and tells whether the request was one of this service's.
+    fn handle_answer(
         &mut self,
         _now: Micros,
         _id: RequestId,
@@ -79,64 +48,79 @@
     }
 
     /// A worker is asked for its load.
-    fn probes(&mut self, _now: Micros, _worker: WorkerId, _hub: &mut Context) {}
+    fn handle_probe(&mut self, _now: Micros, _worker: WorkerId, _context: &mut Context) {}
 
-    /// A call goes out to a worker.
-    fn called(&mut self, _now: Micros, _worker: WorkerId) {}
+    /// An attempt is sent to a worker.
+    fn handle_attempt_start(&mut self, _now: Micros, _worker: WorkerId) {}
 
-    /// A call to a worker has ended, however.
-    fn came_back(&mut self, _now: Micros, _worker: WorkerId) {}
+    /// An attempt at a worker has ended, however.
+    fn handle_attempt_end(&mut self, _now: Micros, _worker: WorkerId) {}
 
-    /// A worker has begun to run an invocation.
-    fn running(&mut self, _now: Micros, _id: RequestId, _worker: WorkerId, _hub: &Context) {}
+    /// A worker has begun to run a request.
+    fn handle_run_start(
+        &mut self,
+        _now: Micros,
+        _id: RequestId,
+        _worker: WorkerId,
+        _context: &Context,
+    ) {
+    }
 
-    /// An invocation that ran waits to be run once more.
-    fn requeued(&mut self, _now: Micros, _id: RequestId) {}
+    /// A request that ran waits for a retry.
+    fn handle_requeue(&mut self, _now: Micros, _id: RequestId) {}
 
-    /// An operator calls. Tells whether the call is this service's; it is answered by one [`Service::reply`] then.
-    fn operate(
+    /// An operator calls. Tells whether the call is this service's; it is then answered by one
+    /// [`Service::next_operator_reply`].
+    fn handle_operator_call(
         &mut self,
         _now: Micros,
         _caller: Token,
         _call: &admin::Call,
-        _hub: &mut Context,
+        _context: &mut Context,
     ) -> bool {
         false
     }
 
     /// The next answer to an operator.
-    fn reply(&mut self) -> Option<(Token, String)> {
+    fn next_operator_reply(&mut self) -> Option<(Token, String)> {
         None
     }
 
-    /// Leaves new connections to the process that replaces this one, or takes them again where that one is lost.
-    fn set_succeeded(&mut self, _succeeded: bool, _hub: &mut Context) {}
+    /// Leaves new connections to a successor that serves, or accepts them again where that one is lost.
+    fn set_succeeded(&mut self, _succeeded: bool, _context: &mut Context) {}
 
-    /// SIGTERM has come: nothing new is taken.
-    fn end(&mut self, _now: Micros) {}
+    /// SIGTERM has come: nothing new is accepted.
+    fn begin_shutdown(&mut self, _now: Micros) {}
 
-    /// The node takes nothing any more, and no process takes over what this service holds.
+    /// The node accepts nothing any more, and no process takes over what this service holds.
     fn abandon(&mut self, _now: Micros) {}
 
     /// The process that this one replaces has a service of this name.
-    fn met(&mut self, _now: Micros) {}
+    fn handle_predecessor(&mut self, _now: Micros) {}
 
-    /// The process that replaces this one has a service of this name, and serves.
-    fn hand_over(&mut self, _now: Micros, _hub: &mut Context) {}
+    /// Begins to pass on what it holds: the successor has a service of this name, and serves.
+    fn begin_handover(&mut self, _now: Micros, _context: &mut Context) {}
 
-    /// Whether nothing is still to be handed over.
+    /// Whether nothing is still to be passed on.
     fn is_handed_over(&self) -> bool {
         true
     }
 
-    /// The next word for a partner.
-    fn next_word(&mut self, _side: Side) -> Option<Value> {
+    /// The next message for the service of this name in another process.
+    fn next_partner_message(&mut self, _side: Side) -> Option<Value> {
         None
     }
 
-    /// A word of a partner's service of this name.
-    fn told(&mut self, _now: Micros, _side: Side, _word: Value, _hub: &mut Context) {}
+    /// A message of the service of this name in another process.
+    fn handle_partner_message(
+        &mut self,
+        _now: Micros,
+        _side: Side,
+        _message: Value,
+        _context: &mut Context,
+    ) {
+    }
 
-    /// A partner is gone.
-    fn lost(&mut self, _now: Micros, _side: Side) {}
+    /// Another process is gone.
+    fn handle_partner_lost(&mut self, _now: Micros, _side: Side) {}
 }
--- a/crates/node/src/submission/desk.rs
+++ b/crates/node/src/submission/desk.rs
@@ -1,8 +1,8 @@
 //! The core and the workers as the submission server sees them.
 
+use crate::context::Context;
 use crate::core::{Malformed, Order as CoreOrder, Work};
-use crate::federation::Where;
-use crate::service::Context;
+use crate::placement::Placement;
 use marbledeck_dispatcher::{Idempotency, Micros, RequestId, WorkerState};
 use marbledeck_platform_settings::worker_id;
 use marbledeck_submission::message::{ErrorId, Machine, Problem, Queue};
@@ -39,27 +39,27 @@
 
     fn place(&self, template: &Template) -> Result<Whereabouts, Problem> {
         let Context {
-            outbox,
-            agreed,
+            forwarded_jobs,
+            records,
             now,
             ..
         } = &*self.0;
-        match outbox {
+        match forwarded_jobs {
             None if template.manifest.is_some() || template.forwarded.is_some() => {
                 let words = "`manifest` is not supported: this node has no part [sites]";
                 Err(Problem::new(ErrorId::UnsupportedAttribute, words))
             }
             None => Ok(Whereabouts::Here),
-            Some(outbox) => match outbox.place(*now, template, agreed)? {
-                Where::Here => Ok(Whereabouts::Here),
-                Where::Elsewhere => Ok(Whereabouts::Elsewhere),
+            Some(jobs) => match jobs.place(*now, template, records)? {
+                Placement::Here => Ok(Whereabouts::Here),
+                Placement::Elsewhere => Ok(Whereabouts::Elsewhere),
             },
         }
     }
 
     fn take_in(&mut self, now: Micros, order: Order) -> Result<RequestId, Problem> {
-        if let (Whereabouts::Elsewhere, Some(outbox)) = (order.place, &mut self.0.outbox) {
-            return Ok(outbox.take_in(now, &order));
+        if let (Whereabouts::Elsewhere, Some(jobs)) = (order.place, &mut self.0.forwarded_jobs) {
+            return Ok(jobs.forward(now, &order));
         }
         let manifest = order.template.manifest.as_ref();
         let needs = manifest.into_iter().flat_map(|manifest| &manifest.licences);
@@ -85,15 +85,25 @@
     }
 
     fn recall(&mut self, now: Micros, id: RequestId) -> bool {
-        if let Some(outbox) = self.0.outbox.as_mut().filter(|outbox| outbox.has(id)) {
-            return outbox.recall(id);
+        if let Some(jobs) = self
+            .0
+            .forwarded_jobs
+            .as_mut()
+            .filter(|jobs| jobs.contains(id))
+        {
+            return jobs.recall(id);
         }
         self.0.core.recall(now, id)
     }
 
     fn gone(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
-        if let Some(outbox) = self.0.outbox.as_mut().filter(|outbox| outbox.has(id)) {
-            outbox.gone(id);
+        if let Some(jobs) = self
+            .0
+            .forwarded_jobs
+            .as_mut()
+            .filter(|jobs| jobs.contains(id))
+        {
+            jobs.abandon(id);
             return Some(now);
         }
         self.0.core.gone(now, id)
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -5,10 +5,11 @@
 mod desk;
 
 use crate::clock::millis;
+use crate::context::Context;
 use crate::core::Verdict;
 use crate::handover;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::service::{Context, Service};
+use crate::service::Service;
 use config::SubmissionConfig;
 use desk::NodeDesk;
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
@@ -236,7 +237,7 @@
     }
 
     /// Something has come from a submitter, or can be sent to it, or it is lost. Its jobs go on all the same.
-    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
+    fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         if event.listener {
             return self.accept(now, context);
         }
@@ -272,12 +273,12 @@
         }
     }
 
-    fn settled(&mut self, now: Micros, context: &mut Context) {
+    fn finish_turn(&mut self, now: Micros, context: &mut Context) {
         self.server.admitted(now);
         self.speak(now, context);
     }
 
-    fn answer(
+    fn handle_answer(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -292,13 +293,19 @@
         self.server.answer(now, id, verdict, sent)
     }
 
-    fn running(&mut self, now: Micros, id: RequestId, worker: WorkerId, context: &Context) {
-        let place = context.fleet.place(worker);
+    fn handle_run_start(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        worker: WorkerId,
+        context: &Context,
+    ) {
+        let place = context.fleet.endpoint(worker);
         let name = place.map(|place| Rc::from(place.name.as_str()));
         self.server.running(now, id, name);
     }
 
-    fn requeued(&mut self, now: Micros, id: RequestId) {
+    fn handle_requeue(&mut self, now: Micros, id: RequestId) {
         self.server.requeued(now, id);
     }
 
@@ -309,7 +316,7 @@
             .listening(self.listener, !succeeded && self.resting.is_none());
     }
 
-    fn end(&mut self, _now: Micros) {
+    fn begin_shutdown(&mut self, _now: Micros) {
         self.server.end();
     }
 
@@ -319,11 +326,11 @@
         }
     }
 
-    fn met(&mut self, now: Micros) {
+    fn handle_predecessor(&mut self, now: Micros) {
         self.server.expect_transfer(now);
     }
 
-    fn hand_over(&mut self, now: Micros, context: &mut Context) {
+    fn begin_handover(&mut self, now: Micros, context: &mut Context) {
         if self.server.is_giving() {
             return;
         }
@@ -343,12 +350,18 @@
         self.server.is_handed_over()
     }
 
-    fn next_word(&mut self, side: handover::Side) -> Option<Value> {
+    fn next_partner_message(&mut self, side: handover::Side) -> Option<Value> {
         let told = self.server.pull_transfer(partner(side))?;
         serde_json::to_value(told).ok()
     }
 
-    fn told(&mut self, now: Micros, side: handover::Side, word: Value, context: &mut Context) {
+    fn handle_partner_message(
+        &mut self,
+        now: Micros,
+        side: handover::Side,
+        word: Value,
+        context: &mut Context,
+    ) {
         match serde_json::from_value::<Transfer>(word) {
             Ok(told) => {
                 let was_deaf = self.server.is_deaf();
@@ -362,7 +375,7 @@
         }
     }
 
-    fn lost(&mut self, now: Micros, side: handover::Side) {
+    fn handle_partner_lost(&mut self, now: Micros, side: handover::Side) {
         self.server.partner_lost(now, partner(side));
         self.waiting.extend(self.links.keys());
     }
--- a/crates/node/src/workers/mod.rs
+++ b/crates/node/src/workers/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::millis;
 use crate::core::{Core, InvokerCall};
-use crate::fleet::{Aim, Fleet};
+use crate::fleet::{AttemptTarget, Fleet};
 use crate::net::conn::Connection;
 use crate::net::{Net, Peer, Token};
 use marbledeck_dispatcher::{LoadReport, Micros, Outcome, RequestId, WorkerId};
@@ -59,7 +59,7 @@
     worker: WorkerId,
     errand: Errand,
     /// What its call or probe was decided by.
-    aim: Option<Aim>,
+    aim: Option<AttemptTarget>,
     /// The last byte of its call has to leave before.
     latest: Option<Micros>,
     speech: Option<Speech>,
@@ -232,7 +232,7 @@
         &mut self,
         now: Micros,
         call: &InvokerCall,
-        aim: Option<(Aim, &Endpoint)>,
+        aim: Option<(AttemptTarget, &Endpoint)>,
         net: &mut Net,
         core: &mut Core,
     ) {
@@ -264,7 +264,7 @@
         &mut self,
         now: Micros,
         worker: WorkerId,
-        aim: Option<(Aim, &Endpoint)>,
+        aim: Option<(AttemptTarget, &Endpoint)>,
         net: &mut Net,
         core: &mut Core,
     ) {
@@ -425,7 +425,7 @@
             let (Some(link), Some(conn)) = (self.links.get(token), net.get(*token)) else {
                 continue;
             };
-            let stands = link.aim.as_ref().is_some_and(|aim| fleet.stands(aim));
+            let stands = link.aim.as_ref().is_some_and(|aim| fleet.is_current(aim));
             let over = match link.errand {
                 Errand::Call(id, _) if !link.written => {
                     let seatless = unseated && core.is_seated(id);
--- a/crates/node/tests/directory.rs
+++ b/crates/node/tests/discovery.rs
@@ -1,8 +1,8 @@
-//! The list of workers at 300 nodes before one directory that works its calls off one after another, in virtual time. The
+//! The list of workers at 300 nodes before one discovery service that works its calls off one after another, in virtual time. The
 //! rule's clocks are counted here anew, from the protocol page: no node may hold a drained worker as usable past them.
 
 use marbledeck_dispatcher::Micros;
-use marbledeck_node::discovery::{Ask, Clocks, Fault};
+use marbledeck_node::discovery::{Fault, Query, StalenessTracker};
 use std::collections::VecDeque;
 
 const NODES: usize = 300;
@@ -21,7 +21,7 @@
 enum Stage {
     /// It waits for its turn.
     Queued,
-    /// The directory holds it until something changes.
+    /// Discovery holds it until something changes.
     Held,
     /// Nothing comes of it any more, since then.
     Silent(Micros),
@@ -29,13 +29,13 @@
 
 struct Out {
     at: Micros,
-    ask: Ask,
+    query: Query,
     after: usize,
     stage: Stage,
 }
 
 struct Node {
-    clocks: Clocks,
+    staleness: StalenessTracker,
     call: Option<Out>,
     /// When it asks next.
     again: Option<Micros>,
@@ -47,17 +47,17 @@
 
 /// What happens on a day.
 struct Day {
-    /// Calls a second that the directory works off.
+    /// Calls a second that discovery works off.
     capacity: f64,
     /// When all open watches fall silent.
     silent: Vec<f64>,
-    /// The directory is down from the first to the second: its watches end, and no connection is taken.
+    /// Discovery is down from the first to the second: its watches end, and no connection is taken.
     down: Option<(f64, f64)>,
     /// It says 503 to all calls at once, and ends its watches so, but could be reached.
     refuses: Option<(f64, f64)>,
     /// From then on it answers nothing, not even failures, for so long.
     mute: Option<(f64, f64)>,
-    /// All nodes are told to go over to another directory, which has one change more.
+    /// All nodes are told to go over to another discovery service, which has one change more.
     moved: Option<f64>,
     /// Lists are pushed, and the nodes start with an old one.
     pushed: bool,
@@ -87,7 +87,7 @@
 fn play(day: &Day, seed: u64) -> Seen {
     let mut nodes: Vec<Node> = (0..NODES as u64)
         .map(|n| Node {
-            clocks: Clocks::new(Micros(0), GRACE, day.pushed, seed * 1000 + n),
+            staleness: StalenessTracker::new(Micros(0), GRACE, day.pushed, seed * 1000 + n),
             call: None,
             again: Some(Micros(0)),
             knows: 0,
@@ -95,7 +95,7 @@
         })
         .collect();
     let mut queue: VecDeque<(usize, Micros)> = VecDeque::new();
-    // When the directory had each change and could be reached; what is pushed counts as told from the first moment.
+    // When discovery had each change and could be reached; what is pushed counts as told from the first moment.
     let mut had = Vec::new();
     if day.pushed {
         had.push(None);
@@ -128,7 +128,7 @@
             had.push(Some(reached));
         }
         let changes = had.len();
-        // The directory works off what has waited, as far as its capacity goes.
+        // Discovery works off what has waited, as far as its capacity goes.
         credit = f64::min(
             credit + day.capacity * STEP.as_secs_f64(),
             1.0_f64.max(day.capacity * STEP.as_secs_f64()),
@@ -150,7 +150,7 @@
         for (n, node) in nodes.iter_mut().enumerate() {
             let mut fault = None;
             if moves {
-                node.clocks.moved(now);
+                node.staleness.handle_move(now);
                 (node.call, node.again) = (None, Some(now));
                 node.moved = Some(now + secs(4.0));
             }
@@ -171,13 +171,15 @@
                     Stage::Held if down => fault = Some(Fault::Broken),
                     Stage::Held if refuses => fault = Some(Fault::Refused),
                     Stage::Held => {
-                        let over = match call.ask {
-                            Ask::Whole => true,
-                            Ask::Changes { wait } => call.after < changes || now >= call.at + wait,
+                        let over = match call.query {
+                            Query::CompleteList => true,
+                            Query::Changes { wait } => {
+                                call.after < changes || now >= call.at + wait
+                            }
                         };
                         if over {
                             (node.knows, node.moved, node.call) = (changes, None, None);
-                            node.clocks.answered();
+                            node.staleness.handle_answer();
                             node.again = Some(now);
                         }
                     }
@@ -185,18 +187,23 @@
                     Stage::Queued => {}
                 }
             }
-            if node.clocks.until().is_some_and(|until| now >= until) && fault.is_none() {
+            if node
+                .staleness
+                .call_deadline()
+                .is_some_and(|until| now >= until)
+                && fault.is_none()
+            {
                 fault = Some(Fault::Silent);
             }
             if let Some(fault) = fault {
                 node.call = None;
-                node.again = Some(node.clocks.failed(now, fault));
+                node.again = Some(node.staleness.handle_failure(now, fault));
             }
             if node.call.is_none() && node.again.is_some_and(|at| now >= at) {
-                let call = node.clocks.ask(now);
+                let call = node.staleness.next_call(now);
                 node.call = Some(Out {
                     at: now,
-                    ask: call.ask,
+                    query: call.query,
                     after: node.knows,
                     stage: Stage::Queued,
                 });
@@ -204,7 +211,7 @@
                 queue.push_back((n, now));
                 seen.calls += 1;
             }
-            // The rule: whatever became of the calls, a change counts as told so long after the directory had it and
+            // The rule: whatever became of the calls, a change counts as told so long after discovery had it and
             // could be reached.
             let told = had.get(node.knows).map(|had| match had {
                 Some(at) => *at + secs(6.0),
@@ -212,7 +219,10 @@
             });
             let moved = node.moved.filter(|_| told.is_some());
             let rule = told.into_iter().chain(moved).min();
-            let trusted = node.clocks.trusted_until().is_none_or(|until| now < until);
+            let trusted = node
+                .staleness
+                .trusted_until()
+                .is_none_or(|until| now < until);
             if !trusted {
                 seen.distrusted += STEP.as_secs_f64();
             }
@@ -244,7 +254,7 @@
     }
 }
 
-/// The same before a directory that is asked for more than it can do: three calls a second for each ten nodes.
+/// The same before a discovery service that is asked for more than it can do: three calls a second for each ten nodes.
 #[test]
 fn a_directory_with_too_many_callers_leaves_no_drained_worker_usable() {
     for capacity in [30.0, 90.0] {
@@ -276,58 +286,58 @@
     }
 }
 
-/// A watch that the directory held tells all until it breaks; while connections are refused there is nothing to miss.
+/// A watch that discovery held tells all until it breaks; while connections are refused there is nothing to miss.
 #[test]
 fn a_directory_that_refuses_connections_after_a_held_watch_is_trusted_on() {
-    let mut clocks = Clocks::new(Micros(0), GRACE, false, 1);
+    let mut staleness = StalenessTracker::new(Micros(0), GRACE, false, 1);
     let (mut now, mut fault) = (secs(1.0), Fault::Broken);
-    clocks.ask(now);
+    staleness.next_call(now);
     now = now + secs(3.0);
     for _ in 0..40 {
-        let again = clocks.failed(now, fault);
-        let until = clocks.trusted_until().expect("in doubt");
+        let again = staleness.handle_failure(now, fault);
+        let until = staleness.trusted_until().expect("in doubt");
         assert!(
             until > again + secs(2.0),
             "asked again at {again:?}, trusted until {until:?}"
         );
         (now, fault) = (again, Fault::Unreachable);
-        clocks.ask(now);
+        staleness.next_call(now);
     }
     // Silence is no such proof: from then on the clock runs.
-    let silent = clocks.until().expect("asked");
-    clocks.failed(silent, Fault::Silent);
-    let until = clocks.trusted_until().expect("in doubt");
-    clocks.ask(silent);
-    clocks.failed(silent, Fault::Unreachable);
-    assert_eq!(clocks.trusted_until(), Some(until));
+    let silent = staleness.call_deadline().expect("asked");
+    staleness.handle_failure(silent, Fault::Silent);
+    let until = staleness.trusted_until().expect("in doubt");
+    staleness.next_call(silent);
+    staleness.handle_failure(silent, Fault::Unreachable);
+    assert_eq!(staleness.trusted_until(), Some(until));
 }
 
 /// A call that is refused after a short time may have waited for its turn since it was asked, and missed what came
-/// meanwhile; a watch that was held until the directory said no has missed nothing before that.
+/// meanwhile; a watch that was held until discovery said no has missed nothing before that.
 #[test]
 fn a_refused_call_leaves_doubt_from_its_question_and_a_held_watch_from_its_end() {
     for (out, since) in [(1.0, 0.0), (1.3, 1.3)] {
-        let mut clocks = Clocks::new(Micros(0), GRACE, false, 1);
-        clocks.ask(secs(10.0));
-        clocks.failed(secs(10.0 + out), Fault::Refused);
+        let mut staleness = StalenessTracker::new(Micros(0), GRACE, false, 1);
+        staleness.next_call(secs(10.0));
+        staleness.handle_failure(secs(10.0 + out), Fault::Refused);
         let until = secs(10.0 + since + 6.0) + GRACE;
-        assert_eq!(clocks.trusted_until(), Some(until), "out for {out} s");
+        assert_eq!(staleness.trusted_until(), Some(until), "out for {out} s");
         // What fails after that is later: the first doubt counts.
-        clocks.ask(secs(12.0));
-        clocks.failed(secs(14.0), Fault::Refused);
-        assert_eq!(clocks.trusted_until(), Some(until), "out for {out} s");
+        staleness.next_call(secs(12.0));
+        staleness.handle_failure(secs(14.0), Fault::Refused);
+        assert_eq!(staleness.trusted_until(), Some(until), "out for {out} s");
     }
 }
 
 /// A node whose site grants no grace asks on at a bounded pace.
 #[test]
 fn a_pushed_list_without_a_grace_is_not_asked_for_without_end() {
-    let mut clocks = Clocks::new(Micros(0), Micros(0), true, 1);
+    let mut staleness = StalenessTracker::new(Micros(0), Micros(0), true, 1);
     let mut now = Micros(0);
     for _ in 0..200 {
-        clocks.ask(now);
-        let until = clocks.until().expect("asked");
-        now = clocks.failed(until, Fault::Silent);
+        staleness.next_call(now);
+        let until = staleness.call_deadline().expect("asked");
+        now = staleness.handle_failure(until, Fault::Silent);
     }
     assert!(now >= secs(9.0), "200 calls in {now:?}");
 }
@@ -406,7 +416,7 @@
     assert_eq!(seen.distrusted, 0.0);
 }
 
-/// A node that is moved to a directory that is silent does not go on by the old list.
+/// A node that is moved to a discovery service that is silent does not go on by the old list.
 #[test]
 fn a_move_to_a_silent_directory_ends_the_trust_in_the_old_list() {
     let seen = play(
@@ -437,15 +447,19 @@
 /// The nodes do not ask in step, though all were answered in one moment.
 #[test]
 fn nodes_that_were_answered_together_do_not_ask_together() {
-    let mut untils: Vec<u64> = (0..NODES as u64)
+    let mut deadlines: Vec<u64> = (0..NODES as u64)
         .map(|n| {
-            Clocks::new(Micros(0), GRACE, false, n)
-                .ask(Micros(0))
-                .until
+            StalenessTracker::new(Micros(0), GRACE, false, n)
+                .next_call(Micros(0))
+                .deadline
                 .0
         })
         .collect();
-    untils.sort_unstable();
-    let most = untils.windows(60).map(|w| w[59] - w[0]).min().expect("300");
+    deadlines.sort_unstable();
+    let most = deadlines
+        .windows(60)
+        .map(|w| w[59] - w[0])
+        .min()
+        .expect("300");
     assert!(most > 150_000, "60 of 300 nodes ask within {most} us");
 }
