--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -3,8 +3,10 @@
 use marbledeck_dispatcher::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Counts from the Unix time at the start, and from then on as the monotonic clock does. A step of the system's
-/// clock so moves no deadline.
+const MICROS_PER_MILLI: u64 = 1000;
+
+/// Counts from the Unix time at the start, and from then on as the monotonic clock does. A step of the system's clock so
+/// moves no deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -12,25 +14,27 @@
 }
 
 impl Clock {
+    /// Starts counting now.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         Clock {
             started: Instant::now(),
-            unix_at_start: Micros(unix.map_or(0, |d| d.as_micros() as u64)),
+            unix_at_start: Micros(unix.map_or(0, |span| span.as_micros() as u64)),
         }
     }
 
+    /// The time since the Unix epoch, as this clock has it.
     pub fn now(&self) -> Micros {
         self.unix_at_start + Micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// A moment told in Unix milliseconds; none for 0, which stands for long ago.
+    /// A moment given in Unix milliseconds; none for 0, which stands for long ago.
     pub fn from_unix_ms(ms: u64) -> Option<Micros> {
-        (ms > 0).then(|| Micros(ms.saturating_mul(1000)))
+        (ms > 0).then(|| Micros(ms.saturating_mul(MICROS_PER_MILLI)))
     }
 }
 
 /// A span of so many milliseconds.
 pub const fn millis(ms: u64) -> Micros {
-    Micros(ms * 1000)
+    Micros(ms * MICROS_PER_MILLI)
 }
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! The link to the other nodes of the tier: a service that carries the datagrams of `marbledeck-gossip`.
+//! The link to the other nodes: a service that carries the datagrams of `marbledeck-gossip`.
 
 pub(crate) mod config;
 
@@ -12,42 +12,50 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long a probe's result waits for the keeper's answer: twice what datagrams take on the platform, and a little.
-const WAITS: Micros = millis(30);
+/// How long a probe's result waits for the answer of the worker's owner: twice what datagrams take on the platform, and a
+/// little.
+const ANSWER_TIMEOUT: Micros = millis(30);
 /// Datagrams read in one turn.
-const TURN: usize = 64;
+const DATAGRAMS_PER_TURN: usize = 64;
 /// How often an address that another process of this node still has is tried again.
-const AGAIN: Micros = millis(1000);
+const BIND_RETRY_INTERVAL: Micros = millis(1000);
 
-pub struct Tier {
+/// The service for gossip.
+pub struct Gossip {
     config: PeersConfig,
     /// The numbers of the nodes, by their addresses: what comes from elsewhere is dropped.
-    numbers: HashMap<SocketAddr, usize>,
+    node_numbers: HashMap<SocketAddr, usize>,
     peers: Peers,
+    /// For whom events of the socket are.
     peer: Peer,
     socket: Option<Token>,
-    again: Micros,
-    asked: Questions,
+    /// When binding the socket is next tried.
+    bind_at: Micros,
+    /// The questions to owners that are not answered yet.
+    questions: Questions,
 }
 
-impl Tier {
+impl Gossip {
+    /// Binds the socket; where that fails, it is tried again.
     pub fn new(config: PeersConfig, peer: Peer, now: Micros, net: &mut Net) -> Self {
         let numbers = config.nodes.iter().enumerate();
-        let mut tier = Tier {
-            numbers: numbers.map(|(n, addr)| (*addr, n)).collect(),
+        let mut gossip = Gossip {
+            node_numbers: numbers
+                .map(|(number, address)| (*address, number))
+                .collect(),
             peers: Peers::new(config.index, config.nodes.len(), now),
             peer,
             socket: None,
-            again: now,
-            asked: Questions::default(),
+            bind_at: now,
+            questions: Questions::default(),
             config,
         };
-        tier.open(now, net);
-        tier
+        gossip.bind(now, net);
+        gossip
     }
 
-    fn open(&mut self, now: Micros, net: &mut Net) {
-        self.again = now + AGAIN;
+    fn bind(&mut self, now: Micros, net: &mut Net) {
+        self.bind_at = now + BIND_RETRY_INTERVAL;
         match net.datagrams(self.config.listen, self.peer) {
             Ok(token) => self.socket = Some(token),
             Err(e) => log::warn!("peers: {}: {e}; tried again", self.config.listen),
@@ -56,48 +64,49 @@
 
     fn flush(&mut self, net: &mut Net) {
         while let Some((to, bytes)) = self.peers.datagram() {
-            if let (Some(socket), Some(addr)) = (self.socket, self.config.nodes.get(to)) {
-                net.send_to(socket, &bytes, *addr);
+            if let (Some(socket), Some(address)) = (self.socket, self.config.nodes.get(to)) {
+                net.send_to(socket, &bytes, *address);
             }
         }
     }
 }
 
-impl Service for Tier {
+impl Service for Gossip {
     fn name(&self) -> &'static str {
         "peers"
     }
 
     fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         let mut bytes = [0; message::LONGEST + 1];
-        for _ in 0..TURN {
-            let Some((len, from)) = context.net.receive(event.token, &mut bytes) else {
+        for _ in 0..DATAGRAMS_PER_TURN {
+            let Some((length, sender)) = context.net.receive(event.token, &mut bytes) else {
                 return;
             };
-            let Some(&from) = self.numbers.get(&from) else {
+            let Some(&node) = self.node_numbers.get(&sender) else {
                 continue;
             };
-            let told = self.peers.receive(now, from, &bytes[..len]);
-            let asked = told.and_then(|told| self.asked.answered(told.worker).zip(Some(told)));
-            if let Some((worker, told)) = asked {
-                context.core.told_held(now, worker, told.calls);
+            let Some(answer) = self.peers.receive(now, node, &bytes[..length]) else {
+                continue;
+            };
+            if let Some(worker) = self.questions.answered(answer.worker) {
+                context.core.told_held(now, worker, answer.calls);
             }
         }
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let again = self.socket.is_none().then_some(self.again);
-        [self.asked.next(), again, self.peers.next_wake()]
+        let bind_at = self.socket.is_none().then_some(self.bind_at);
+        [self.questions.next(), bind_at, self.peers.next_wake()]
             .into_iter()
             .flatten()
             .min()
     }
 
     fn wake(&mut self, now: Micros, context: &mut Context) {
-        if self.socket.is_none() && self.again <= now {
-            self.open(now, &mut context.net);
+        if self.socket.is_none() && self.bind_at <= now {
+            self.bind(now, &mut context.net);
         }
-        while let Some(worker) = self.asked.overdue(now) {
+        while let Some(worker) = self.questions.overdue(now) {
             self.peers.unanswered(worker);
             context.core.told_held(now, worker, None);
         }
@@ -110,14 +119,15 @@
 
     fn handle_probe(&mut self, now: Micros, worker: WorkerId, context: &mut Context) {
         match self.peers.ask(now, worker) {
-            Asked::Known(calls) => {
+            Asked::Known(attempts) => {
                 context.core.ask_held(worker);
-                context.core.told_held(now, worker, Some(calls));
+                context.core.told_held(now, worker, Some(attempts));
             }
             Asked::Sent if self.socket.is_some() => {
                 context.core.ask_held(worker);
-                if let Some(other) = self.asked.open(worker, now + WAITS) {
-                    context.core.told_held(now, other, None);
+                let deadline = now + ANSWER_TIMEOUT;
+                if let Some(dropped) = self.questions.open(worker, deadline) {
+                    context.core.told_held(now, dropped, None);
                 }
             }
             Asked::Sent | Asked::Nothing => {}
--- a/crates/node/src/logger.rs
+++ b/crates/node/src/logger.rs
@@ -4,9 +4,9 @@
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-struct Lines;
+struct StandardErrorLogger;
 
-impl Log for Lines {
+impl Log for StandardErrorLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
         metadata.level() <= log::max_level()
     }
@@ -15,13 +15,13 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        let now = now.unwrap_or_default().as_secs_f64();
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        let seconds = since_epoch.unwrap_or_default().as_secs_f64();
         let (level, module) = (record.level(), record.target());
         // A closed standard error is no reason to stop serving.
         let _ = writeln!(
             std::io::stderr().lock(),
-            "{now:.6} {level} {module}: {}",
+            "{seconds:.6} {level} {module}: {}",
             record.args()
         );
     }
@@ -31,6 +31,6 @@
 
 /// Starts logging at this level; a second call only sets the level.
 pub fn start(level: LevelFilter) {
-    let _ = log::set_logger(&Lines);
+    let _ = log::set_logger(&StandardErrorLogger);
     log::set_max_level(level);
 }
--- a/crates/node/src/node/builder.rs
+++ b/crates/node/src/node/builder.rs
@@ -20,7 +20,7 @@
 use crate::eureka::Eureka;
 use crate::federation::Federation;
 use crate::fleet::Fleet;
-use crate::gossip::Tier;
+use crate::gossip::Gossip;
 use crate::handover::{Handover, Message};
 use crate::net::{Net, Peer};
 use crate::placement::ForwardedJobs;
@@ -228,7 +228,7 @@
             return;
         };
         let peer = self.next_peer();
-        let gossip = Tier::new(config, peer, self.now, &mut self.context.net);
+        let gossip = Gossip::new(config, peer, self.now, &mut self.context.net);
         self.services.push(Box::new(gossip));
     }
 
