--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -2,13 +2,15 @@
 //! what is to be durable to the disk's thread, and tells the node what the fleet has agreed on.
 
 mod apply;
+pub(crate) mod config;
 mod voting;
 
 use crate::admin;
 use crate::clock::millis;
-use crate::config::AgreementConfig;
+use crate::context::Context;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::service::{Context, Service};
+use crate::service::Service;
+use config::ConsensusConfig;
 use marbledeck_consensus::wire::{self, Answer, Frame, Said, MOST_COMMANDS};
 use marbledeck_consensus::{Change, Command, Outcome, Reader, What};
 use marbledeck_dispatcher::Micros;
@@ -54,7 +56,7 @@
 }
 
 pub struct Agreement {
-    config: AgreementConfig,
+    config: ConsensusConfig,
     peer: Peer,
     /// This start: later ones have greater numbers.
     boot: u64,
@@ -88,7 +90,7 @@
     /// # Errors
     /// The address that voters connect to cannot be had. A store that cannot be used keeps this node from voting only.
     pub fn new(
-        config: AgreementConfig,
+        config: ConsensusConfig,
         peer: Peer,
         now: Micros,
         net: &mut Net,
@@ -191,7 +193,7 @@
                 Ok(Some(token)) => {
                     let ip = net.peer_addr(token).map(|addr| addr.ip());
                     let known = ip.is_some_and(|ip| self.config.from.contains(&ip));
-                    if known && self.guests.len() >= self.config.guests() {
+                    if known && self.guests.len() >= self.config.max_accepted() {
                         // One that has not said who it is makes room for one that may.
                         let silent = |(_, guest): &(&Token, &Guest)| guest.node.is_none();
                         let oldest = self.guests.iter().filter(silent).map(|(t, _)| *t).min();
@@ -199,7 +201,7 @@
                             self.let_go(now, token, net);
                         }
                     }
-                    if !known || self.guests.len() >= self.config.guests() {
+                    if !known || self.guests.len() >= self.config.max_accepted() {
                         log::warn!("agreement: a connection from {ip:?} is not heeded");
                         net.close(token);
                         continue;
@@ -411,7 +413,7 @@
         if self.question.is_some() || now < self.next_ask {
             return;
         }
-        self.next_ask = now + self.config.ask_every();
+        self.next_ask = now + self.config.poll_interval();
         let votes = self.voting.as_ref().is_some_and(Voting::takes_part);
         let to = match votes {
             true => None,
@@ -439,11 +441,11 @@
         let moves = moves.map(|(number, what)| self.command(number, What::Seats(what)));
         let change = self.changes.front().map(|(_, command)| command.clone());
         let commands: Vec<Command> = moves.into_iter().chain(change).collect();
-        let Some(reader) = &mut context.agreed.reader else {
+        let Some(reader) = &mut context.records.reader else {
             return;
         };
         let (question, known) = reader.ask(now);
-        let until = now + self.config.patience();
+        let until = now + self.config.answer_timeout();
         self.question = Some(Question {
             until,
             of: to.map(|(_, voter)| voter),
@@ -483,7 +485,7 @@
     }
 
     fn answered(&mut self, now: Micros, answer: Answer, context: &mut Context) {
-        let Some(reader) = &mut context.agreed.reader else {
+        let Some(reader) = &mut context.records.reader else {
             return;
         };
         if !reader.answered(now, &answer) {
@@ -510,8 +512,8 @@
                 self.next_ask = now;
             }
         }
-        context.agreed.readings += 1;
-        context.agreed.answer = answer;
+        context.records.readings += 1;
+        context.records.answer = answer;
     }
 
     /// Lets the voter work, and sends what it wants sent.
@@ -551,7 +553,7 @@
     /// What an operator is shown.
     fn records(&self, now: Micros, context: &Context) -> String {
         let mut text = String::new();
-        let Some(reader) = &context.agreed.reader else {
+        let Some(reader) = &context.records.reader else {
             return text;
         };
         for name in reader.names() {
@@ -620,7 +622,7 @@
         "agreement"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
+    fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         self.now = now;
         if event.listener {
             return self.accept(now, &mut context.net);
@@ -678,7 +680,7 @@
         self.ask(now, context);
     }
 
-    fn settled(&mut self, now: Micros, context: &mut Context) {
+    fn finish_turn(&mut self, now: Micros, context: &mut Context) {
         self.now = now;
         // What is answered may free the next question, and that one ask the voter again.
         for _ in 0..2 {
@@ -688,7 +690,7 @@
         self.applied.renew(now, context);
     }
 
-    fn operate(
+    fn handle_operator_call(
         &mut self,
         now: Micros,
         caller: Token,
@@ -706,7 +708,7 @@
         true
     }
 
-    fn reply(&mut self) -> Option<(Token, String)> {
+    fn next_operator_reply(&mut self) -> Option<(Token, String)> {
         self.replies.pop_front()
     }
 }
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -1,11 +1,14 @@
 //! The link to a Eureka registry: asks what `marbledeck-eureka` wants asked, hands it the answers as they come, and tells
 //! the membership of what it finds, a bounded part of it in each turn.
 
-use crate::config::EurekaConfig;
+pub(crate) mod config;
+
+use crate::context::Context;
 use crate::fleet::Fleet;
 use crate::net::http::{self, Body, ResponseHead};
 use crate::net::{Net, Peer, Ready, Token};
-use crate::service::{Context, Service};
+use crate::service::Service;
+use config::EurekaConfig;
 use marbledeck_dispatcher::Micros;
 use marbledeck_eureka::{
     AnswerFormat, Change, Encoding, Lease, LeaseRequest, LeaseSettings, Poll, PollSettings,
@@ -306,7 +309,7 @@
         "eureka"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
+    fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         let ours = self
             .call
             .as_ref()
@@ -339,7 +342,7 @@
         }
         self.backlog.extend(self.poll.take_changes());
         let told = self.tell(now, &mut context.fleet);
-        context.fleet.changed(now, told, &mut context.core);
+        context.fleet.apply_change(now, told, &mut context.core);
     }
 
     /// Another process renews the node's entry from now on: without a gap, and without a cancel.
@@ -352,7 +355,7 @@
         }
     }
 
-    fn end(&mut self, now: Micros) {
+    fn begin_shutdown(&mut self, now: Micros) {
         if let Some(own) = &mut self.own {
             own.lease.deregister(now);
         }
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -1,50 +1,61 @@
-//! The link to the other nodes of the tier: a service that carries the datagrams of `marbledeck-gossip`.
+//! The link to the other nodes: a service that carries the datagrams of `marbledeck-gossip`.
+
+pub(crate) mod config;
 
 use crate::clock::millis;
-use crate::config::PeersConfig;
+use crate::context::Context;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::service::{Context, Service};
+use crate::service::Service;
+use config::PeersConfig;
 use marbledeck_dispatcher::{Micros, WorkerId};
 use marbledeck_gossip::{message, InFlightGossip, PendingQueries, QueryOutcome};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long a probe's result waits for the keeper's answer: twice what datagrams take on the platform, and a little.
-const WAITS: Micros = millis(30);
+/// How long a probe's result waits for the answer of the worker's owner: twice what datagrams take on the platform, and a
+/// little.
+const ANSWER_TIMEOUT: Micros = millis(30);
 /// Datagrams read in one turn.
-const TURN: usize = 64;
+const DATAGRAMS_PER_TURN: usize = 64;
 /// How often an address that another process of this node still has is tried again.
-const AGAIN: Micros = millis(1000);
+const BIND_RETRY_INTERVAL: Micros = millis(1000);
 
-pub struct Tier {
+/// The service for gossip.
+pub struct Gossip {
     config: PeersConfig,
     /// The numbers of the nodes, by their addresses: what comes from elsewhere is dropped.
-    numbers: HashMap<SocketAddr, usize>,
+    node_numbers: HashMap<SocketAddr, usize>,
     peers: InFlightGossip,
+    /// For whom events of the socket are.
     peer: Peer,
     socket: Option<Token>,
-    again: Micros,
-    asked: PendingQueries,
+    /// When binding the socket is next tried.
+    bind_at: Micros,
+    /// The questions to owners that are not answered yet.
+    questions: PendingQueries,
 }
 
-impl Tier {
+impl Gossip {
+    /// Binds the socket; where that fails, it is tried again.
     pub fn new(config: PeersConfig, peer: Peer, now: Micros, net: &mut Net) -> Self {
         let numbers = config.nodes.iter().enumerate();
-        let mut tier = Tier {
-            numbers: numbers.map(|(n, addr)| (*addr, n)).collect(),
+        let mut gossip = Gossip {
+            node_numbers: numbers
+                .map(|(number, address)| (*address, number))
+                .collect(),
             peers: InFlightGossip::new(config.index, config.nodes.len(), now),
             peer,
             socket: None,
-            again: now,
-            asked: PendingQueries::default(),
+            bind_at: now,
+            questions: PendingQueries::default(),
             config,
         };
-        tier.open(now, net);
-        tier
+        gossip.bind(now, net);
+        gossip
     }
 
-    fn open(&mut self, now: Micros, net: &mut Net) {
-        self.again = now + AGAIN;
+    fn bind(&mut self, now: Micros, net: &mut Net) {
+        self.bind_at = now + BIND_RETRY_INTERVAL;
         match net.datagrams(self.config.listen, self.peer) {
             Ok(token) => self.socket = Some(token),
             Err(e) => log::warn!("peers: {}: {e}; tried again", self.config.listen),
@@ -53,79 +64,85 @@
 
     fn flush(&mut self, net: &mut Net) {
         while let Some((to, bytes)) = self.peers.next_datagram() {
-            if let (Some(socket), Some(addr)) = (self.socket, self.config.nodes.get(to)) {
-                net.send_to(socket, &bytes, *addr);
+            if let (Some(socket), Some(address)) = (self.socket, self.config.nodes.get(to)) {
+                net.send_to(socket, &bytes, *address);
             }
         }
     }
 }
 
-impl Service for Tier {
+impl Service for Gossip {
     fn name(&self) -> &'static str {
         "peers"
     }
 
-    fn ready(&mut self, now: Micros, event: Ready, context: &mut Context) {
+    fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         let mut bytes = [0; message::MAX_LENGTH + 1];
-        for _ in 0..TURN {
-            let Some((len, from)) = context.net.receive(event.token, &mut bytes) else {
+        for _ in 0..DATAGRAMS_PER_TURN {
+            let Some((length, sender)) = context.net.receive(event.token, &mut bytes) else {
                 return;
             };
-            let Some(&from) = self.numbers.get(&from) else {
+            let Some(&node) = self.node_numbers.get(&sender) else {
+                continue;
+            };
+            let Some(answer) = self.peers.receive(now, node, &bytes[..length]) else {
                 continue;
             };
-            let told = self.peers.receive(now, from, &bytes[..len]);
-            let asked = told.and_then(|told| self.asked.take_answered(told.worker).zip(Some(told)));
-            if let Some((worker, told)) = asked {
-                context.core.told_held(now, worker, told.in_flight);
+            if let Some(worker) = self.questions.take_answered(answer.worker) {
+                context.core.told_held(now, worker, answer.in_flight);
             }
         }
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let again = self.socket.is_none().then_some(self.again);
-        [self.asked.next_deadline(), again, self.peers.next_wake()]
-            .into_iter()
-            .flatten()
-            .min()
+        let bind_at = self.socket.is_none().then_some(self.bind_at);
+        [
+            self.questions.next_deadline(),
+            bind_at,
+            self.peers.next_wake(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     fn wake(&mut self, now: Micros, context: &mut Context) {
-        if self.socket.is_none() && self.again <= now {
-            self.open(now, &mut context.net);
+        if self.socket.is_none() && self.bind_at <= now {
+            self.bind(now, &mut context.net);
         }
-        while let Some(worker) = self.asked.take_overdue(now) {
+        while let Some(worker) = self.questions.take_overdue(now) {
             self.peers.mark_owner_silent(worker);
             context.core.told_held(now, worker, None);
         }
         self.peers.wake(now);
     }
 
-    fn settled(&mut self, _now: Micros, context: &mut Context) {
+    fn finish_turn(&mut self, _now: Micros, context: &mut Context) {
         self.flush(&mut context.net);
     }
 
-    fn probes(&mut self, now: Micros, worker: WorkerId, context: &mut Context) {
+    fn handle_probe(&mut self, now: Micros, worker: WorkerId, context: &mut Context) {
         match self.peers.query(now, worker) {
-            QueryOutcome::Known(calls) => {
+            QueryOutcome::Known(attempts) => {
                 context.core.ask_held(worker);
-                context.core.told_held(now, worker, Some(calls));
+                context.core.told_held(now, worker, Some(attempts));
             }
             QueryOutcome::Sent if self.socket.is_some() => {
                 context.core.ask_held(worker);
-                if let Some(other) = self.asked.insert(worker, now + WAITS) {
-                    context.core.told_held(now, other, None);
+                let deadline = now + ANSWER_TIMEOUT;
+                if let Some(dropped) = self.questions.insert(worker, deadline) {
+                    context.core.told_held(now, dropped, None);
                 }
             }
             QueryOutcome::Sent | QueryOutcome::Unavailable => {}
         }
     }
 
-    fn called(&mut self, now: Micros, worker: WorkerId) {
+    fn handle_attempt_start(&mut self, now: Micros, worker: WorkerId) {
         self.peers.record_send(now, worker);
     }
 
-    fn came_back(&mut self, now: Micros, worker: WorkerId) {
+    fn handle_attempt_end(&mut self, now: Micros, worker: WorkerId) {
         self.peers.record_end(now, worker);
     }
 }
