--- a/crates/node/src/admin/figures.rs
+++ b/crates/node/src/admin/figures.rs
@@ -37,7 +37,7 @@
 pub fn text(core: &Core, listed: usize, avoided: usize) -> String {
     let mut text = String::new();
     let counts = core.counts();
-    for (name, class) in core.catalogue().names().zip(&counts.classes) {
+    for (name, class) in core.names().class_names().zip(&counts.classes) {
         let totals = [
             ("ok", class.served),
             ("shed", class.rejected),
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -101,7 +101,7 @@
     pub fn wake(&mut self, now: Micros, net: &mut Net) {
         if self.resting.is_some_and(|until| until <= now) {
             self.resting = None;
-            net.listening(self.listener, true);
+            net.set_accepting(self.listener, true);
         }
         while let Some((_, token)) = self.callers.pop_front_if(|(until, _)| *until <= now) {
             net.close(token);
@@ -119,7 +119,7 @@
                 Err(e) => {
                     // The loop would turn without end on a caller that it cannot take.
                     log::warn!("operators: {e}");
-                    net.listening(self.listener, false);
+                    net.set_accepting(self.listener, false);
                     self.resting = Some(now + REST);
                     return;
                 }
@@ -130,11 +130,11 @@
     /// Sees to it that one more caller is no more than there may be: one that has its answer goes first, then the
     /// one that has been silent for longest.
     fn make_room(&mut self, net: &mut Net) {
-        if self.callers.len() + net.leaving(Peer::Operator) < self.most {
+        if self.callers.len() + net.closing_count(Peer::Operator) < self.most {
             return;
         }
-        if net.leaving(Peer::Operator) > 0 {
-            net.hasten(Peer::Operator);
+        if net.closing_count(Peer::Operator) > 0 {
+            net.close_oldest_lingering(Peer::Operator);
         } else if let Some((_, token)) = self.callers.pop_front() {
             net.close(token);
         }
--- a/crates/node/src/clients/intake.rs
+++ b/crates/node/src/clients/intake.rs
@@ -1,7 +1,7 @@
 //! A consumer's request as an order for the core, and the checks that need no settings.
 
-use crate::core::{Order, Work};
-use crate::net::http::{Fault, RequestHead};
+use crate::core::{NewRequest, Payload};
+use crate::net::http::{ParseError, RequestHead};
 use marbledeck_dispatcher::Micros;
 
 /// The longest that a consumer may say it waits.
@@ -13,12 +13,12 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Notice(pub u16, pub String);
 
-impl From<Fault> for Notice {
-    fn from(fault: Fault) -> Self {
+impl From<ParseError> for Notice {
+    fn from(fault: ParseError) -> Self {
         let status = match fault {
-            Fault::Malformed(_) => 400,
-            Fault::HeadTooLong => 431,
-            Fault::BodyTooLong => 413,
+            ParseError::Malformed(_) => 400,
+            ParseError::HeadTooLong => 431,
+            ParseError::BodyTooLong => 413,
         };
         Notice(status, fault.to_string())
     }
@@ -44,7 +44,7 @@
 }
 
 /// What is asked for, without its body.
-pub fn order(head: &RequestHead) -> Result<Order<'_>, Notice> {
+pub fn order(head: &RequestHead) -> Result<NewRequest<'_>, Notice> {
     let txn = named(head, "X-Txn")?.ok_or_else(|| bad("X-Txn is missing"))?;
     if !passes(&head.target) || !head.target.starts_with('/') {
         return Err(bad("the target wants a path"));
@@ -79,7 +79,7 @@
     let hint = hint
         .and_then(|ms| ms.parse::<f64>().ok())
         .filter(|ms| *ms > 0.0);
-    Ok(Order {
+    Ok(NewRequest {
         class,
         tenant: head.fields.get("X-Org"),
         time_left: Micros(remaining.min(LONGEST_MS) * 1000),
@@ -87,8 +87,8 @@
         slots,
         memory,
         licences,
-        work: Work {
-            txn,
+        payload: Payload {
+            transaction_id: txn,
             key: named(head, "Idempotency-Key")?,
             method: head.method.clone(),
             target: head.target.clone(),
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -3,7 +3,7 @@
 mod intake;
 
 use crate::clock::millis;
-use crate::core::{Core, Malformed, Verdict};
+use crate::core::{Core, FinalAnswer, RequestError};
 use crate::net::http::{self, Body, RequestHead};
 use crate::net::{Net, Peer, Token};
 use intake::Notice;
@@ -53,7 +53,7 @@
     accepted: Micros,
     /// Its place among those that can be spared; none while its request waits for an answer.
     spare: Option<(Spare, u64)>,
-    /// Counts its requests, so that an entry of [`Consumers::due`] is known to be out of date.
+    /// Counts its requests, so that an entry of [`Clients::due`] is known to be out of date.
     request: u64,
     /// What its body may take of the pot.
     held: usize,
@@ -66,7 +66,7 @@
     }
 }
 
-pub struct Consumers {
+pub struct Clients {
     pub listener: Token,
     pub addr: SocketAddr,
     /// Connections that may be held.
@@ -79,26 +79,26 @@
     /// When the request of this number must have come wholly, the earliest first.
     due: VecDeque<(Micros, Token, u64)>,
     /// Bytes that bodies over [`SMALL`] may take together, and what those take that have not wholly come.
-    pub pot: usize,
+    pub body_budget: usize,
     held: usize,
     resting: Option<Micros>,
     /// The process is to end: no connection is kept.
-    pub ending: bool,
+    pub draining: bool,
     /// Another process of this node serves, and takes the connections.
     succeeded: bool,
 }
 
-impl Consumers {
+impl Clients {
     /// Listens at this address, on the socket that was handed on for it if there is one.
     pub fn new(
         addr: SocketAddr,
         handed: Option<OwnedFd>,
         most: usize,
-        pot: usize,
+        body_budget: usize,
         net: &mut Net,
     ) -> io::Result<Self> {
-        let (listener, addr) = net.listen(addr, handed, Peer::Consumer)?;
-        Ok(Consumers {
+        let (listener, addr) = net.listen(addr, handed, Peer::Client)?;
+        Ok(Clients {
             listener,
             addr,
             most,
@@ -107,10 +107,10 @@
             spare: BTreeMap::new(),
             turns: 0,
             due: VecDeque::new(),
-            pot,
+            body_budget,
             held: 0,
             resting: None,
-            ending: false,
+            draining: false,
             succeeded: false,
         })
     }
@@ -123,7 +123,7 @@
     pub fn wake(&mut self, now: Micros, net: &mut Net) {
         if self.resting.is_some_and(|until| until <= now) {
             self.resting = None;
-            net.listening(self.listener, !self.succeeded);
+            net.set_accepting(self.listener, !self.succeeded);
         }
         while let Some((_, token, request)) = self.due.pop_front_if(|(at, ..)| *at <= now) {
             match self.open.get(&token) {
@@ -139,7 +139,7 @@
     /// Takes the connections that wait, as many as may be held.
     pub fn accept(&mut self, now: Micros, net: &mut Net) {
         for _ in 0..ACCEPTS {
-            if self.open.len() + net.leaving(Peer::Consumer) >= self.most
+            if self.open.len() + net.closing_count(Peer::Client) >= self.most
                 && !self.make_room(now, net)
             {
                 return self.rest(now, net);
@@ -173,17 +173,17 @@
     /// Leaves new connections to the process that replaces this one, or takes them again where that one is lost.
     pub fn set_succeeded(&mut self, succeeded: bool, net: &mut Net) {
         self.succeeded = succeeded;
-        net.listening(self.listener, !succeeded && self.resting.is_none());
+        net.set_accepting(self.listener, !succeeded && self.resting.is_none());
     }
 
     /// How many connections may be held from now on; what is idle beyond that is closed.
-    pub fn set_most(&mut self, now: Micros, most: usize, net: &mut Net) {
+    pub fn set_max_connections(&mut self, now: Micros, most: usize, net: &mut Net) {
         self.most = most;
         while self.open.len() > most && self.make_room(now, net) {}
     }
 
     fn rest(&mut self, now: Micros, net: &mut Net) {
-        net.listening(self.listener, false);
+        net.set_accepting(self.listener, false);
         self.resting = Some(now + REST);
     }
 
@@ -192,8 +192,8 @@
     /// a new one while there is any other: its request is on the way, and among many that have asked once and stay
     /// each new consumer would else make room for the next before it is heard.
     fn make_room(&mut self, now: Micros, net: &mut Net) -> bool {
-        if net.leaving(Peer::Consumer) > 0 {
-            net.hasten(Peer::Consumer);
+        if net.closing_count(Peer::Client) > 0 {
+            net.close_oldest_lingering(Peer::Client);
             return true;
         }
         let found = self.to_spare(now, false, net);
@@ -205,7 +205,7 @@
         let mut spare = self.spare.iter();
         let found = spare.find(|((spare, _), token)| {
             let old = self.open.get(token).is_some_and(|c| !c.is_young(now));
-            (old || young) && (*spare == Spare::HalfRead || net.is_quiet(**token))
+            (old || young) && (*spare == Spare::HalfRead || net.is_reusable(**token))
         });
         found.map(|(_, token)| *token)
     }
@@ -246,7 +246,7 @@
     }
 
     /// Something has come on a consumer's connection, or it is closed.
-    pub fn ready(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
+    pub fn handle_ready(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
         let Some(conn) = net.get(token) else {
             return;
         };
@@ -261,14 +261,20 @@
         let gone = self.forget(token);
         net.close(token);
         if let Some(Stage::Waiting(id, _)) = gone.map(|c| c.stage) {
-            core.gone(now, id);
+            core.handle_client_left(now, id);
         }
     }
 
     /// Looks which of the consumers of these invocations have gone.
-    pub fn look(&mut self, now: Micros, ids: Vec<RequestId>, net: &mut Net, core: &mut Core) {
+    pub fn drop_departed(
+        &mut self,
+        now: Micros,
+        ids: Vec<RequestId>,
+        net: &mut Net,
+        core: &mut Core,
+    ) {
         let asked = ids.iter().filter_map(|id| self.waiting.get(id).copied());
-        for token in net.ended(asked.collect()) {
+        for token in net.closed_by_peer(asked.collect()) {
             self.gone(now, token, net, core);
         }
     }
@@ -332,7 +338,7 @@
                 Err(fault) => return self.turn_down(token, &fault.into(), net),
             }
             let large = self.open.get(&token).is_some_and(|c| c.held > 0);
-            if large && self.held + core.held() > self.pot {
+            if large && self.held + core.body_bytes() > self.body_budget {
                 let notice = Notice(503, "too many large bodies".into());
                 return self.turn_down(token, &notice, net);
             }
@@ -357,20 +363,20 @@
         };
         consumer.request += 1;
         self.held -= std::mem::take(&mut consumer.held);
-        let keep = head.keep_alive && !self.ending;
+        let keep = head.keep_alive && !self.draining;
         let path = head.target.split('?').next().unwrap_or_default();
         let taken = match (head.method.as_str(), path) {
             ("GET" | "HEAD", "/ready") => Err(self.readiness(core)),
             (_, "/ready") => Err(Notice(405, "only GET".into())),
             ("POST", _) => intake::order(&head).and_then(|mut order| {
-                order.work.body = content;
-                core.take_in(now, order)
+                order.payload.body = content;
+                core.accept_request(now, order)
                     .map_err(|malformed| match malformed {
                         // Nothing of it has run: coming back is harmless.
-                        Malformed::TooMany | Malformed::NoSeat(_) => {
+                        RequestError::TooMany | RequestError::NoSeat(_) => {
                             Notice(503, malformed.to_string())
                         }
-                        Malformed::IdOpen => Notice(409, malformed.to_string()),
+                        RequestError::IdOpen => Notice(409, malformed.to_string()),
                         _ => Notice(400, malformed.to_string()),
                     })
             }),
@@ -403,7 +409,7 @@
 
     fn readiness(&self, core: &Core) -> Notice {
         // Where a successor serves the address, the node is ready: a front must not be turned away from it.
-        match (self.ending && !self.succeeded, core.has_workers()) {
+        match (self.draining && !self.succeeded, core.has_workers()) {
             (true, _) => Notice(503, "ending".into()),
             (_, false) => Notice(503, "no worker is known".into()),
             _ => Notice(200, "ready".into()),
@@ -411,11 +417,11 @@
     }
 
     /// The final answer of an invocation; false where it is none of this front's.
-    pub fn answer(
+    pub fn send_answer(
         &mut self,
         now: Micros,
         id: RequestId,
-        verdict: &Verdict,
+        verdict: &FinalAnswer,
         net: &mut Net,
         core: &mut Core,
     ) -> bool {
@@ -423,11 +429,11 @@
             return false;
         };
         let stage = self.open.get(&token).map(|c| &c.stage);
-        let keep = matches!(stage, Some(Stage::Waiting(_, true))) && !self.ending;
+        let keep = matches!(stage, Some(Stage::Waiting(_, true))) && !self.draining;
         let (status, retry, body): (_, _, &[u8]) = match verdict {
-            Verdict::Served(result) => (200, None, result),
-            Verdict::Rejected(retry) => (429, *retry, b"come back later"),
-            Verdict::Failed => (502, None, b"failed"),
+            FinalAnswer::Served(result) => (200, None, result),
+            FinalAnswer::Rejected(retry) => (429, *retry, b"come back later"),
+            FinalAnswer::Failed => (502, None, b"failed"),
         };
         let reply = Reply {
             status,
@@ -488,15 +494,15 @@
         let idle = idle.filter(|(_, c)| matches!(c.stage, Stage::Idle) && !c.is_young(now));
         let idle: Vec<Token> = idle.map(|(token, _)| *token).collect();
         for token in idle {
-            if net.is_quiet(token) {
+            if net.is_reusable(token) {
                 self.forget(token);
-                net.rest(token);
+                net.shut_down_idle(token);
             }
         }
     }
 
     /// Closes the connections on which a request has not wholly come: it was not taken.
-    pub fn drop_half_read(&mut self, net: &mut Net) {
+    pub fn drop_incomplete(&mut self, net: &mut Net) {
         let unread = |c: &Consumer| !matches!(c.stage, Stage::Waiting(..));
         let all = self.open.iter().filter(|(_, c)| unread(c));
         for token in all.map(|(token, _)| *token).collect::<Vec<_>>() {
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,7 @@
 //! The one place where configuration is read, checked and given defaults: the environment, the file at
 //! `LB_CONFIG` and the front's file under `deploy/`. Every error names the key.
 
-use crate::core::Catalogue;
+use crate::core::NameRegistry;
 use crate::discovery::Listing;
 use marbledeck_consensus::Terms;
 use marbledeck_dispatcher::{CellId, Micros, Settings};
@@ -106,7 +106,7 @@
     /// The settings as they are written, and what they mean to the module.
     pub facts: PlatformSettings,
     pub settings: Settings,
-    pub catalogue: Catalogue,
+    pub catalogue: NameRegistry,
     pub reads: ReportFields,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -217,7 +217,7 @@
             seed,
             known: file.known,
             peers,
-            catalogue: Catalogue::new(&facts, &settings),
+            catalogue: NameRegistry::new(&facts, &settings),
             reads: facts.report_fields(),
             reports: settings.load_reporting != marbledeck_dispatcher::LoadReporting::Never,
             settings,
--- a/crates/node/src/consensus/apply.rs
+++ b/crates/node/src/consensus/apply.rs
@@ -119,14 +119,14 @@
             });
         }
         if let Some(rates) = rates {
-            let usual = self.usual.get_or_insert_with(|| context.core.rates());
-            let names = context.core.catalogue().tenants().iter().zip(&*usual);
+            let usual = self.usual.get_or_insert_with(|| context.core.quotas());
+            let names = context.core.names().tenants().iter().zip(&*usual);
             // Whom the record does not name, or no more, has what the settings give.
             let quotas: Vec<Option<f64>> = names
                 .map(|(name, usual)| rates.get(name).copied().or(*usual))
                 .collect();
             if self.rates.as_ref().unwrap_or(usual) != &quotas {
-                context.core.set_rates(now, &quotas);
+                context.core.set_quotas(now, &quotas);
                 self.rates = Some(quotas);
             }
         }
--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -214,7 +214,7 @@
                 }
                 Err(e) => {
                     log::warn!("agreement: accept: {e}");
-                    net.listening(listener, false);
+                    net.set_accepting(listener, false);
                     self.resting = Some(now + REST);
                     return;
                 }
@@ -238,9 +238,9 @@
             .find(|known| known.number == voter)?
             .address;
         let token = net.connect(addr, self.peer).ok()?;
-        net.widen(token, HELD);
+        net.raise_buffer_limit(token, HELD);
         // What a machine that has vanished never acknowledges: the connection ends, and another is tried.
-        net.give_up_after(token, self.config.terms.lease);
+        net.set_user_timeout(token, self.config.terms.lease);
         self.hosts.insert(token, Host { voter });
         let own = self
             .voting
@@ -331,7 +331,7 @@
                     }
                     guest.node = Some(node);
                     let held = if voter.is_some() { HELD } else { HELD_OF_NODE };
-                    context.net.widen(token, held);
+                    context.net.raise_buffer_limit(token, held);
                     // An earlier connection of the same node is one that it has given up: it may never end by itself.
                     let earlier = |(t, g): &(&Token, &Guest)| **t != token && g.node == Some(node);
                     let earlier = self.guests.iter().filter(earlier).map(|(t, _)| *t);
@@ -654,7 +654,7 @@
         if self.resting.is_some_and(|until| until <= now) {
             self.resting = None;
             if let Some(listener) = self.listener {
-                context.net.listening(listener, true);
+                context.net.set_accepting(listener, true);
             }
         }
         for token in std::mem::take(&mut self.waiting) {
--- a/crates/node/src/core/accounting.rs
+++ b/crates/node/src/core/accounting.rs
@@ -1,6 +1,6 @@
 //! Stage 6, book: the final answer, given once, and the counts.
 
-use super::{Command, Core, Verdict};
+use super::{Command, Core, FinalAnswer};
 use marbledeck_dispatcher::{ClassId, Outcome, RequestId};
 use std::fmt;
 
@@ -74,7 +74,7 @@
 
 impl Core {
     /// Gives the final answer unless there has been one; tells whether it was given.
-    pub(super) fn finish(&mut self, id: RequestId, verdict: Verdict) -> bool {
+    pub(super) fn finish(&mut self, id: RequestId, verdict: FinalAnswer) -> bool {
         if !self.table.answer(id) {
             return false;
         }
@@ -84,19 +84,22 @@
         let sent = invocation.and_then(|i| i.last_sent());
         if let Some(class) = class.and_then(|class| self.counts.class(class)) {
             match verdict {
-                Verdict::Served(_) => class.served += 1,
-                Verdict::Rejected(_) => class.rejected += 1,
-                Verdict::Failed => class.failed += 1,
+                FinalAnswer::Served(_) => class.served += 1,
+                FinalAnswer::Rejected(_) => class.rejected += 1,
+                FinalAnswer::Failed => class.failed += 1,
             }
         }
-        self.commands
-            .push_back(Command::Answer { id, verdict, sent });
+        self.commands.push_back(Command::Answer {
+            request: id,
+            answer: verdict,
+            last_sent: sent,
+        });
         self.table.forget(id);
         true
     }
 
     /// The last byte of a call has been written to its worker: only then is it one that the worker can have.
-    pub fn call_written(&mut self, id: RequestId) {
+    pub fn handle_attempt_written(&mut self, id: RequestId) {
         let class = self.table.get(id).map(|i| i.class);
         if let Some(class) = class.and_then(|class| self.counts.class(class)) {
             class.written += 1;
@@ -104,8 +107,8 @@
     }
 
     /// The totals of each class, in a line for the log.
-    pub fn by_class(&self) -> String {
-        let named = self.catalogue.names().zip(&self.counts.classes);
+    pub fn class_summary(&self) -> String {
+        let named = self.catalogue.class_names().zip(&self.counts.classes);
         let words = named.map(|(name, c)| {
             let (served, rejected) = (c.served, c.rejected);
             let (failed, written) = (c.failed, c.written);
--- a/crates/node/src/core/admission.rs
+++ b/crates/node/src/core/admission.rs
@@ -1,21 +1,21 @@
 //! Stage 2, admit: the dispatcher's word on an invocation that it does not serve, carried out at once. The node
 //! neither overrides nor delays it.
 
-use super::{Core, Verdict};
+use super::{Core, FinalAnswer};
 use marbledeck_dispatcher::{Event, Micros, RequestId, WorkerListKind};
 
 impl Core {
     pub(super) fn reject(&mut self, id: RequestId, come_back: Option<Micros>) {
-        self.finish(id, Verdict::Rejected(come_back));
+        self.finish(id, FinalAnswer::Rejected(come_back));
     }
 
     pub(super) fn fail(&mut self, id: RequestId) {
-        self.finish(id, Verdict::Failed);
+        self.finish(id, FinalAnswer::Failed);
     }
 
     /// The consumer has left: no answer is owed any more. Calls that are out come back as they will. Tells the
     /// last send that may have run.
-    pub fn gone(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
+    pub fn handle_client_left(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
         let sent = self.table.get(id).and_then(|i| i.last_sent());
         if self.table.answer(id) {
             self.counts.gone += 1;
@@ -27,21 +27,21 @@
     }
 
     /// Takes an invocation back for which no call was ever made: it gets no answer. Tells whether it could be.
-    pub fn recall(&mut self, now: Micros, id: RequestId) -> bool {
+    pub fn cancel_if_unsent(&mut self, now: Micros, id: RequestId) -> bool {
         let unsent = self
             .table
             .get(id)
             .is_some_and(|i| !i.answered && i.calls.is_empty());
         if unsent {
-            self.gone(now, id);
+            self.handle_client_left(now, id);
         }
         unsent
     }
 
     /// Ends all that is still open, since the process is about to be killed: a consumer that hears so can come back to
     /// the process that has replaced this one. The dispatcher says how each ends, as it does where no worker is left.
-    pub fn settle(&mut self, now: Micros) {
-        self.listed(now, WorkerListKind::Full, Vec::new());
+    pub fn end_open_requests(&mut self, now: Micros) {
+        self.apply_worker_list(now, WorkerListKind::Full, Vec::new());
         for id in self.table.open() {
             let calls = self.table.get(id).map_or(0, |i| i.calls.len());
             for attempt in 0..calls as u32 {
@@ -56,7 +56,7 @@
     /// Guards the rule that nothing taken is lost: the attempts' time-outs, due before, have let the dispatcher
     /// answer; one that has said nothing by now is answered for it.
     pub(super) fn overdue(&mut self, id: RequestId) {
-        if self.finish(id, Verdict::Failed) {
+        if self.finish(id, FinalAnswer::Failed) {
             log::error!("invocation {} had no answer at its deadline", id.0);
             self.pending.push_back(Event::ClientLeft(id));
         }
--- a/crates/node/src/core/attempts.rs
+++ b/crates/node/src/core/attempts.rs
@@ -1,7 +1,7 @@
 //! Stage 4, send: hands a call to the worker links and sees to its time-out and its withdrawal.
 
 use super::timers::Due;
-use super::{Command, Core, InvokerCall};
+use super::{AttemptCommand, Command, Core};
 use marbledeck_dispatcher::{Micros, Outcome, RequestId};
 
 impl Core {
@@ -11,18 +11,19 @@
         };
         let until = invocation.deadline;
         let worker = invocation.calls[attempt as usize].worker;
-        let work = invocation.work.clone();
+        let work = invocation.payload.clone();
         self.timers.add(until, Due::Attempt(id, attempt));
         self.counts.calls += 1;
         log::trace!("call {}.{attempt} to {:016x}", id.0, worker.0);
-        self.commands.push_back(Command::Call(InvokerCall {
-            id,
-            attempt,
-            worker,
-            work,
-            until,
-            latest,
-        }));
+        self.commands
+            .push_back(Command::StartAttempt(AttemptCommand {
+                request: id,
+                attempt,
+                worker,
+                payload: work,
+                deadline: until,
+                send_before: latest,
+            }));
     }
 
     pub(super) fn time_out(&mut self, now: Micros, id: RequestId, attempt: u32) {
@@ -35,7 +36,10 @@
 
     fn stop_waiting(&mut self, now: Micros, id: RequestId, attempt: u32, outcome: Outcome) {
         if self.table.out(id, attempt).is_some() {
-            self.commands.push_back(Command::GiveUp { id, attempt });
+            self.commands.push_back(Command::CancelAttempt {
+                request: id,
+                attempt,
+            });
             self.back(now, id, attempt, outcome, None);
         }
     }
--- a/crates/node/src/core/licensing.rs
+++ b/crates/node/src/core/licensing.rs
@@ -2,7 +2,7 @@
 //! there is none is one that could not be made. Which worker, whether to repeat and what to refuse stays with the
 //! decision module.
 
-use super::{Catalogue, Core, Malformed};
+use super::{Core, NameRegistry, RequestError};
 use crate::config::SeatsConfig;
 use marbledeck_dispatcher::{ClassId, Micros, Outcome, RequestId};
 use marbledeck_licensing::{Desk, Licence};
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// It names a class that the platform's settings do not.
-    pub fn new(config: SeatsConfig, catalogue: &Catalogue) -> Result<Self, String> {
+    pub fn new(config: SeatsConfig, catalogue: &NameRegistry) -> Result<Self, String> {
         let SeatsConfig {
             licences,
             classes,
@@ -47,17 +47,17 @@
             let names = classes.get(class).into_iter().flatten();
             names.filter_map(|name| desk.licence(name)).collect()
         };
-        let by_class = catalogue.names().map(of).collect();
+        let by_class = catalogue.class_names().map(of).collect();
         Ok(Licensing { desk, by_class })
     }
 
     /// The licences of a job: those of its class, and those that it names. Each once and in one order.
-    fn needs(&self, class: ClassId, tenant: usize, named: &[&str]) -> Result<Needs, Malformed> {
+    fn needs(&self, class: ClassId, tenant: usize, named: &[&str]) -> Result<Needs, RequestError> {
         let of_class = self.by_class.get(class.0 as usize);
         let mut licences = of_class.cloned().unwrap_or_default();
         for name in named {
             let known = self.desk.licence(name);
-            licences.push(known.ok_or_else(|| Malformed::UnknownLicence((*name).to_owned()))?);
+            licences.push(known.ok_or_else(|| RequestError::UnknownLicence((*name).to_owned()))?);
         }
         licences.sort_unstable();
         licences.dedup();
@@ -80,17 +80,17 @@
         class: ClassId,
         tenant: usize,
         named: &[&str],
-    ) -> Result<Needs, Malformed> {
+    ) -> Result<Needs, RequestError> {
         let Some(licensing) = &mut self.licensing else {
             return match named.first() {
-                Some(name) => Err(Malformed::UnknownLicence((*name).to_owned())),
+                Some(name) => Err(RequestError::UnknownLicence((*name).to_owned())),
                 None => Ok(Needs::default()),
             };
         };
         let needs = licensing.needs(class, tenant, named)?;
         match licensing.desk.look(now, &needs.licences, needs.tenant) {
             Ok(()) => Ok(needs),
-            Err(why) => Err(Malformed::NoSeat(why)),
+            Err(why) => Err(RequestError::NoSeat(why)),
         }
     }
 
@@ -127,13 +127,13 @@
     }
 
     /// Whether the calls of this invocation need seats.
-    pub fn is_seated(&mut self, id: RequestId) -> bool {
+    pub fn needs_seats(&mut self, id: RequestId) -> bool {
         let invocation = self.table.get(id);
         invocation.is_some_and(|i| !i.needs.licences.is_empty())
     }
 
     /// Until when calls that need seats may begin.
-    pub fn seated_until(&self) -> Option<Micros> {
+    pub fn seats_valid_until(&self) -> Option<Micros> {
         self.licensing
             .as_ref()
             .map(|licensing| licensing.desk.until())
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -15,7 +15,7 @@
 mod validation;
 
 pub use accounting::{ClassCounts, Counts};
-pub use validation::{Catalogue, Malformed, Order};
+pub use validation::{NameRegistry, NewRequest, RequestError};
 
 use marbledeck_dispatcher::{
     Action, Dispatcher, Event, LoadReport, Micros, Outcome, RequestId, Settings, SettingsError,
@@ -29,9 +29,9 @@
 
 /// What a worker is handed, unchanged by the node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Work {
+pub struct Payload {
     /// The consumer's id of this try.
-    pub txn: String,
+    pub transaction_id: String,
     /// The key by which workers drop repeats.
     pub key: Option<String>,
     /// How and on what it is to be done: opaque to the core.
@@ -44,7 +44,7 @@
 
 /// The final answer of an invocation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum FinalAnswer {
     /// The result that a worker gave for it.
     Served(Vec<u8>),
     /// Trying again is harmless, perhaps after this time.
@@ -53,58 +53,59 @@
     Failed,
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for FinalAnswer {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Verdict::Served(_) => f.write_str("served"),
-            Verdict::Rejected(None) => f.write_str("rejected"),
-            Verdict::Rejected(Some(wait)) => write!(f, "rejected for {} ms", wait.0 / 1000),
-            Verdict::Failed => f.write_str("failed"),
+            FinalAnswer::Served(_) => f.write_str("served"),
+            FinalAnswer::Rejected(None) => f.write_str("rejected"),
+            FinalAnswer::Rejected(Some(wait)) => write!(f, "rejected for {} ms", wait.0 / 1000),
+            FinalAnswer::Failed => f.write_str("failed"),
         }
     }
 }
 
 /// One attempt of an invocation at a worker.
 #[derive(Clone, Debug)]
-pub struct InvokerCall {
-    pub id: RequestId,
+pub struct AttemptCommand {
+    pub request: RequestId,
+    /// The number of the attempt; the first is 0.
     pub attempt: u32,
     pub worker: WorkerId,
-    pub work: Rc<Work>,
-    pub until: Micros,
-    /// Its last byte has to leave before, if it is to leave at all.
-    pub latest: Option<Micros>,
+    pub payload: Rc<Payload>,
+    pub deadline: Micros,
+    /// Its last byte has to leave before this time, if it is to leave at all.
+    pub send_before: Option<Micros>,
 }
 
 /// What the fronts and the worker links are to do.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Make an invoker call, to be answered by one [`Core::call_ended`].
-    Call(InvokerCall),
+    /// Make an invoker call, to be answered by one [`Core::handle_attempt_ended`].
+    StartAttempt(AttemptCommand),
     /// Stop waiting for a call. Nothing more is to be told of it.
-    GiveUp { id: RequestId, attempt: u32 },
-    /// Ask a worker for its load, to be answered by one [`Core::probed`].
-    Probe(WorkerId),
+    CancelAttempt { request: RequestId, attempt: u32 },
+    /// Ask a worker for its load, to be answered by one [`Core::handle_probe_result`].
+    ProbeWorker(WorkerId),
     /// A call to this worker has ended, however.
-    CameBack(WorkerId),
+    AttemptEnded(WorkerId),
     /// Watch the directory.
-    Watch,
-    /// The final answer, once for each invocation; `sent` is the last send that may have run.
+    WatchWorkers,
+    /// The final answer, once for each invocation; `last_sent` is the last send that may have run.
     Answer {
-        id: RequestId,
-        verdict: Verdict,
-        sent: Option<Micros>,
+        request: RequestId,
+        answer: FinalAnswer,
+        last_sent: Option<Micros>,
     },
     /// A worker has begun to run the invocation.
-    Running(RequestId, WorkerId),
+    RequestRunning(RequestId, WorkerId),
     /// It ran, has come back without a final answer, and no worker runs it now.
-    Requeued(RequestId),
+    RequestRequeued(RequestId),
 }
 
 /// All that the node decides and remembers of its invocations.
 pub struct Core {
     dispatcher: Dispatcher,
-    catalogue: Catalogue,
+    catalogue: NameRegistry,
     attempts: u32,
     table: Table,
     timers: Timers,
@@ -132,7 +133,7 @@
 impl Core {
     pub fn new(
         settings: Settings,
-        catalogue: Catalogue,
+        catalogue: NameRegistry,
         seed: u64,
         now: Micros,
     ) -> Result<Self, SettingsError> {
@@ -159,26 +160,26 @@
     }
 
     /// From now on the tenants may ask for so many jobs a second over all nodes, in the order of the settings.
-    pub fn set_rates(&mut self, now: Micros, quotas: &[Option<f64>]) {
+    pub fn set_quotas(&mut self, now: Micros, quotas: &[Option<f64>]) {
         self.dispatcher.set_quotas(now, quotas);
     }
 
     /// The same, as it is now.
-    pub fn rates(&self) -> Vec<Option<f64>> {
+    pub fn quotas(&self) -> Vec<Option<f64>> {
         self.dispatcher.quotas()
     }
 
     /// The final answer of something that another site was asked to do, for the front that handed it over.
-    pub fn answer_for(&mut self, id: RequestId, verdict: Verdict) {
+    pub fn push_answer(&mut self, id: RequestId, verdict: FinalAnswer) {
         self.commands.push_back(Command::Answer {
-            id,
-            verdict,
-            sent: None,
+            request: id,
+            answer: verdict,
+            last_sent: None,
         });
     }
 
     /// The next thing to do, if any.
-    pub fn command(&mut self) -> Option<Command> {
+    pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
@@ -200,7 +201,12 @@
     }
 
     /// The directory has told its list, a part of it, or that it cannot.
-    pub fn listed(&mut self, now: Micros, kind: WorkerListKind, entries: Vec<WorkerEntry>) {
+    pub fn apply_worker_list(
+        &mut self,
+        now: Micros,
+        kind: WorkerListKind,
+        entries: Vec<WorkerEntry>,
+    ) {
         if kind != WorkerListKind::Failed {
             self.ready_workers |= !entries.is_empty();
         }
@@ -211,7 +217,7 @@
         self.decide(now);
     }
 
-    pub fn probed(
+    pub fn handle_probe_result(
         &mut self,
         now: Micros,
         worker: WorkerId,
@@ -225,13 +231,13 @@
         self.meet(now, worker);
     }
 
-    /// The probe of this worker waits for [`Core::told_held`], which is to come once and soon.
-    pub fn ask_held(&mut self, worker: WorkerId) {
+    /// The probe of this worker waits for [`Core::set_fleet_in_flight`], which is to come once and soon.
+    pub fn await_fleet_in_flight(&mut self, worker: WorkerId) {
         self.awaited.insert(worker, Awaited::default());
     }
 
     /// How many calls all nodes together have out to this worker; none where nobody knows.
-    pub fn told_held(&mut self, now: Micros, worker: WorkerId, calls: Option<u8>) {
+    pub fn set_fleet_in_flight(&mut self, now: Micros, worker: WorkerId, calls: Option<u8>) {
         if let Some(awaited) = self.awaited.get_mut(&worker) {
             awaited.held = Some(calls);
         }
@@ -278,7 +284,7 @@
     }
 
     /// Whether no invocation waits for its final answer.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.unanswered() == 0
     }
 
@@ -288,21 +294,21 @@
     }
 
     /// From now on so many processes stand in for this node.
-    pub fn share(&mut self, now: Micros, processes: u32) {
+    pub fn set_processes(&mut self, now: Micros, processes: u32) {
         self.dispatcher.set_processes(now, processes);
     }
 
     /// Whether the dispatcher leaves this worker alone for now, for its failures.
-    pub fn rests(&self, now: Micros, worker: WorkerId) -> bool {
+    pub fn is_ejected(&self, now: Micros, worker: WorkerId) -> bool {
         self.dispatcher.is_ejected(now, worker)
     }
 
     /// How many bytes the bodies of the invocations take that are not over.
-    pub fn held(&self) -> usize {
+    pub fn body_bytes(&self) -> usize {
         self.table.bytes()
     }
 
-    pub fn catalogue(&self) -> &Catalogue {
+    pub fn names(&self) -> &NameRegistry {
         &self.catalogue
     }
 
@@ -331,16 +337,16 @@
                         request: id,
                         attempt,
                     } => self.cancel(now, id, attempt),
-                    Action::Probe(worker) => self.commands.push_back(Command::Probe(worker)),
+                    Action::Probe(worker) => self.commands.push_back(Command::ProbeWorker(worker)),
                     Action::SetTimer { at, timer } => self.timers.add(at, Due::Dispatcher(timer)),
-                    Action::WatchWorkers => self.commands.push_back(Command::Watch),
+                    Action::WatchWorkers => self.commands.push_back(Command::WatchWorkers),
                 }
             }
             self.actions = actions;
         }
         for id in std::mem::take(&mut self.returned) {
             if self.table.get(id).is_some_and(|i| !i.answered && !i.runs()) {
-                self.commands.push_back(Command::Requeued(id));
+                self.commands.push_back(Command::RequestRequeued(id));
             }
         }
     }
--- a/crates/node/src/core/responses.rs
+++ b/crates/node/src/core/responses.rs
@@ -1,6 +1,6 @@
 //! Stage 5, relay: what comes back from the workers goes to the dispatcher, and a result to the consumer.
 
-use super::{Command, Core, Verdict};
+use super::{Command, Core, FinalAnswer};
 use marbledeck_dispatcher::{AttemptEnded, Event, LoadReport, Micros, Outcome, RequestId};
 use std::fmt;
 
@@ -20,14 +20,14 @@
 
 impl Core {
     /// A worker has begun to run a call.
-    pub fn call_started(&mut self, now: Micros, id: RequestId, attempt: u32) {
+    pub fn handle_attempt_started(&mut self, now: Micros, id: RequestId, attempt: u32) {
         let Some(call) = self.table.out(id, attempt) else {
             return;
         };
         call.started.get_or_insert(now);
         let worker = call.worker;
         if self.table.get(id).is_some_and(|i| !i.answered) {
-            self.commands.push_back(Command::Running(id, worker));
+            self.commands.push_back(Command::RequestRunning(id, worker));
         }
         self.pending.push_back(Event::AttemptStarted {
             request: id,
@@ -38,7 +38,7 @@
 
     /// A call has ended; `result` comes with [`Outcome::Served`] and is what the worker made. An end told twice, or
     /// told of a call that was given up, is ignored.
-    pub fn call_ended(
+    pub fn handle_attempt_ended(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -51,7 +51,7 @@
             return;
         }
         if let Some(result) = result.filter(|_| outcome == Outcome::Served) {
-            self.finish(id, Verdict::Served(result));
+            self.finish(id, FinalAnswer::Served(result));
         }
         self.back(now, id, attempt, outcome, report);
         self.decide(now);
@@ -87,7 +87,7 @@
         }
         let closed = self.table.get(id).is_none_or(|i| i.answered);
         self.counts.end(outcome);
-        self.commands.push_back(Command::CameBack(worker));
+        self.commands.push_back(Command::AttemptEnded(worker));
         if started.is_some() && !closed {
             self.returned.push(id);
         }
--- a/crates/node/src/core/table.rs
+++ b/crates/node/src/core/table.rs
@@ -1,7 +1,7 @@
 //! The invocations: each is kept until it has its final answer and all of its calls are back.
 
 use super::licensing::Needs;
-use super::Work;
+use super::Payload;
 use marbledeck_dispatcher::{ClassId, Micros, RequestId, WorkerId};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 
 pub struct Invocation {
     pub class: ClassId,
-    pub work: Rc<Work>,
+    pub payload: Rc<Payload>,
     pub deadline: Micros,
     pub answered: bool,
     /// What each of its calls takes.
@@ -57,17 +57,17 @@
     pub fn enter(
         &mut self,
         class: ClassId,
-        work: Work,
+        work: Payload,
         deadline: Micros,
         needs: Needs,
     ) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
-        self.txns.insert(work.txn.clone());
+        self.txns.insert(work.transaction_id.clone());
         self.bytes += work.body.len();
         let new = Invocation {
             class,
-            work: Rc::new(work),
+            payload: Rc::new(work),
             deadline,
             answered: false,
             needs,
@@ -111,8 +111,8 @@
             return;
         }
         if let Some(old) = self.map.remove(&id) {
-            self.txns.remove(&old.work.txn);
-            self.bytes -= old.work.body.len();
+            self.txns.remove(&old.payload.transaction_id);
+            self.bytes -= old.payload.body.len();
         }
     }
 
--- a/crates/node/src/core/validation.rs
+++ b/crates/node/src/core/validation.rs
@@ -1,7 +1,7 @@
 //! Stage 1, take in: what a front hands over is checked against the settings' names and entered in the table.
 
 use super::timers::Due;
-use super::{Core, Work};
+use super::{Core, Payload};
 use crate::clock::millis;
 use marbledeck_dispatcher::{
     Class, ClassId, Event, Idempotency, Job, Micros, RequestId, Settings, TenantId,
@@ -15,7 +15,7 @@
 
 /// What a front hands over.
 #[derive(Debug, Default)]
-pub struct Order<'a> {
+pub struct NewRequest<'a> {
     pub class: &'a str,
     pub tenant: Option<&'a str>,
     /// How long the consumer waits.
@@ -25,12 +25,12 @@
     pub memory: f64,
     /// Licences that it needs besides those of its class.
     pub licences: Vec<&'a str>,
-    pub work: Work,
+    pub payload: Payload,
 }
 
 /// Why an order was not taken. Nothing of it has run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Malformed {
+pub enum RequestError {
     UnknownClass(String),
     UnknownTenant(String),
     MissingKey,
@@ -44,34 +44,34 @@
     NoSeat(NoSeat),
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Malformed::UnknownClass(name) => write!(f, "unknown class '{name}'"),
-            Malformed::UnknownTenant(name) => write!(f, "unknown tenant '{name}'"),
-            Malformed::MissingKey => f.write_str("this class needs a key"),
-            Malformed::NoTimeLeft => f.write_str("no time is left"),
-            Malformed::IdOpen => f.write_str("this id is open"),
-            Malformed::TooMany => f.write_str("too many invocations are open"),
-            Malformed::UnknownLicence(name) => write!(f, "unknown licence '{name}'"),
-            Malformed::NoSeat(why) => write!(f, "{why}"),
+            RequestError::UnknownClass(name) => write!(f, "unknown class '{name}'"),
+            RequestError::UnknownTenant(name) => write!(f, "unknown tenant '{name}'"),
+            RequestError::MissingKey => f.write_str("this class needs a key"),
+            RequestError::NoTimeLeft => f.write_str("no time is left"),
+            RequestError::IdOpen => f.write_str("this id is open"),
+            RequestError::TooMany => f.write_str("too many invocations are open"),
+            RequestError::UnknownLicence(name) => write!(f, "unknown licence '{name}'"),
+            RequestError::NoSeat(why) => write!(f, "{why}"),
         }
     }
 }
 
 /// The classes and tenants by their names.
 #[derive(Clone, Debug, Default)]
-pub struct Catalogue {
+pub struct NameRegistry {
     classes: Vec<(String, Class)>,
     tenants: Vec<String>,
     max_open: usize,
 }
 
-impl Catalogue {
+impl NameRegistry {
     pub fn new(facts: &PlatformSettings, settings: &Settings) -> Self {
         let names = facts.classes.iter().map(|p| p.name.clone());
         let classes = settings.classes.iter().cloned();
-        Catalogue {
+        NameRegistry {
             classes: names.zip(classes).collect(),
             tenants: facts.tenants.iter().map(|t| t.name.clone()).collect(),
             max_open: facts
@@ -82,7 +82,7 @@
     }
 
     /// The classes' names, in order.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
+    pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.classes.iter().map(|(name, _)| name.as_str())
     }
 
@@ -101,13 +101,13 @@
         class: &str,
         tenant: Option<&str>,
         keyed: bool,
-    ) -> Result<(ClassId, TenantId), Malformed> {
+    ) -> Result<(ClassId, TenantId), RequestError> {
         let found = self.class(class);
-        let (id, figures) = found.ok_or_else(|| Malformed::UnknownClass(class.into()))?;
-        let unknown = || Malformed::UnknownTenant(tenant.unwrap_or_default().into());
+        let (id, figures) = found.ok_or_else(|| RequestError::UnknownClass(class.into()))?;
+        let unknown = || RequestError::UnknownTenant(tenant.unwrap_or_default().into());
         let tenant = self.tenant(tenant).ok_or_else(unknown)?;
         if matches!(figures.idempotency, Idempotency::Keyed { .. }) && !keyed {
-            return Err(Malformed::MissingKey);
+            return Err(RequestError::MissingKey);
         }
         Ok((id, tenant))
     }
@@ -118,7 +118,7 @@
     }
 
     /// The longest deadline of any class.
-    pub fn longest(&self) -> Micros {
+    pub fn max_deadline(&self) -> Micros {
         let all = self.classes.iter().map(|(_, figures)| figures.deadline);
         all.max().unwrap_or_default()
     }
@@ -138,32 +138,36 @@
 
 impl Core {
     /// Takes an order in. From here on it gets exactly one final answer.
-    pub fn take_in(&mut self, now: Micros, order: Order) -> Result<RequestId, Malformed> {
-        let keyed = order.work.key.is_some();
+    pub fn accept_request(
+        &mut self,
+        now: Micros,
+        order: NewRequest,
+    ) -> Result<RequestId, RequestError> {
+        let keyed = order.payload.key.is_some();
         let (class, tenant) = self.catalogue.check(order.class, order.tenant, keyed)?;
         if order.time_left == Micros(0) {
-            return Err(Malformed::NoTimeLeft);
+            return Err(RequestError::NoTimeLeft);
         }
         // Workers and the rules know an invocation by its id: a second one would be taken for a copy of the first.
-        if self.table.has(&order.work.txn) {
-            return Err(Malformed::IdOpen);
+        if self.table.has(&order.payload.transaction_id) {
+            return Err(RequestError::IdOpen);
         }
         if self.table.unanswered() >= self.catalogue.max_open {
             // Answered as a rejection, and so counted as one.
             if let Some(class) = self.counts.class(class) {
                 class.rejected += 1;
             }
-            return Err(Malformed::TooMany);
+            return Err(RequestError::TooMany);
         }
         let needs = self.needs(now, class, tenant.0 as usize, &order.licences);
         let needs = needs.inspect_err(|why| {
             let class = self.counts.class(class);
-            if let Some(class) = class.filter(|_| matches!(why, Malformed::NoSeat(_))) {
+            if let Some(class) = class.filter(|_| matches!(why, RequestError::NoSeat(_))) {
                 class.rejected += 1;
             }
         })?;
         let deadline = now + order.time_left;
-        let id = self.table.enter(class, order.work, deadline, needs);
+        let id = self.table.enter(class, order.payload, deadline, needs);
         // After the attempts' time-outs, which let the dispatcher answer.
         self.timers.add(deadline + BACKSTOP, Due::Deadline(id));
         self.counts.taken += 1;
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -251,9 +251,9 @@
             return;
         }
         self.again = None;
-        let idle = self.idle.take().filter(|token| net.is_quiet(*token));
+        let idle = self.idle.take().filter(|token| net.is_reusable(*token));
         let call = self.clocks.ask(now);
-        let token = match idle.map_or_else(|| net.connect(self.addr, Peer::Directory), Ok) {
+        let token = match idle.map_or_else(|| net.connect(self.addr, Peer::Discovery), Ok) {
             Ok(token) => token,
             Err(e) => {
                 let fault = match e.kind() {
--- a/crates/node/src/federation.rs
+++ b/crates/node/src/federation.rs
@@ -2,7 +2,7 @@
 //! it how they end. Which site is `marbledeck-federation`'s to say; the catalogs are records that the fleet has agreed on.
 
 use crate::clock::millis;
-use crate::core::Verdict;
+use crate::core::FinalAnswer;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Agreed, Context, Service};
 use marbledeck_consensus::{Acting, Body, Record};
@@ -311,7 +311,7 @@
         self.again.retain(|_, at| now < *at);
         self.again.insert(addr, now + AGAIN);
         let token = net.connect(addr, self.peer).ok()?;
-        net.widen(token, MAX_LINE + 4096);
+        net.raise_buffer_limit(token, MAX_LINE + 4096);
         self.links.insert(
             token,
             Link {
@@ -382,9 +382,9 @@
             Question::Wait => match serde_json::from_value::<JobInfo>(line["jobInfo"].clone()) {
                 Ok(info) if info.job_state.is_final() => {
                     let verdict = match (info.job_state, info.result_bytes()) {
-                        (JobState::Done, Some(result)) => Verdict::Served(result),
-                        (JobState::Done, None) => Verdict::Served(Vec::new()),
-                        _ => Verdict::Failed,
+                        (JobState::Done, Some(result)) => FinalAnswer::Served(result),
+                        (JobState::Done, None) => FinalAnswer::Served(Vec::new()),
+                        _ => FinalAnswer::Failed,
                     };
                     self.end(id, verdict, context);
                 }
@@ -397,7 +397,7 @@
                             "sites: a job that was taken is not known there: {}",
                             problem.message
                         );
-                        self.end(id, Verdict::Failed, context);
+                        self.end(id, FinalAnswer::Failed, context);
                     }
                     _ => {}
                 },
@@ -405,10 +405,10 @@
         }
     }
 
-    fn end(&mut self, id: RequestId, verdict: Verdict, context: &mut Context) {
+    fn end(&mut self, id: RequestId, verdict: FinalAnswer, context: &mut Context) {
         let job = context.outbox.as_mut().and_then(|outbox| outbox.remove(id));
         if job.is_some_and(|job| !job.unwanted) {
-            context.core.answer_for(id, verdict);
+            context.core.push_answer(id, verdict);
         }
     }
 
@@ -426,8 +426,8 @@
         if now >= job.until || job.unwanted && !job.errand.may_be_taken() {
             // What a site may have may have run.
             let verdict = match job.errand.may_be_taken() {
-                true => Verdict::Failed,
-                false => Verdict::Rejected(Some(AGAIN)),
+                true => FinalAnswer::Failed,
+                false => FinalAnswer::Rejected(Some(AGAIN)),
             };
             return self.end(id, verdict, context);
         }
@@ -491,7 +491,7 @@
             (Step::Wait, None) => return,
             (Step::Refused(why), _) => {
                 log::info!("sites: no site takes a job: {why}");
-                return self.end(id, Verdict::Rejected(Some(AGAIN)), context);
+                return self.end(id, FinalAnswer::Rejected(Some(AGAIN)), context);
             }
         };
         let Some(address) = address else {
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -38,14 +38,14 @@
         core: &mut Core,
     ) {
         self.stale.extend(told.stale_workers);
-        core.listed(now, kind, told.entries);
+        core.apply_worker_list(now, kind, told.entries);
     }
 
     /// The same, for changes that no list of the platform's brought.
     pub fn changed(&mut self, now: Micros, told: MembershipChange, core: &mut Core) {
         self.stale.extend(told.stale_workers.iter().copied());
         if !told.entries.is_empty() {
-            core.listed(now, WorkerListKind::Delta, told.entries);
+            core.apply_worker_list(now, WorkerListKind::Delta, told.entries);
         }
     }
 
@@ -75,14 +75,14 @@
     /// Takes in what the links have seen of workers, looks at the doubtful ones, and has them asked.
     pub fn wake(&mut self, now: Micros, workers: &mut Workers, net: &mut Net, core: &mut Core) {
         let mut told = MembershipChange::default();
-        for (worker, sign) in std::mem::take(&mut workers.signs) {
+        for (worker, sign) in std::mem::take(&mut workers.evidence) {
             told.append(self.members.record_evidence(now, worker, sign));
         }
         if self.members.next_wake().is_some_and(|at| at <= now) {
             told.append(self.members.wake(now));
         }
         for worker in self.members.take_due_probes() {
-            workers.look(now, worker, self.members.endpoint(worker), net);
+            workers.check_health(now, worker, self.members.endpoint(worker), net);
         }
         self.changed(now, told, core);
     }
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -77,7 +77,7 @@
             let told = self.peers.receive(now, from, &bytes[..len]);
             let asked = told.and_then(|told| self.asked.answered(told.worker).zip(Some(told)));
             if let Some((worker, told)) = asked {
-                context.core.told_held(now, worker, told.calls);
+                context.core.set_fleet_in_flight(now, worker, told.calls);
             }
         }
     }
@@ -96,7 +96,7 @@
         }
         while let Some(worker) = self.asked.overdue(now) {
             self.peers.unanswered(worker);
-            context.core.told_held(now, worker, None);
+            context.core.set_fleet_in_flight(now, worker, None);
         }
         self.peers.wake(now);
     }
@@ -108,13 +108,13 @@
     fn probes(&mut self, now: Micros, worker: WorkerId, context: &mut Context) {
         match self.peers.ask(now, worker) {
             Asked::Known(calls) => {
-                context.core.ask_held(worker);
-                context.core.told_held(now, worker, Some(calls));
+                context.core.await_fleet_in_flight(worker);
+                context.core.set_fleet_in_flight(now, worker, Some(calls));
             }
             Asked::Sent if self.socket.is_some() => {
-                context.core.ask_held(worker);
+                context.core.await_fleet_in_flight(worker);
                 if let Some(other) = self.asked.open(worker, now + WAITS) {
-                    context.core.told_held(now, other, None);
+                    context.core.set_fleet_in_flight(now, other, None);
                 }
             }
             Asked::Sent | Asked::Nothing => {}
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -132,7 +132,7 @@
     ) {
         let body = serde_json::to_string(bequest).unwrap_or_default();
         let message = format!("{:08x}\n{body}", body.len());
-        if let Err(e) = net.pass(heir, message.as_bytes(), listeners) {
+        if let Err(e) = net.send_listeners(heir, message.as_bytes(), listeners) {
             log::warn!("handover: {e}");
             self.drop_link(heir, net);
         }
@@ -239,5 +239,5 @@
     listener.set_nonblocking(true)?;
     std::fs::set_permissions(&beside, Permissions::from_mode(0o600))?;
     std::fs::rename(&beside, path)?;
-    net.adopt(listener.into(), Peer::Partner)
+    net.add_listener(listener.into(), Peer::Partner)
 }
--- a/crates/node/src/net/conn.rs
+++ b/crates/node/src/net/conn.rs
@@ -123,7 +123,7 @@
 
     /// Whether an idle connection is still good: open, and nothing unasked has come. Guards against writing to
     /// one that the peer has closed a moment ago.
-    pub(super) fn is_quiet(&self) -> bool {
+    pub(super) fn is_reusable(&self) -> bool {
         let mut byte = [0u8; 1];
         let peek = RecvFlags::PEEK | RecvFlags::DONTWAIT;
         let nothing = matches!(
--- a/crates/node/src/net/http.rs
+++ b/crates/node/src/net/http.rs
@@ -14,18 +14,18 @@
 
 /// Why bytes are not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ParseError {
     Malformed(&'static str),
     HeadTooLong,
     BodyTooLong,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Malformed(what) => f.write_str(what),
-            Fault::HeadTooLong => f.write_str("the head is too long"),
-            Fault::BodyTooLong => f.write_str("the body is too long"),
+            ParseError::Malformed(what) => f.write_str(what),
+            ParseError::HeadTooLong => f.write_str("the head is too long"),
+            ParseError::BodyTooLong => f.write_str("the body is too long"),
         }
     }
 }
@@ -83,36 +83,36 @@
 }
 
 /// The lines of a head that has wholly come, and how many bytes it takes.
-fn head_lines(bytes: &[u8]) -> Result<Option<(Vec<&str>, usize)>, Fault> {
+fn head_lines(bytes: &[u8]) -> Result<Option<(Vec<&str>, usize)>, ParseError> {
     let end = bytes.windows(4).position(|w| w == b"\r\n\r\n");
     let Some(end) = end.filter(|end| *end <= MAX_HEAD) else {
         let waiting = bytes.len() <= MAX_HEAD;
         return if waiting {
             Ok(None)
         } else {
-            Err(Fault::HeadTooLong)
+            Err(ParseError::HeadTooLong)
         };
     };
     let text = std::str::from_utf8(&bytes[..end]);
-    let text = text.map_err(|_| Fault::Malformed("the head is not text"))?;
+    let text = text.map_err(|_| ParseError::Malformed("the head is not text"))?;
     let lines: Vec<&str> = text.split("\r\n").collect();
     let control = |c: char| c.is_control() && c != '\t';
     if lines.iter().any(|line| line.contains(control)) {
-        return Err(Fault::Malformed("a control character in the head"));
+        return Err(ParseError::Malformed("a control character in the head"));
     }
     if lines.len() > MAX_FIELDS + 1 {
-        return Err(Fault::HeadTooLong);
+        return Err(ParseError::HeadTooLong);
     }
     Ok(Some((lines, end + 4)))
 }
 
-fn fields(lines: &[&str]) -> Result<Fields, Fault> {
+fn fields(lines: &[&str]) -> Result<Fields, ParseError> {
     let mut fields = Vec::with_capacity(lines.len());
     for line in lines {
         let (name, value) = line
             .split_once(':')
             .filter(|(name, _)| is_token(name))
-            .ok_or(Fault::Malformed("a malformed field"))?;
+            .ok_or(ParseError::Malformed("a malformed field"))?;
         let value = value.trim_matches([' ', '\t']);
         fields.push((name.to_owned(), value.to_owned()));
     }
@@ -120,16 +120,16 @@
 }
 
 /// Whether the connection stays open after a message of this version.
-fn keep_alive(version: &str, fields: &Fields) -> Result<bool, Fault> {
+fn keep_alive(version: &str, fields: &Fields) -> Result<bool, ParseError> {
     match version {
         "HTTP/1.1" => Ok(!fields.lists("Connection", "close")),
         "HTTP/1.0" => Ok(fields.lists("Connection", "keep-alive")),
-        _ => Err(Fault::Malformed("not HTTP/1.1")),
+        _ => Err(ParseError::Malformed("not HTTP/1.1")),
     }
 }
 
 /// The head of a request, if it has come, and how many bytes it takes.
-pub fn request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, Fault> {
+pub fn request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, ParseError> {
     // A line's end left over from the body before is passed over.
     let blank = bytes.iter().take_while(|b| b"\r\n".contains(b)).count();
     let Some((lines, used)) = head_lines(&bytes[blank..])? else {
@@ -137,10 +137,10 @@
     };
     let start: Vec<&str> = lines[0].split(' ').collect();
     let [method, target, version] = start[..] else {
-        return Err(Fault::Malformed("a malformed request line"));
+        return Err(ParseError::Malformed("a malformed request line"));
     };
     if !is_token(method) || target.is_empty() {
-        return Err(Fault::Malformed("a malformed request line"));
+        return Err(ParseError::Malformed("a malformed request line"));
     }
     let fields = fields(&lines[1..])?;
     let head = RequestHead {
@@ -153,7 +153,7 @@
 }
 
 /// The head of an answer, if it has come, and how many bytes it takes. Interim answers are passed over.
-pub fn response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, Fault> {
+pub fn response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, ParseError> {
     let mut skipped = 0;
     loop {
         let Some((lines, used)) = head_lines(&bytes[skipped..])? else {
@@ -161,12 +161,12 @@
         };
         let (version, rest) = lines[0]
             .split_once(' ')
-            .ok_or(Fault::Malformed("a malformed status line"))?;
+            .ok_or(ParseError::Malformed("a malformed status line"))?;
         let status = rest
             .get(..3)
             .filter(|s| s.bytes().all(|b| b.is_ascii_digit()));
         let status = status.and_then(|s| s.parse().ok());
-        let status = status.ok_or(Fault::Malformed("a malformed status line"))?;
+        let status = status.ok_or(ParseError::Malformed("a malformed status line"))?;
         let fields = fields(&lines[1..])?;
         let keep_alive = keep_alive(version, &fields)?;
         skipped += used;
@@ -214,49 +214,49 @@
     }
 
     /// The body of a request with these fields.
-    pub fn of_request(fields: &Fields) -> Result<Self, Fault> {
+    pub fn of_request(fields: &Fields) -> Result<Self, ParseError> {
         Body::of(fields, Part::Length(0), MAX_BODY)
     }
 
     /// The body of an answer with this head.
-    pub fn of_response(head: &ResponseHead) -> Result<Self, Fault> {
+    pub fn of_response(head: &ResponseHead) -> Result<Self, ParseError> {
         Body::of_long_response(head, MAX_BODY)
     }
 
     /// The same, of a peer whose answers may be longer, but not than this.
-    pub fn of_long_response(head: &ResponseHead, most: usize) -> Result<Self, Fault> {
+    pub fn of_long_response(head: &ResponseHead, most: usize) -> Result<Self, ParseError> {
         if matches!(head.status, 204 | 304) {
             return Ok(Body::new(Part::Done, most));
         }
         Body::of(&head.fields, Part::ToClose, most)
     }
 
-    fn of(fields: &Fields, otherwise: Part, most: usize) -> Result<Self, Fault> {
+    fn of(fields: &Fields, otherwise: Part, most: usize) -> Result<Self, ParseError> {
         let coded = fields.all("Transfer-Encoding").count();
         let mut lengths = fields.all("Content-Length");
         let length = lengths.next();
         // Two ways to tell where a body ends let two readers see two different requests, even where they agree
         // to this one.
         if coded + usize::from(length.is_some()) + lengths.count() > 1 {
-            return Err(Fault::Malformed("the body's length is told twice"));
+            return Err(ParseError::Malformed("the body's length is told twice"));
         }
         if coded > 0 {
             let chunked = fields.get("Transfer-Encoding");
             let chunked = chunked.is_some_and(|c| c.eq_ignore_ascii_case("chunked"));
             return match chunked {
                 true => Ok(Body::new(Part::ChunkSize, most)),
-                false => Err(Fault::Malformed("an unknown transfer coding")),
+                false => Err(ParseError::Malformed("an unknown transfer coding")),
             };
         }
         let Some(length) = length else {
             return Ok(Body::new(otherwise, most));
         };
         if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(Fault::Malformed("a malformed Content-Length"));
+            return Err(ParseError::Malformed("a malformed Content-Length"));
         }
-        let length = length.parse().map_err(|_| Fault::BodyTooLong)?;
+        let length = length.parse().map_err(|_| ParseError::BodyTooLong)?;
         if length > most {
-            return Err(Fault::BodyTooLong);
+            return Err(ParseError::BodyTooLong);
         }
         Ok(Body::new(Part::Length(length), most))
     }
@@ -280,7 +280,7 @@
     }
 
     /// Takes bytes as far as they belong to the body, and adds its content to `out`; tells how many it took.
-    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Fault> {
+    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, ParseError> {
         let mut used = 0;
         while used < bytes.len() && !self.is_done() {
             let rest = &bytes[used..];
@@ -306,36 +306,36 @@
         Ok(used)
     }
 
-    fn content(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Fault> {
+    fn content(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, ParseError> {
         self.taken += bytes.len();
         if self.taken > self.most {
-            return Err(Fault::BodyTooLong);
+            return Err(ParseError::BodyTooLong);
         }
         out.extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
     /// Takes bytes of a line between chunks, and acts on it when it is whole.
-    fn control(&mut self, bytes: &[u8]) -> Result<usize, Fault> {
+    fn control(&mut self, bytes: &[u8]) -> Result<usize, ParseError> {
         let end = bytes.iter().position(|b| *b == b'\n');
         let used = end.map_or(bytes.len(), |end| end + 1);
         self.line.extend_from_slice(&bytes[..used]);
         if self.line.len() > MAX_CHUNK_LINE {
-            return Err(Fault::Malformed("a chunk's line is too long"));
+            return Err(ParseError::Malformed("a chunk's line is too long"));
         }
         if end.is_none() {
             return Ok(used);
         }
         let line = std::mem::take(&mut self.line);
         let line = line.strip_suffix(b"\r\n");
-        let line = line.ok_or(Fault::Malformed("a chunk's line without its end"))?;
+        let line = line.ok_or(ParseError::Malformed("a chunk's line without its end"))?;
         self.part = match self.part {
             Part::ChunkSize => match chunk_size(line)? {
                 0 => Part::Trailer,
                 n => Part::Chunk(n),
             },
             Part::ChunkEnd if !line.is_empty() => {
-                return Err(Fault::Malformed("a chunk longer than its size"));
+                return Err(ParseError::Malformed("a chunk longer than its size"));
             }
             Part::ChunkEnd => Part::ChunkSize,
             _ if line.is_empty() => Part::Done,
@@ -343,7 +343,7 @@
                 // Trailers are dropped, but not without end.
                 self.taken += line.len() + 2;
                 if self.taken > self.most {
-                    return Err(Fault::BodyTooLong);
+                    return Err(ParseError::BodyTooLong);
                 }
                 Part::Trailer
             }
@@ -352,12 +352,12 @@
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<usize, Fault> {
+fn chunk_size(line: &[u8]) -> Result<usize, ParseError> {
     let size = line.split(|b| *b == b';').next().unwrap_or_default();
     let size = std::str::from_utf8(size).unwrap_or_default().trim();
     if size.is_empty() || !size.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err(Fault::Malformed("a malformed chunk size"));
+        return Err(ParseError::Malformed("a malformed chunk size"));
     }
     // Longer than any body may be, whatever its exact figure.
-    usize::from_str_radix(size, 16).map_err(|_| Fault::BodyTooLong)
+    usize::from_str_radix(size, 16).map_err(|_| ParseError::BodyTooLong)
 }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -56,18 +56,21 @@
 /// Who is at the other end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peer {
-    Consumer,
+    /// Who sends requests over HTTP.
+    Client,
+    /// A render worker.
     Worker,
-    Directory,
+    /// The discovery service.
+    Discovery,
     Operator,
     /// One that has registered with the loop, by its number.
     Service(u8),
     /// The other process of this node, while one replaces the other.
     Partner,
     /// SIGTERM.
-    End,
+    TerminateSignal,
     /// SIGHUP.
-    Reload,
+    ReloadSignal,
 }
 
 enum Socket {
@@ -94,7 +97,7 @@
 
 /// A socket on which something has happened.
 #[derive(Clone, Copy, Debug)]
-pub struct Happened {
+pub struct SocketEvent {
     token: Token,
     flags: EventFlags,
 }
@@ -180,7 +183,7 @@
         peer: Peer,
     ) -> io::Result<(Token, SocketAddr)> {
         if let Some(fd) = handed {
-            return Ok((self.adopt(fd, peer)?, addr));
+            return Ok((self.add_listener(fd, peer)?, addr));
         }
         let fd = stream_socket(addr)?;
         sockopt::set_socket_reuseaddr(&fd, true)?;
@@ -194,19 +197,24 @@
     }
 
     /// Takes on a socket that listens already.
-    pub fn adopt(&mut self, fd: OwnedFd, peer: Peer) -> io::Result<Token> {
+    pub fn add_listener(&mut self, fd: OwnedFd, peer: Peer) -> io::Result<Token> {
         self.enter(peer, Socket::Listener(fd))
     }
 
     /// Takes on a connection that is open already.
-    pub fn join(&mut self, fd: OwnedFd, peer: Peer) -> io::Result<Token> {
+    pub fn add_connection(&mut self, fd: OwnedFd, peer: Peer) -> io::Result<Token> {
         let conn = Connection::new(fd, State::Open, PARTNER_RING, PARTNER_RING);
         self.enter(peer, Socket::Stream(Box::new(conn)))
     }
 
     /// Sends these bytes over a Unix socket on which nothing was sent before, and these listeners with the first of
     /// them.
-    pub fn pass(&mut self, token: Token, bytes: &[u8], listeners: &[Token]) -> io::Result<()> {
+    pub fn send_listeners(
+        &mut self,
+        token: Token,
+        bytes: &[u8],
+        listeners: &[Token],
+    ) -> io::Result<()> {
         let open = |t: &Token| self.slots[t.index()].as_ref().filter(|s| s.token == *t);
         let passed = listeners.iter().filter_map(open);
         let passed: Vec<_> = passed.map(|slot| slot.socket.fd().as_fd()).collect();
@@ -284,17 +292,17 @@
         // Answers are small and wanted at once.
         let _ = sockopt::set_tcp_nodelay(&fd, true);
         let (input, output) = match peer {
-            Peer::Consumer => (CONSUMER_RING, RING),
+            Peer::Client => (CONSUMER_RING, RING),
             Peer::Partner => (PARTNER_RING, PARTNER_RING),
             _ => (RING, RING),
         };
         let mut conn = Connection::new(fd, State::Open, input, output);
-        conn.tells_end = peer == Peer::Consumer;
+        conn.tells_end = peer == Peer::Client;
         self.enter(peer, Socket::Stream(Box::new(conn))).map(Some)
     }
 
     /// Whether a listener is to take connections; those that come meanwhile wait.
-    pub fn listening(&mut self, listener: Token, on: bool) {
+    pub fn set_accepting(&mut self, listener: Token, on: bool) {
         let epoll = &self.epoll;
         let slot = self.slots.get(listener.index()).and_then(Option::as_ref);
         if let Some(slot) = slot.filter(|s| s.token == listener) {
@@ -335,14 +343,14 @@
     }
 
     /// A connection of which nothing that was sent is acknowledged for so long counts as broken.
-    pub fn give_up_after(&mut self, token: Token, span: Micros) {
+    pub fn set_user_timeout(&mut self, token: Token, span: Micros) {
         if let Some(conn) = self.get(token) {
             let _ = sockopt::set_tcp_user_timeout(&conn.fd, (span.0 / 1000) as u32);
         }
     }
 
     /// A connection may hold so many bytes each way from now on.
-    pub fn widen(&mut self, token: Token, bytes: usize) {
+    pub fn raise_buffer_limit(&mut self, token: Token, bytes: usize) {
         if let Some(conn) = self.get(token) {
             conn.input.widen(bytes);
             conn.output.widen(bytes);
@@ -350,7 +358,7 @@
     }
 
     /// Those of these connections of which the peer sends nothing more, as it is now.
-    pub fn ended(&self, tokens: Vec<Token>) -> Vec<Token> {
+    pub fn closed_by_peer(&self, tokens: Vec<Token>) -> Vec<Token> {
         let open = |t: &Token| {
             self.slots
                 .get(t.index())?
@@ -373,15 +381,15 @@
     }
 
     /// Looks whether anything has come on a connection, though nothing was told of it.
-    pub fn look(&mut self, token: Token) -> Option<Ready> {
+    pub fn poll_connection(&mut self, token: Token) -> Option<Ready> {
         self.get(token).filter(|conn| !conn.is_connecting())?;
         let flags = EventFlags::empty();
-        self.pump(Happened { token, flags })
+        self.process_event(SocketEvent { token, flags })
     }
 
     /// Whether an idle connection can still be written to.
-    pub fn is_quiet(&mut self, token: Token) -> bool {
-        self.get(token).is_some_and(|conn| conn.is_quiet())
+    pub fn is_reusable(&mut self, token: Token) -> bool {
+        self.get(token).is_some_and(|conn| conn.is_reusable())
     }
 
     /// Sends these bytes as soon as the socket takes them; false where they go beyond the cap.
@@ -438,7 +446,7 @@
 
     /// Closes a connection between two requests: nothing is owed on it. What still comes there is not read, so that who
     /// sent it knows that it was not taken.
-    pub fn rest(&mut self, token: Token) {
+    pub fn shut_down_idle(&mut self, token: Token) {
         self.finish(token);
         if let Some(conn) = self.get(token).filter(|conn| conn.output.is_empty()) {
             conn.deaf = true;
@@ -448,12 +456,12 @@
     }
 
     /// How many connections are being closed and still hold their descriptors: those of operators, or all others.
-    pub fn leaving(&self, peer: Peer) -> usize {
+    pub fn closing_count(&self, peer: Peer) -> usize {
         self.leaving[apart(peer)]
     }
 
     /// Closes the connection of these at once that has been leaving for longest, to make room.
-    pub fn hasten(&mut self, peer: Peer) {
+    pub fn close_oldest_lingering(&mut self, peer: Peer) {
         let wanted = |slot: &Slot| apart(slot.peer) == apart(peer);
         let slots = &self.slots;
         let open = |token: Token| slots[token.index()].as_ref().filter(|s| s.token == token);
@@ -476,11 +484,11 @@
     /// Whether all connections that are being closed are, but for operators': their peers have heard the last answers.
     /// Were this process to end before, bytes that come meanwhile would reset them, and answers on the way would go too.
     pub fn is_closed(&self) -> bool {
-        self.leaving(Peer::Consumer) == 0
+        self.closing_count(Peer::Client) == 0
     }
 
     /// Writes out and waits anew where something was written, read or closed since the last time.
-    pub fn settle(&mut self, now: Micros) {
+    pub fn flush(&mut self, now: Micros) {
         self.now = now;
         for token in std::mem::take(&mut self.touched) {
             self.renew(token);
@@ -518,8 +526,8 @@
         }
     }
 
-    /// Waits until something happens, or so long; tells on which sockets. Each is to be handed to [`Net::pump`].
-    pub fn wait(&mut self, now: Micros, until: Option<Micros>, happened: &mut Vec<Happened>) {
+    /// Waits until something happens, or so long; tells on which sockets. Each is to be handed to [`Net::process_event`].
+    pub fn wait(&mut self, now: Micros, until: Option<Micros>, happened: &mut Vec<SocketEvent>) {
         self.now = now;
         let linger = self.lingering.front().map(|(until, _)| *until);
         let until = [until, linger].into_iter().flatten().min();
@@ -535,7 +543,7 @@
                 log::error!("epoll: {e}");
             }
         }
-        happened.extend(events.iter().map(|event| Happened {
+        happened.extend(events.iter().map(|event| SocketEvent {
             token: Token(event.data.u64()),
             flags: event.flags,
         }));
@@ -544,7 +552,7 @@
     /// Reads a connection on which something has happened, as far as it goes in one turn, and tells
     /// who is to look at it. One is pumped and handled after the other: what a turn reads is held once, not for
     /// each connection of the turn.
-    pub fn pump(&mut self, Happened { token, flags }: Happened) -> Option<Ready> {
+    pub fn process_event(&mut self, SocketEvent { token, flags }: SocketEvent) -> Option<Ready> {
         let slot = self.slot(token)?;
         let peer = slot.peer;
         let Socket::Stream(conn) = &mut slot.socket else {
@@ -555,7 +563,7 @@
                 listener,
             });
         };
-        // Nothing is written here: all bytes leave in [`Net::settle`], when everything of this turn is handled.
+        // Nothing is written here: all bytes leave in [`Net::flush`], when everything of this turn is handled.
         if conn.state == State::Connecting {
             conn.connected();
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,7 +1,7 @@
 //! The node: the core with its fronts and links round one loop.
 
 use crate::admin::{self, Call, Ops};
-use crate::clients::Consumers;
+use crate::clients::Clients;
 use crate::clock::{millis, Clock};
 use crate::config::{Config, ConfigError, SiteConfig};
 use crate::consensus::Agreement;
@@ -16,7 +16,7 @@
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Agreed, Context, Service};
 use crate::submission::Submissions;
-use crate::workers::{Figures, Workers};
+use crate::workers::{Workers, WorkersConfig};
 use marbledeck_dispatcher::Micros;
 use marbledeck_membership::Membership;
 use marbledeck_platform_settings::{worker_id, PlatformSettings};
@@ -55,7 +55,7 @@
 pub struct Node {
     clock: Clock,
     context: Context,
-    consumers: Consumers,
+    consumers: Clients,
     /// The peers that have registered themselves, by their numbers.
     services: Vec<Box<dyn Service>>,
     /// The descriptors that the services may hold.
@@ -161,7 +161,7 @@
         // One that listens elsewhere is another node's: this one starts on its own.
         let link = link.filter(|_| listener.is_some());
         let (most, pot) = (limits.consumers, limits.bodies);
-        let consumers = Consumers::new(config.listen, listener, most, pot, &mut net)?;
+        let consumers = Clients::new(config.listen, listener, most, pot, &mut net)?;
         let spoken_to = submission.iter().flat_map(|front| &front.workers);
         let by_submission = spoken_to.map(|word| worker_id(word)).collect();
         // Ids of jobs differ between nodes and between starts.
@@ -190,14 +190,14 @@
         if let Some(ops) = &ops {
             log::info!("{} answers operators at {}", config.name, ops.addr);
         }
-        let mut workers = Workers::new(Figures {
-            reads: config.reads,
-            reports: config.reports,
-            idle: config.idle,
+        let mut workers = Workers::new(WorkersConfig {
+            report_fields: config.reads,
+            has_load_endpoint: config.reports,
+            idle_timeout: config.idle,
             connect_timeout: config.connect_timeout,
-            progress: config.progress,
-            most: config.most_worker_connections,
-            by_submission,
+            progress_interval: config.progress,
+            max_connections: config.most_worker_connections,
+            submission_workers: by_submission,
         });
         let mut members = Membership::new(config.zones, config.kinds);
         let clocks = Clocks::new(now, config.drain_grace, config.pushed, config.seed);
@@ -224,8 +224,7 @@
             services.push(Box::new(Tier::new(peers, peer, now, &mut net)));
         }
         if let Some(seats) = site.seats {
-            core.licensing =
-                Some(Licensing::new(seats, core.catalogue()).map_err(io::Error::other)?);
+            core.licensing = Some(Licensing::new(seats, core.names()).map_err(io::Error::other)?);
         }
         let mut agreed = Agreed::default();
         if let Some(agreement) = site.agreement {
@@ -239,7 +238,7 @@
             let peer = Peer::Service(services.len() as u8);
             services.push(Box::new(Sites::new(peer)));
         }
-        workers.wants_signs = members.uses_evidence();
+        workers.collects_evidence = members.uses_evidence();
         let mut fleet = Fleet::new(members);
         directory.known(now, known, &mut fleet, &mut core);
         if let Some(source) = fixed {
@@ -255,15 +254,15 @@
                 fleet.changed(now, told, &mut core);
             }
         }
-        let link = link.map(|link| net.join(link.into(), Peer::Partner));
+        let link = link.map(|link| net.add_connection(link.into(), Peer::Partner));
         let path = config.handover.as_deref();
         let mut handover = Handover::new(path, link.transpose()?, &mut net);
         if !bequest.services.is_empty() {
             let names = services.iter().map(|service| service.name().to_owned());
             handover.tell(&Word::Services(names.collect()), &mut net);
         }
-        net.signal(signals.end.try_clone()?.into(), Peer::End)?;
-        net.signal(signals.reload.try_clone()?.into(), Peer::Reload)?;
+        net.signal(signals.end.try_clone()?.into(), Peer::TerminateSignal)?;
+        net.signal(signals.reload.try_clone()?.into(), Peer::ReloadSignal)?;
         log::info!("{} serves at {}", config.name, consumers.addr);
         let mut node = Node {
             clock,
@@ -309,7 +308,7 @@
             self.announce();
             self.settle(now);
             if self.is_over(now) {
-                log::info!("{}", self.context.core.by_class());
+                log::info!("{}", self.context.core.class_summary());
                 log::info!("ended: {}", self.context.core.counts());
                 return;
             }
@@ -319,7 +318,7 @@
             // Timers first: however much has come, they are punctual.
             self.wake(self.clock.now());
             for event in happened.drain(..) {
-                if let Some(ready) = self.context.net.pump(event) {
+                if let Some(ready) = self.context.net.process_event(event) {
                     self.dispatch(ready);
                 }
             }
@@ -373,12 +372,12 @@
         if self.settling.is_some_and(|due| due <= now) {
             self.settling = None;
             log::info!("settling {} that are open", self.context.core.unanswered());
-            self.context.core.settle(now);
+            self.context.core.end_open_requests(now);
         }
         if now >= self.next_counts {
             self.next_counts = now + COUNTS;
             log::info!("{}", self.context.core.counts());
-            log::info!("{}", self.context.core.by_class());
+            log::info!("{}", self.context.core.class_summary());
         }
     }
 
@@ -386,18 +385,18 @@
         let (now, token) = (self.clock.now(), event.token);
         self.context.now = now;
         match event.peer {
-            Peer::Consumer if event.listener => self.consumers.accept(now, &mut self.context.net),
-            Peer::Consumer => {
+            Peer::Client if event.listener => self.consumers.accept(now, &mut self.context.net),
+            Peer::Client => {
                 let Context { net, core, .. } = &mut self.context;
-                self.consumers.ready(now, token, net, core);
+                self.consumers.handle_ready(now, token, net, core);
             }
             Peer::Worker => {
                 let Context {
                     net, core, workers, ..
                 } = &mut self.context;
-                workers.ready(now, token, net, core);
+                workers.handle_ready(now, token, net, core);
             }
-            Peer::Directory => {
+            Peer::Discovery => {
                 let Context {
                     net,
                     core,
@@ -433,8 +432,8 @@
                     self.heard(now, Some(news));
                 }
             }
-            Peer::End => self.end(now),
-            Peer::Reload => self.reload(now),
+            Peer::TerminateSignal => self.end(now),
+            Peer::ReloadSignal => self.reload(now),
         }
         self.carry_out(now);
     }
@@ -447,7 +446,7 @@
                 let (listed, avoided) = self
                     .context
                     .fleet
-                    .count(|w| self.context.core.rests(now, w));
+                    .count(|w| self.context.core.is_ejected(now, w));
                 let text = admin::figures(&self.context.core, listed, avoided);
                 if let Some(ops) = &mut self.ops {
                     ops.say(caller, &text, &mut self.context.net);
@@ -583,18 +582,21 @@
     /// connections to one that succeeds.
     fn apportion(&mut self, now: Micros) {
         let parts = 1 + usize::from(self.handover.paired());
-        self.consumers.pot = self.limits.bodies / parts;
-        self.consumers
-            .set_most(now, self.limits.consumers / parts, &mut self.context.net);
+        self.consumers.body_budget = self.limits.bodies / parts;
+        self.consumers.set_max_connections(
+            now,
+            self.limits.consumers / parts,
+            &mut self.context.net,
+        );
         self.context
             .workers
-            .set_most(self.limits.workers / parts, &mut self.context.net);
+            .set_max_connections(self.limits.workers / parts, &mut self.context.net);
         if let Some(ops) = &mut self.ops {
             ops.most = admin::CALLERS / parts;
         }
         let sharing = 1 + u32::from(self.handover.shares());
         if std::mem::replace(&mut self.sharing, sharing) != sharing {
-            self.context.core.share(now, sharing);
+            self.context.core.set_processes(now, sharing);
         }
         if !self.closed {
             let succeeded = self.handover.succeeded();
@@ -628,11 +630,11 @@
         drain(&mut self.signals.end);
         if self.ending.is_none() {
             log::info!("ending");
-            let longest = self.context.core.catalogue().longest().min(LONGEST);
+            let longest = self.context.core.names().max_deadline().min(LONGEST);
             let killed = now + longest + KILLED;
             (self.killed, self.settling) = (Some(killed), Some(killed - SETTLING));
             self.ending = Some(now + ENDING);
-            self.consumers.ending = true;
+            self.consumers.draining = true;
             self.services
                 .iter_mut()
                 .for_each(|service| service.end(now));
@@ -670,7 +672,7 @@
             if !self.closed {
                 self.close(now);
             } else {
-                self.consumers.drop_half_read(&mut self.context.net);
+                self.consumers.drop_incomplete(&mut self.context.net);
             }
         }
         let told = |service: &dyn Service| service.is_handed_over();
@@ -680,20 +682,20 @@
         let Context { net, core, .. } = &self.context;
         let leaves = self.killed.is_some_and(|at| at - LEAVING <= now);
         let heard = net.is_closed() || leaves && net.is_flushed();
-        self.closed && self.consumers.is_idle() && core.idle() && heard && told
+        self.closed && self.consumers.is_idle() && core.is_idle() && heard && told
     }
 
     /// Carries out what the core wants done, writes it out and waits anew.
     fn settle(&mut self, now: Micros) {
         self.carry_out(now);
-        if self.context.workers.is_writing() {
+        if self.context.workers.has_unsent() {
             self.look_again();
         }
         let Context {
             net, core, workers, ..
         } = &mut self.context;
-        net.settle(now);
-        workers.written(net, core);
+        net.flush(now);
+        workers.record_written(net, core);
     }
 
     /// The last look before calls begin. This process may have stood still, or been busy for long with what had come
@@ -707,13 +709,13 @@
         if let Some(ready) = context
             .directory
             .awaited()
-            .and_then(|token| net.look(token))
+            .and_then(|token| net.poll_connection(token))
         {
             context.directory.ready(now, ready.token, fleet, net, core);
         }
-        let leaving = context.workers.leaving(net);
-        self.consumers.look(now, leaving, net, core);
-        context.workers.withdraw(now, fleet, net, core);
+        let leaving = context.workers.requests_leaving(net);
+        self.consumers.drop_departed(now, leaving, net, core);
+        context.workers.withdraw_stale(now, fleet, net, core);
         // What becomes of their jobs is not left to the next turn.
         self.carry_out(now);
     }
@@ -762,20 +764,23 @@
                 ..
             } = &mut self.context;
             for worker in std::mem::take(&mut fleet.stale) {
-                workers.forget(worker, net);
+                workers.forget_worker(worker, net);
             }
-            let Some(command) = core.command() else {
+            let Some(command) = core.next_command() else {
                 return;
             };
             match command {
-                Command::Call(call) => {
+                Command::StartAttempt(call) => {
                     let services = self.services.iter_mut();
                     services.for_each(|service| service.called(now, call.worker));
                     let aim = fleet.aim(call.worker);
-                    workers.call(now, &call, aim, net, core);
+                    workers.start_attempt(now, &call, aim, net, core);
                 }
-                Command::GiveUp { id, attempt } => workers.give_up(id, attempt, net),
-                Command::Probe(worker) => {
+                Command::CancelAttempt {
+                    request: id,
+                    attempt,
+                } => workers.cancel_attempt(id, attempt, net),
+                Command::ProbeWorker(worker) => {
                     for service in &mut self.services {
                         service.probes(now, worker, &mut self.context);
                     }
@@ -789,23 +794,27 @@
                     let aim = fleet.aim(worker);
                     workers.probe(now, worker, aim, net, core);
                 }
-                Command::CameBack(worker) => {
+                Command::AttemptEnded(worker) => {
                     let services = self.services.iter_mut();
                     services.for_each(|service| service.came_back(now, worker));
                 }
-                Command::Watch => directory.watch(now, net),
-                Command::Answer { id, verdict, sent } => {
-                    if !self.consumers.answer(now, id, &verdict, net, core) {
+                Command::WatchWorkers => directory.watch(now, net),
+                Command::Answer {
+                    request: id,
+                    answer,
+                    last_sent,
+                } => {
+                    if !self.consumers.send_answer(now, id, &answer, net, core) {
                         let mut services = self.services.iter_mut();
-                        services.any(|service| service.answer(now, id, &verdict, sent));
+                        services.any(|service| service.answer(now, id, &answer, last_sent));
                     }
                 }
-                Command::Running(id, worker) => {
+                Command::RequestRunning(id, worker) => {
                     for service in &mut self.services {
                         service.running(now, id, worker, &self.context);
                     }
                 }
-                Command::Requeued(id) => {
+                Command::RequestRequeued(id) => {
                     self.services
                         .iter_mut()
                         .for_each(|service| service.requeued(now, id));
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -5,7 +5,7 @@
 //! replaces the other.
 
 use crate::admin;
-use crate::core::{Core, Verdict};
+use crate::core::{Core, FinalAnswer};
 use crate::discovery::Directory;
 use crate::federation::Outbox;
 use crate::fleet::Fleet;
@@ -72,7 +72,7 @@
         &mut self,
         _now: Micros,
         _id: RequestId,
-        _verdict: &Verdict,
+        _verdict: &FinalAnswer,
         _sent: Option<Micros>,
     ) -> bool {
         false
--- a/crates/node/src/submission/desk.rs
+++ b/crates/node/src/submission/desk.rs
@@ -1,6 +1,6 @@
 //! The core and the workers as the submission server sees them.
 
-use crate::core::{Malformed, Order as CoreOrder, Work};
+use crate::core::{NewRequest, Payload, RequestError};
 use crate::federation::Where;
 use crate::service::Context;
 use marbledeck_dispatcher::{Idempotency, Micros, RequestId, WorkerState};
@@ -11,16 +11,16 @@
 /// Lends the node's parts to the server for one step.
 pub struct NodeDesk<'a>(pub &'a mut Context);
 
-fn refused(why: Malformed) -> Problem {
+fn refused(why: RequestError) -> Problem {
     match why {
-        Malformed::TooMany | Malformed::NoSeat(_) => Problem::later(why.to_string(), 1000),
+        RequestError::TooMany | RequestError::NoSeat(_) => Problem::later(why.to_string(), 1000),
         _ => Problem::invalid(why.to_string()),
     }
 }
 
 impl Desk for NodeDesk<'_> {
     fn class(&self, name: &str) -> Option<ClassFacts> {
-        let (_, class) = self.0.core.catalogue().class(name)?;
+        let (_, class) = self.0.core.names().class(name)?;
         let window = match class.idempotency {
             Idempotency::Keyed { window, .. } => window,
             _ => Micros(0),
@@ -33,7 +33,7 @@
     }
 
     fn check(&self, class: &str, tenant: Option<&str>, keyed: bool) -> Result<(), Problem> {
-        let checked = self.0.core.catalogue().check(class, tenant, keyed);
+        let checked = self.0.core.names().check(class, tenant, keyed);
         checked.map(drop).map_err(refused)
     }
 
@@ -64,14 +64,14 @@
         let manifest = order.template.manifest.as_ref();
         let needs = manifest.into_iter().flat_map(|manifest| &manifest.licences);
         let licences = needs.map(String::as_str).collect();
-        let work = Work {
-            txn: order.txn,
+        let payload = Payload {
+            transaction_id: order.txn,
             key: order.key,
             method: "POST".to_owned(),
             target: order.target,
             body: order.body,
         };
-        let order = CoreOrder {
+        let order = NewRequest {
             class: order.class,
             tenant: order.tenant,
             time_left: order.time_left,
@@ -79,16 +79,16 @@
             slots: order.slots,
             memory: 0.0,
             licences,
-            work,
+            payload,
         };
-        self.0.core.take_in(now, order).map_err(refused)
+        self.0.core.accept_request(now, order).map_err(refused)
     }
 
     fn recall(&mut self, now: Micros, id: RequestId) -> bool {
         if let Some(outbox) = self.0.outbox.as_mut().filter(|outbox| outbox.has(id)) {
             return outbox.recall(id);
         }
-        self.0.core.recall(now, id)
+        self.0.core.cancel_if_unsent(now, id)
     }
 
     fn gone(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
@@ -96,7 +96,7 @@
             outbox.gone(id);
             return Some(now);
         }
-        self.0.core.gone(now, id)
+        self.0.core.handle_client_left(now, id)
     }
 
     fn count_duplicate(&mut self) {
@@ -104,7 +104,7 @@
     }
 
     fn queues(&self) -> Vec<Queue> {
-        let catalogue = self.0.core.catalogue();
+        let catalogue = self.0.core.names();
         let queue = |name: &str| {
             let (_, class) = catalogue.class(name)?;
             let window = match class.idempotency {
@@ -118,7 +118,7 @@
                 keyed: window.is_some(),
             })
         };
-        catalogue.names().filter_map(queue).collect()
+        catalogue.class_names().filter_map(queue).collect()
     }
 
     fn machines(&self, now: Micros) -> Vec<Machine> {
@@ -128,14 +128,14 @@
             fleet,
             ..
         } = &*self.0;
-        let out = workers.out();
+        let out = workers.attempts_in_flight();
         let views = fleet.members.views(now).into_iter();
         let machine = |view: marbledeck_membership::WorkerView| {
             let worker = worker_id(&view.id);
-            let told = workers.told(worker);
+            let told = workers.load_report(worker);
             let by_hand = fleet.members.out_of_service().contains(&view.id);
             let word = fleet.members.report(&view.id);
-            let state = match (by_hand, view.state, core.rests(now, worker)) {
+            let state = match (by_hand, view.state, core.is_ejected(now, worker)) {
                 (true, ..) => "out".to_owned(),
                 (_, WorkerState::Ready, true) => "resting".to_owned(),
                 (_, WorkerState::Ready, false) => "up".to_owned(),
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::millis;
 use crate::config::SubmissionConfig;
-use crate::core::Verdict;
+use crate::core::FinalAnswer;
 use crate::handover;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
@@ -104,7 +104,7 @@
                 Err(e) => {
                     // No descriptor is free: without a rest, the loop would turn until one is.
                     log::warn!("accept: {e}");
-                    net.listening(self.listener, false);
+                    net.set_accepting(self.listener, false);
                     self.resting = Some(now + REST);
                     return;
                 }
@@ -259,7 +259,7 @@
     fn wake(&mut self, now: Micros, context: &mut Context) {
         if self.resting.is_some_and(|until| until <= now) {
             self.resting = None;
-            context.net.listening(self.listener, !self.succeeded);
+            context.net.set_accepting(self.listener, !self.succeeded);
         }
         let was_deaf = self.server.is_deaf();
         self.server.wake(now, &mut NodeDesk(context));
@@ -280,13 +280,13 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        verdict: &Verdict,
+        verdict: &FinalAnswer,
         sent: Option<Micros>,
     ) -> bool {
         let verdict = match verdict {
-            Verdict::Served(result) => marbledeck_submission::Verdict::Served(result.clone()),
-            Verdict::Rejected(wait) => marbledeck_submission::Verdict::Rejected(*wait),
-            Verdict::Failed => marbledeck_submission::Verdict::Failed,
+            FinalAnswer::Served(result) => marbledeck_submission::Verdict::Served(result.clone()),
+            FinalAnswer::Rejected(wait) => marbledeck_submission::Verdict::Rejected(*wait),
+            FinalAnswer::Failed => marbledeck_submission::Verdict::Failed,
         };
         self.server.answer(now, id, verdict, sent)
     }
@@ -305,7 +305,7 @@
         self.succeeded = succeeded;
         context
             .net
-            .listening(self.listener, !succeeded && self.resting.is_none());
+            .set_accepting(self.listener, !succeeded && self.resting.is_none());
     }
 
     fn end(&mut self, _now: Micros) {
--- a/crates/node/src/workers/mod.rs
+++ b/crates/node/src/workers/mod.rs
@@ -5,7 +5,7 @@
 mod submitted;
 
 use crate::clock::millis;
-use crate::core::{Core, InvokerCall};
+use crate::core::{AttemptCommand, Core};
 use crate::fleet::{Aim, Fleet};
 use crate::net::conn::Connection;
 use crate::net::{Net, Peer, Token};
@@ -105,27 +105,28 @@
         if let Errand::Call(id, _) = self.errand {
             let left = !conn.is_connecting() && conn.output.is_empty();
             if left && !std::mem::replace(&mut self.written, left) {
-                core.call_written(id);
+                core.handle_attempt_written(id);
             }
         }
     }
 }
 
-pub struct Figures {
-    pub reads: ReportFields,
-    pub reports: bool,
+pub struct WorkersConfig {
+    pub report_fields: ReportFields,
+    /// Workers answer `/status/load`; else only `/health`.
+    pub has_load_endpoint: bool,
     /// Workers close a connection that has been idle for so long.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     pub connect_timeout: Micros,
     /// How often a worker tells of a job that runs, if it does.
-    pub progress: Option<Micros>,
-    pub most: usize,
+    pub progress_interval: Option<Micros>,
+    pub max_connections: usize,
     /// The workers that are spoken to by submission.
-    pub by_submission: HashSet<WorkerId>,
+    pub submission_workers: HashSet<WorkerId>,
 }
 
 pub struct Workers {
-    figures: Figures,
+    config: WorkersConfig,
     links: HashMap<Token, Link>,
     calls: HashMap<(RequestId, u32), Token>,
     /// Calls and probes of which something may still be to be written.
@@ -138,14 +139,14 @@
     /// What each worker told last of its load.
     told: HashMap<WorkerId, (Micros, LoadReport)>,
     /// Whether anybody wants to know which workers are there, and what shows it.
-    pub wants_signs: bool,
-    pub signs: Vec<(WorkerId, HealthEvidence)>,
+    pub collects_evidence: bool,
+    pub evidence: Vec<(WorkerId, HealthEvidence)>,
 }
 
 impl Workers {
-    pub fn new(figures: Figures) -> Self {
+    pub fn new(config: WorkersConfig) -> Self {
         Workers {
-            figures,
+            config,
             links: HashMap::new(),
             calls: HashMap::new(),
             writing: Vec::new(),
@@ -153,31 +154,37 @@
             due: BTreeSet::new(),
             distrust: Micros(0),
             told: HashMap::new(),
-            wants_signs: false,
-            signs: Vec::new(),
+            collects_evidence: false,
+            evidence: Vec::new(),
         }
     }
 
-    /// Asks whether a doubtful worker is there; the answer is a [sign](Workers::signs). One that is spoken to by
+    /// Asks whether a doubtful worker is there; the answer is a [sign](Workers::evidence). One that is spoken to by
     /// submission cannot be asked.
-    pub fn look(&mut self, now: Micros, worker: WorkerId, place: Option<&Endpoint>, net: &mut Net) {
-        if self.figures.by_submission.contains(&worker) {
+    pub fn check_health(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        place: Option<&Endpoint>,
+        net: &mut Net,
+    ) {
+        if self.config.submission_workers.contains(&worker) {
             return;
         }
         let sent = place.is_some_and(|place| {
             let bytes = outcomes::probe(&place.address.to_string(), false);
-            let speech = Speech::Http(Answer::new(None, self.figures.reads));
+            let speech = Speech::Http(Answer::new(None, self.config.report_fields));
             let link = Link::new(worker, Errand::Look, speech, now);
             self.say(now, place, link, &bytes, net)
         });
         if !sent {
-            self.signs.push((worker, HealthEvidence::Unreachable));
+            self.evidence.push((worker, HealthEvidence::Unreachable));
         }
     }
 
     /// Notes what the end of a call or of a look shows of a worker.
     fn note_sign(&mut self, worker: WorkerId, errand: Errand, outcome: Outcome) {
-        if !self.wants_signs {
+        if !self.collects_evidence {
             return;
         }
         let sign = match (errand, outcome) {
@@ -188,16 +195,16 @@
             // What broke or was given up may have many reasons.
             _ => return,
         };
-        self.signs.push((worker, sign));
+        self.evidence.push((worker, sign));
     }
 
     /// What a worker told last of its load, and when.
-    pub fn told(&self, worker: WorkerId) -> Option<(Micros, LoadReport)> {
+    pub fn load_report(&self, worker: WorkerId) -> Option<(Micros, LoadReport)> {
         self.told.get(&worker).copied()
     }
 
     /// How many calls are out to each worker.
-    pub fn out(&self) -> HashMap<WorkerId, usize> {
+    pub fn attempts_in_flight(&self) -> HashMap<WorkerId, usize> {
         let mut out = HashMap::new();
         for link in self
             .calls
@@ -210,8 +217,8 @@
     }
 
     /// How many connections may be held from now on; what is idle beyond that is closed.
-    pub fn set_most(&mut self, most: usize, net: &mut Net) {
-        self.figures.most = most;
+    pub fn set_max_connections(&mut self, most: usize, net: &mut Net) {
+        self.config.max_connections = most;
         while self.links.len() > most && self.make_room(net) {}
     }
 
@@ -228,34 +235,35 @@
     }
 
     /// Makes an invoker call. One that cannot even be begun could not connect.
-    pub fn call(
+    pub fn start_attempt(
         &mut self,
         now: Micros,
-        call: &InvokerCall,
+        call: &AttemptCommand,
         aim: Option<(Aim, &Endpoint)>,
         net: &mut Net,
         core: &mut Core,
     ) {
-        let (id, attempt, work) = (call.id, call.attempt, &call.work);
-        let remaining = call.until - now;
+        let (id, attempt, work) = (call.request, call.attempt, &call.payload);
+        let remaining = call.deadline - now;
         let sent = aim.is_some_and(|(aim, place)| {
-            let (bytes, speech) = if self.figures.by_submission.contains(&call.worker) {
-                let submitted = Submitted::new(&work.txn, self.figures.reads);
+            let (bytes, speech) = if self.config.submission_workers.contains(&call.worker) {
+                let submitted = Submitted::new(&work.transaction_id, self.config.report_fields);
                 (
                     submitted::request(work, remaining),
                     Speech::Submission(submitted),
                 )
             } else {
-                let answer = Answer::new(Some(work.txn.clone()), self.figures.reads);
+                let answer =
+                    Answer::new(Some(work.transaction_id.clone()), self.config.report_fields);
                 let bytes = outcomes::request(work, &place.address.to_string(), remaining);
                 (bytes, Speech::Http(answer))
             };
             let mut link = Link::new(call.worker, Errand::Call(id, attempt), speech, now);
-            (link.aim, link.latest) = (Some(aim), call.latest);
+            (link.aim, link.latest) = (Some(aim), call.send_before);
             self.say(now, place, link, &bytes, net)
         });
         if !sent {
-            core.call_ended(now, id, attempt, Outcome::ConnectFailed, None, None);
+            core.handle_attempt_ended(now, id, attempt, Outcome::ConnectFailed, None, None);
         }
     }
 
@@ -268,18 +276,18 @@
         net: &mut Net,
         core: &mut Core,
     ) {
-        if self.figures.by_submission.contains(&worker) {
-            return core.probed(now, worker, Outcome::Served, None);
+        if self.config.submission_workers.contains(&worker) {
+            return core.handle_probe_result(now, worker, Outcome::Served, None);
         }
         let sent = aim.is_some_and(|(aim, place)| {
-            let bytes = outcomes::probe(&place.address.to_string(), self.figures.reports);
-            let speech = Speech::Http(Answer::new(None, self.figures.reads));
+            let bytes = outcomes::probe(&place.address.to_string(), self.config.has_load_endpoint);
+            let speech = Speech::Http(Answer::new(None, self.config.report_fields));
             let mut link = Link::new(worker, Errand::Probe, speech, now);
             link.aim = Some(aim);
             self.say(now, place, link, &bytes, net)
         });
         if !sent {
-            core.probed(now, worker, Outcome::ConnectFailed, None);
+            core.handle_probe_result(now, worker, Outcome::ConnectFailed, None);
         }
     }
 
@@ -304,7 +312,7 @@
         }
         let connecting = net.get(token).is_some_and(|conn| conn.is_connecting());
         let due = match link.errand {
-            _ if connecting => Some(now + self.figures.connect_timeout),
+            _ if connecting => Some(now + self.config.connect_timeout),
             Errand::Probe | Errand::Look => Some(now + PROBE),
             _ => None,
         };
@@ -333,12 +341,12 @@
                 .get(&token)
                 .is_some_and(|l| l.due.is_some_and(|due| now < due));
             self.set_due(token, None);
-            if fresh && net.is_quiet(token) {
+            if fresh && net.is_reusable(token) {
                 return Some(token);
             }
             self.drop_link(token, net);
         }
-        if self.links.len() >= self.figures.most && !self.make_room(net) {
+        if self.links.len() >= self.config.max_connections && !self.make_room(net) {
             return None;
         }
         let token = net.connect(place.address, Peer::Worker);
@@ -376,14 +384,14 @@
     }
 
     /// Stops waiting for a call: its connection is closed, which tells the worker.
-    pub fn give_up(&mut self, id: RequestId, attempt: u32, net: &mut Net) {
+    pub fn cancel_attempt(&mut self, id: RequestId, attempt: u32, net: &mut Net) {
         if let Some(token) = self.calls.get(&(id, attempt)).copied() {
             self.drop_link(token, net);
         }
     }
 
     /// To be called when all was written out that the sockets take: counts the calls that have wholly left.
-    pub fn written(&mut self, net: &mut Net, core: &mut Core) {
+    pub fn record_written(&mut self, net: &mut Net, core: &mut Core) {
         let links = &mut self.links;
         self.writing.retain(|token| {
             let link = links.get_mut(token);
@@ -397,12 +405,12 @@
     }
 
     /// Whether a call or probe has not wholly left.
-    pub fn is_writing(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         !self.writing.is_empty()
     }
 
     /// The invocations of which a call leaves when all is written out next: its connection is up.
-    pub fn leaving(&self, net: &mut Net) -> Vec<RequestId> {
+    pub fn requests_leaving(&self, net: &mut Net) -> Vec<RequestId> {
         let up = |token: &&Token| net.get(**token).is_some_and(|conn| !conn.is_connecting());
         let links = self.writing.iter().filter(up);
         let links = links.filter_map(|token| self.links.get(token));
@@ -418,8 +426,8 @@
     /// hand, or told by a list that is too old. So it does for its seats. For its invocation it begins with the last
     /// byte: one that is over makes no further attempt, nor one whose effect allows none any more. What is taken back
     /// has never run, and shows nothing of its worker.
-    pub fn withdraw(&mut self, now: Micros, fleet: &Fleet, net: &mut Net, core: &mut Core) {
-        let unseated = core.seated_until().is_some_and(|until| until <= now);
+    pub fn withdraw_stale(&mut self, now: Micros, fleet: &Fleet, net: &mut Net, core: &mut Core) {
+        let unseated = core.seats_valid_until().is_some_and(|until| until <= now);
         let mut late = Vec::new();
         for token in &self.writing {
             let (Some(link), Some(conn)) = (self.links.get(token), net.get(*token)) else {
@@ -428,7 +436,7 @@
             let stands = link.aim.as_ref().is_some_and(|aim| fleet.stands(aim));
             let over = match link.errand {
                 Errand::Call(id, _) if !link.written => {
-                    let seatless = unseated && core.is_seated(id);
+                    let seatless = unseated && core.needs_seats(id);
                     let late = link.latest.is_some_and(|latest| latest <= now);
                     late || core.is_over(id) || link.is_unsent(conn) && (!stands || seatless)
                 }
@@ -456,7 +464,7 @@
     }
 
     /// The worker is gone, has moved or was started anew: its idle connections are of no use.
-    pub fn forget(&mut self, worker: WorkerId, net: &mut Net) {
+    pub fn forget_worker(&mut self, worker: WorkerId, net: &mut Net) {
         self.told.remove(&worker);
         for token in self.idle.remove(&worker).unwrap_or_default() {
             self.drop_link(token, net);
@@ -464,7 +472,7 @@
     }
 
     /// Something has happened on a worker's connection.
-    pub fn ready(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
+    pub fn handle_ready(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
         let (Some(link), Some(conn)) = (self.links.get_mut(&token), net.get(token)) else {
             return net.close(token);
         };
@@ -489,8 +497,8 @@
                 // Only a job that has begun is told of, and each word of it counts anew.
                 Errand::Call(..) if news.started || link.started => {
                     link.started = true;
-                    self.figures
-                        .progress
+                    self.config
+                        .progress_interval
                         .map(|span| now + Micros(SILENT * span.0))
                 }
                 Errand::Call(..) => None,
@@ -533,7 +541,7 @@
         };
         let (worker, errand) = (link.worker, &link.errand);
         if let (true, Errand::Call(id, attempt)) = (news.started, errand) {
-            core.call_started(now, *id, *attempt);
+            core.handle_attempt_started(now, *id, *attempt);
         }
         if let Some(end) = news.end {
             let errand = std::mem::replace(&mut link.errand, Errand::Tail);
@@ -543,7 +551,7 @@
         match news.over {
             Some(true) => {
                 // Well before the worker closes it: a request that crosses that would be lost.
-                let idle = self.figures.idle.0 / 2;
+                let idle = self.config.idle_timeout.0 / 2;
                 self.set_due(token, Some(now + Micros(idle)));
                 if let Some(link) = self.links.get_mut(&token) {
                     (link.errand, link.speech) = (Errand::Idle, None);
@@ -563,9 +571,9 @@
         match errand {
             Errand::Call(id, attempt) => {
                 self.calls.remove(&(id, attempt));
-                core.call_ended(now, id, attempt, end.outcome, end.result, end.report);
+                core.handle_attempt_ended(now, id, attempt, end.outcome, end.result, end.report);
             }
-            Errand::Probe => core.probed(now, worker, end.outcome, end.report),
+            Errand::Probe => core.handle_probe_result(now, worker, end.outcome, end.report),
             Errand::Look | Errand::Tail | Errand::Idle => {}
         }
     }
--- a/crates/node/src/workers/outcomes.rs
+++ b/crates/node/src/workers/outcomes.rs
@@ -1,9 +1,9 @@
 //! What comes back from a worker over HTTP, read as it comes: starts, and the outcome of the call.
 
 use super::report;
-use crate::core::Work;
+use crate::core::Payload;
 use crate::net::conn::Connection;
-use crate::net::http::{self, Body, Fault, ResponseHead, MAX_BODY};
+use crate::net::http::{self, Body, ParseError, ResponseHead, MAX_BODY};
 use marbledeck_dispatcher::{LoadReport, Micros, Outcome};
 use marbledeck_platform_settings::ReportFields;
 use serde_json::Value;
@@ -36,14 +36,14 @@
 }
 
 /// The request that hands a job over; every field that the consumer set for it is passed on as it was.
-pub fn request(work: &Work, host: &str, remaining: Micros) -> Vec<u8> {
+pub fn request(work: &Payload, host: &str, remaining: Micros) -> Vec<u8> {
     let key = work.key.as_deref();
     let key = key.map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
     let head = format!(
         "{} {} HTTP/1.1\r\nHost: {host}\r\nX-Txn: {}\r\n{key}X-Remaining-Ms: {}\r\nContent-Length: {}\r\n\r\n",
         work.method,
         work.target,
-        work.txn,
+        work.transaction_id,
         remaining.0.div_ceil(1000),
         work.body.len()
     );
@@ -90,7 +90,7 @@
         news
     }
 
-    fn step(&mut self, conn: &mut Connection, news: &mut News) -> Result<(), Fault> {
+    fn step(&mut self, conn: &mut Connection, news: &mut News) -> Result<(), ParseError> {
         if self.head.is_none() {
             let Some((head, used)) = http::response_head(conn.input.all())? else {
                 return Ok(());
@@ -120,7 +120,7 @@
             self.end(news, End::of(Outcome::Reset, None));
             news.over = Some(keep_alive && conn.is_open() && conn.input.is_empty());
         } else if self.content.len() > 2 * MAX_BODY {
-            return Err(Fault::BodyTooLong);
+            return Err(ParseError::BodyTooLong);
         }
         Ok(())
     }
--- a/crates/node/src/workers/submitted.rs
+++ b/crates/node/src/workers/submitted.rs
@@ -3,7 +3,7 @@
 
 use super::outcomes::{End, News};
 use super::report;
-use crate::core::Work;
+use crate::core::Payload;
 use crate::net::conn::Connection;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use marbledeck_dispatcher::{Micros, Outcome};
@@ -15,9 +15,9 @@
 const MAX_LINE: usize = 160 * 1024;
 
 /// The line that hands a job over.
-pub fn request(work: &Work, remaining: Micros) -> Vec<u8> {
+pub fn request(work: &Payload, remaining: Micros) -> Vec<u8> {
     let mut template = json!({
-        "jobName": work.txn,
+        "jobName": work.transaction_id,
         "remoteCommand": work.target,
         "deadlineMs": remaining.0.div_ceil(1000),
     });
@@ -28,7 +28,8 @@
     if let Some(key) = &work.key {
         template["submissionKey"] = key.as_str().into();
     }
-    let run = json!({"op": "runJob", "seq": work.txn, "notify": true, "template": template});
+    let run =
+        json!({"op": "runJob", "seq": work.transaction_id, "notify": true, "template": template});
     frame::line(&run)
 }
 
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -3,7 +3,9 @@
 use marbledeck_dispatcher::{
     Micros, Outcome, RequestId, WorkerEntry, WorkerId, WorkerListKind, ZoneId,
 };
-use marbledeck_node::core::{Catalogue, Command, Core, InvokerCall, Order, Verdict, Work};
+use marbledeck_node::core::{
+    AttemptCommand, Command, Core, FinalAnswer, NameRegistry, NewRequest, Payload,
+};
 use marbledeck_platform_settings::{worker_id, PlatformSettings};
 use rstest::rstest;
 use std::fs;
@@ -44,7 +46,7 @@
                     zone: ZoneId(0),
                     ..WorkerEntry::default()
                 };
-                self.core.listed(
+                self.core.apply_worker_list(
                     now,
                     WorkerListKind::Full,
                     workers.iter().map(entry).collect(),
@@ -52,49 +54,49 @@
             }
             ["order", name, class, wait] => {
                 self.names.push(name.to_string());
-                let order = Order {
+                let order = NewRequest {
                     class,
                     tenant: Some("au"),
                     time_left: ms(wait),
-                    work: Work {
-                        txn: name.to_string(),
+                    payload: Payload {
+                        transaction_id: name.to_string(),
                         key: Some("k".to_owned()),
-                        ..Work::default()
+                        ..Payload::default()
                     },
-                    ..Order::default()
+                    ..NewRequest::default()
                 };
-                let taken = self.core.take_in(now, order);
+                let taken = self.core.accept_request(now, order);
                 assert_eq!(taken, Ok(self.id(name)));
             }
             ["started", name, go] => {
                 self.core
-                    .call_started(now, self.id(name), go.parse().unwrap());
+                    .handle_attempt_started(now, self.id(name), go.parse().unwrap());
             }
             ["ended", name, go, how] => {
                 let result = (*how == "ok").then(|| b"result".to_vec());
                 let go = go.parse().unwrap();
                 self.core
-                    .call_ended(now, self.id(name), go, outcome(how), result, None);
+                    .handle_attempt_ended(now, self.id(name), go, outcome(how), result, None);
             }
-            ["gone", name] => drop(self.core.gone(now, self.id(name))),
-            ["settle"] => self.core.settle(now),
+            ["gone", name] => drop(self.core.handle_client_left(now, self.id(name))),
+            ["settle"] => self.core.end_open_requests(now),
             ["wake"] => self.core.wake(now),
-            ["idle"] => assert!(self.core.idle()),
+            ["idle"] => assert!(self.core.is_idle()),
             _ => panic!("no such event"),
         }
     }
 
     fn told(&mut self) -> Vec<String> {
         let mut told = Vec::new();
-        while let Some(command) = self.core.command() {
+        while let Some(command) = self.core.next_command() {
             let names = &self.names;
             let name = |id: RequestId| names[id.0 as usize].clone();
             told.push(match command {
-                Command::Call(InvokerCall {
-                    id,
+                Command::StartAttempt(AttemptCommand {
+                    request: id,
                     attempt,
                     worker,
-                    until,
+                    deadline,
                     ..
                 }) => {
                     let known = self.workers.iter().position(|w| *w == worker);
@@ -106,28 +108,35 @@
                         "call {} {attempt} w{} until {}",
                         name(id),
                         place + 1,
-                        until.0 / 1000
+                        deadline.0 / 1000
                     )
                 }
-                Command::GiveUp { id, attempt } => format!("give up {} {attempt}", name(id)),
-                Command::Probe(_) => "probe".to_owned(),
-                Command::Watch => "watch".to_owned(),
+                Command::CancelAttempt {
+                    request: id,
+                    attempt,
+                } => format!("give up {} {attempt}", name(id)),
+                Command::ProbeWorker(_) => "probe".to_owned(),
+                Command::WatchWorkers => "watch".to_owned(),
                 // Told to peers only: every end of a call has one.
-                Command::CameBack(_) => continue,
-                Command::Running(id, _) => format!("running {}", name(id)),
-                Command::Requeued(id) => format!("requeued {}", name(id)),
-                Command::Answer { id, verdict, sent } => {
-                    let verdict = match verdict {
-                        Verdict::Served(_) => "served".to_owned(),
-                        Verdict::Rejected(wait) => {
+                Command::AttemptEnded(_) => continue,
+                Command::RequestRunning(id, _) => format!("running {}", name(id)),
+                Command::RequestRequeued(id) => format!("requeued {}", name(id)),
+                Command::Answer {
+                    request: id,
+                    answer,
+                    last_sent,
+                } => {
+                    let answer = match answer {
+                        FinalAnswer::Served(_) => "served".to_owned(),
+                        FinalAnswer::Rejected(wait) => {
                             format!("rejected {:?}", wait.map(Micros::as_secs_f64))
                         }
-                        Verdict::Failed => "failed".to_owned(),
+                        FinalAnswer::Failed => "failed".to_owned(),
                     };
                     format!(
-                        "{} {verdict} sent {:?}",
+                        "{} {answer} sent {:?}",
                         name(id),
-                        sent.map(|at| at.0 / 1000)
+                        last_sent.map(|at| at.0 / 1000)
                     )
                 }
             });
@@ -144,7 +153,7 @@
     let config: serde_json::Value = serde_json::from_str(&config).unwrap();
     let facts: PlatformSettings = serde_json::from_value(config["settings"].clone()).unwrap();
     let settings = facts.dispatcher_settings().unwrap();
-    let catalogue = Catalogue::new(&facts, &settings);
+    let catalogue = NameRegistry::new(&facts, &settings);
     let mut script = Script {
         core: Core::new(settings, catalogue, 7, Micros(0)).unwrap(),
         workers: Vec::new(),
--- a/crates/node/tests/golden/node_file.rs
+++ b/crates/node/tests/golden/node_file.rs
@@ -305,7 +305,7 @@
     let _ = writeln!(text, "overload-factor: {}", rules.overload_factor);
     let _ = writeln!(text, "tip-after-us: {}", rules.overload_window.0);
     let _ = writeln!(text, "must-ask-in-us: {}", rules.poll_interval.0);
-    for (name, class) in config.catalogue.names().zip(&settings.classes) {
+    for (name, class) in config.catalogue.class_names().zip(&settings.classes) {
         let kind = class
             .kind
             .map_or("any".to_owned(), |kind| kind.0.to_string());
--- a/crates/node/tests/net.rs
+++ b/crates/node/tests/net.rs
@@ -12,7 +12,7 @@
     let (ours, mut theirs) = UnixStream::pair().unwrap();
     ours.set_nonblocking(true).unwrap();
     let mut net = Net::new().unwrap();
-    let token = net.join(ours.into(), Peer::Partner).unwrap();
+    let token = net.add_connection(ours.into(), Peer::Partner).unwrap();
     let words = vec![b'w'; 150_000];
     theirs.set_nonblocking(true).unwrap();
     let said = theirs.write(&words).unwrap();
@@ -22,14 +22,14 @@
     );
     drop(theirs);
     assert!(net.write(token, b"too late"));
-    net.settle(Micros(1));
+    net.flush(Micros(1));
     let mut happened = Vec::new();
     for _ in 0..8 {
         net.wait(Micros(1), Some(Micros(1)), &mut happened);
         for event in happened.drain(..) {
-            net.pump(event);
+            net.process_event(event);
         }
-        net.settle(Micros(1));
+        net.flush(Micros(1));
     }
     let conn = net.get(token).unwrap();
     assert!(conn.broken || conn.eof);
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -3,7 +3,7 @@
 use marbledeck_dispatcher::{LoadReport, Micros, Outcome, WorkerEntry, WorkerId, WorkerListKind};
 use marbledeck_gossip::message::Message;
 use marbledeck_gossip::{keeper, short};
-use marbledeck_node::core::{Catalogue, Command, Core, Order, Work};
+use marbledeck_node::core::{Command, Core, NameRegistry, NewRequest, Payload};
 use marbledeck_platform_settings::{worker_id, PlatformSettings};
 use marbledeck_test_support::{Lab, Options};
 use std::io::{Read, Write};
@@ -24,13 +24,13 @@
     )
     .expect("settings");
     let settings = facts.dispatcher_settings().expect("settings that fit");
-    let catalogue = Catalogue::new(&facts, &settings);
+    let catalogue = NameRegistry::new(&facts, &settings);
     let mut core = Core::new(settings, catalogue, 7, Micros(0)).expect("a core");
     let entry = |id| WorkerEntry {
         worker: WorkerId(id),
         ..WorkerEntry::default()
     };
-    core.listed(
+    core.apply_worker_list(
         Micros(0),
         WorkerListKind::Full,
         (0..workers).map(entry).collect(),
@@ -39,30 +39,30 @@
 }
 
 fn order(core: &mut Core, now: Micros) {
-    let order = Order {
+    let order = NewRequest {
         class: "preview",
         tenant: Some("au"),
         time_left: Micros(7_500_000),
-        work: Work::default(),
-        ..Order::default()
+        payload: Payload::default(),
+        ..NewRequest::default()
     };
-    core.take_in(now, order).expect("taken");
+    core.accept_request(now, order).expect("taken");
 }
 
 fn asked(core: &mut Core) -> Vec<WorkerId> {
-    let commands = std::iter::from_fn(|| core.command());
+    let commands = std::iter::from_fn(|| core.next_command());
     commands
         .filter_map(|command| match command {
-            Command::Probe(worker) => Some(worker),
+            Command::ProbeWorker(worker) => Some(worker),
             _ => None,
         })
         .collect()
 }
 
 fn called(core: &mut Core) -> Option<WorkerId> {
-    let mut commands = std::iter::from_fn(|| core.command());
+    let mut commands = std::iter::from_fn(|| core.next_command());
     commands.find_map(|command| match command {
-        Command::Call(call) => Some(call.worker),
+        Command::StartAttempt(call) => Some(call.worker),
         _ => None,
     })
 }
@@ -84,17 +84,19 @@
         order(&mut core, now);
         let workers = asked(&mut core);
         assert_eq!(workers.len(), 4);
-        workers.iter().for_each(|worker| core.ask_held(*worker));
+        workers
+            .iter()
+            .for_each(|worker| core.await_fleet_in_flight(*worker));
         for (n, worker) in workers.iter().enumerate() {
             assert_eq!(called(&mut core), None, "not all have answered");
             let calls = if n == 2 { 0 } else { 5 };
             if late {
-                core.probed(now, *worker, Outcome::Served, free(5.0));
+                core.handle_probe_result(now, *worker, Outcome::Served, free(5.0));
                 assert_eq!(called(&mut core), None, "the peer has not answered");
-                core.told_held(now, *worker, Some(calls));
+                core.set_fleet_in_flight(now, *worker, Some(calls));
             } else {
-                core.told_held(now, *worker, Some(calls));
-                core.probed(now, *worker, Outcome::Served, free(5.0));
+                core.set_fleet_in_flight(now, *worker, Some(calls));
+                core.handle_probe_result(now, *worker, Outcome::Served, free(5.0));
             }
         }
         assert_eq!(called(&mut core), Some(workers[2]));
@@ -109,14 +111,14 @@
     order(&mut core, now);
     let workers = asked(&mut core);
     for (n, worker) in workers.iter().enumerate() {
-        core.ask_held(*worker);
-        core.probed(
+        core.await_fleet_in_flight(*worker);
+        core.handle_probe_result(
             now,
             *worker,
             Outcome::Served,
             free(if n == 1 { 5.0 } else { 0.0 }),
         );
-        core.told_held(now, *worker, None);
+        core.set_fleet_in_flight(now, *worker, None);
     }
     assert_eq!(called(&mut core), Some(workers[1]));
 }
--- a/crates/node/tests/seats.rs
+++ b/crates/node/tests/seats.rs
@@ -5,7 +5,7 @@
 use marbledeck_node::config::SeatsConfig;
 use marbledeck_node::core::licensing::Licensing;
 use marbledeck_node::core::{
-    Catalogue, Command, Core, InvokerCall, Malformed, Order, Verdict, Work,
+    AttemptCommand, Command, Core, FinalAnswer, NameRegistry, NewRequest, Payload, RequestError,
 };
 use marbledeck_platform_settings::PlatformSettings;
 use rstest::rstest;
@@ -23,19 +23,19 @@
     )
     .expect("settings");
     let settings = facts.dispatcher_settings().expect("settings that fit");
-    let catalogue = Catalogue::new(&facts, &settings);
+    let catalogue = NameRegistry::new(&facts, &settings);
     let mut core = Core::new(settings, catalogue, 7, Micros(0)).expect("a core");
     let entry = |id| WorkerEntry {
         worker: WorkerId(id),
         ..WorkerEntry::default()
     };
-    core.listed(Micros(0), WorkerListKind::Full, (0..3).map(entry).collect());
+    core.apply_worker_list(Micros(0), WorkerListKind::Full, (0..3).map(entry).collect());
     let config = SeatsConfig {
         licences: vec!["av1".into(), "aac".into()],
         classes: [("encode".to_owned(), vec!["av1".to_owned()])].into(),
         idle: Micros(60_000_000),
     };
-    let mut licensing = Licensing::new(config, core.catalogue()).expect("classes that there are");
+    let mut licensing = Licensing::new(config, core.names()).expect("classes that there are");
     let part = |pool: &str, seats| Part {
         pool: pool.into(),
         tenant: String::new(),
@@ -56,29 +56,29 @@
 fn hand(
     core: &mut Core,
     now: u64,
-    txn: &str,
+    transaction_id: &str,
     class: &str,
     licences: Vec<&str>,
-) -> Result<(), Malformed> {
-    let order = Order {
+) -> Result<(), RequestError> {
+    let order = NewRequest {
         class,
         time_left: Micros(1_000_000),
         licences,
-        work: Work {
-            txn: txn.into(),
-            ..Work::default()
+        payload: Payload {
+            transaction_id: transaction_id.into(),
+            ..Payload::default()
         },
-        ..Order::default()
+        ..NewRequest::default()
     };
-    core.take_in(Micros(now), order).map(drop)
+    core.accept_request(Micros(now), order).map(drop)
 }
 
-fn commands(core: &mut Core) -> (Option<InvokerCall>, Option<Verdict>) {
+fn commands(core: &mut Core) -> (Option<AttemptCommand>, Option<FinalAnswer>) {
     let (mut call, mut verdict) = (None, None);
-    while let Some(command) = core.command() {
+    while let Some(command) = core.next_command() {
         match command {
-            Command::Call(made) => call = Some(made),
-            Command::Answer { verdict: said, .. } => verdict = Some(said),
+            Command::StartAttempt(made) => call = Some(made),
+            Command::Answer { answer: said, .. } => verdict = Some(said),
             _ => {}
         }
     }
@@ -102,12 +102,12 @@
     let call = call.expect("it goes out");
     assert!(matches!(
         hand(&mut core, 1, "b", "encode", vec![]),
-        Err(Malformed::NoSeat(_))
+        Err(RequestError::NoSeat(_))
     ));
     let result = (outcome == Outcome::Served).then(|| b"done".to_vec());
-    core.call_ended(
+    core.handle_attempt_ended(
         Micros(100_000),
-        call.id,
+        call.request,
         call.attempt,
         outcome,
         result,
@@ -121,7 +121,10 @@
         "{outcome:?} {verdict:?}"
     );
     if !known {
-        assert!(matches!(verdict, Some(Verdict::Rejected(_))), "{verdict:?}");
+        assert!(
+            matches!(verdict, Some(FinalAnswer::Rejected(_))),
+            "{verdict:?}"
+        );
         assert!(hand(&mut core, RUN.0 - 1, "c", "encode", vec![]).is_err());
         assert!(hand(&mut core, RUN.0, "d", "encode", vec![]).is_ok());
     }
@@ -137,7 +140,7 @@
     let call = commands(&mut core).0.expect("it goes out");
     match timed_out {
         true => core.wake(Micros(1_000_000)),
-        false => drop(core.gone(Micros(1_000_000), call.id)),
+        false => drop(core.handle_client_left(Micros(1_000_000), call.request)),
     }
     assert!(hand(&mut core, 1_500_000, "b", "encode", vec![]).is_err());
     // One whose end is still to come is out until it has come.
@@ -150,13 +153,13 @@
     let mut core = core();
     assert_eq!(
         hand(&mut core, 0, "x", "preview", vec!["prores"]),
-        Err(Malformed::UnknownLicence("prores".into()))
+        Err(RequestError::UnknownLicence("prores".into()))
     );
     hand(&mut core, 0, "a", "preview", vec!["aac", "av1"]).expect("both are free");
     assert!(commands(&mut core).0.is_some());
     assert!(matches!(
         hand(&mut core, 0, "b", "preview", vec!["av1"]),
-        Err(Malformed::NoSeat(_))
+        Err(RequestError::NoSeat(_))
     ));
     hand(&mut core, 0, "c", "preview", vec!["aac"]).expect("the second of two");
     assert!(commands(&mut core).0.is_some());
