--- a/crates/node/src/core/accounting.rs
+++ b/crates/node/src/core/accounting.rs
@@ -1,4 +1,4 @@
-//! Stage 6, book: the final answer, given once, and the counts.
+//! Stage 6, accounting: the one final answer of each request, and the totals since the start.
 
 use super::{Command, Core, FinalAnswer};
 use marbledeck_dispatcher::{ClassId, Outcome, RequestId};
@@ -7,40 +7,51 @@
 /// Totals of one class since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
+    /// Requests answered with a worker's result.
     pub served: u64,
+    /// Requests rejected: a retry by the client is harmless.
     pub rejected: u64,
+    /// Requests that ended without a result and without such a promise.
     pub failed: u64,
-    /// Calls whose last byte has left for the worker.
+    /// Attempts whose last byte has left for the worker.
     pub written: u64,
 }
 
 /// Totals since the start: what operators are shown and what is logged are the same counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// By class, each from the start on.
+    /// The totals of each class, in the order of the settings.
     pub classes: Vec<ClassCounts>,
-    pub taken: u64,
-    pub gone: u64,
-    /// Calls made, whether or not they were ever written.
-    pub calls: u64,
-    pub full: u64,
-    pub unconnected: u64,
+    /// Requests accepted for processing.
+    pub accepted: u64,
+    /// Requests whose client left before the answer.
+    pub clients_left: u64,
+    /// Attempts started, whether or not they were ever written.
+    pub attempts: u64,
+    /// Attempts that their worker rejected.
+    pub rejected_attempts: u64,
+    /// Attempts whose worker could not be connected.
+    pub connect_failures: u64,
+    /// Attempts whose connection broke after the request was written.
     pub resets: u64,
+    /// Attempts that reached their deadline.
     pub timeouts: u64,
+    /// Attempts that their worker reported as failed.
     pub errors: u64,
     /// Resubmissions that joined an earlier job.
     pub duplicates: u64,
 }
 
 impl Counts {
-    pub(super) fn class(&mut self, class: ClassId) -> Option<&mut ClassCounts> {
+    pub(super) fn class_mut(&mut self, class: ClassId) -> Option<&mut ClassCounts> {
         self.classes.get_mut(class.0 as usize)
     }
 
-    pub(super) fn end(&mut self, outcome: Outcome) {
+    /// Counts the end of an attempt.
+    pub(super) fn record_outcome(&mut self, outcome: Outcome) {
         match outcome {
-            Outcome::Rejected => self.full += 1,
-            Outcome::ConnectFailed => self.unconnected += 1,
+            Outcome::Rejected => self.rejected_attempts += 1,
+            Outcome::ConnectFailed => self.connect_failures += 1,
             Outcome::Reset => self.resets += 1,
             Outcome::TimedOut => self.timeouts += 1,
             Outcome::Failed => self.errors += 1,
@@ -51,20 +62,20 @@
 
 impl fmt::Display for Counts {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let sum = |of: fn(&ClassCounts) -> u64| self.classes.iter().map(of).sum::<u64>();
+        let sum = |count: fn(&ClassCounts) -> u64| self.classes.iter().map(count).sum::<u64>();
         write!(
             f,
             "taken {} served {} rejected {} failed {} gone {} duplicates {}; calls {}: full {} unconnected {} \
              reset {} timed out {} error {}",
-            self.taken,
-            sum(|c| c.served),
-            sum(|c| c.rejected),
-            sum(|c| c.failed),
-            self.gone,
+            self.accepted,
+            sum(|class| class.served),
+            sum(|class| class.rejected),
+            sum(|class| class.failed),
+            self.clients_left,
             self.duplicates,
-            self.calls,
-            self.full,
-            self.unconnected,
+            self.attempts,
+            self.rejected_attempts,
+            self.connect_failures,
             self.resets,
             self.timeouts,
             self.errors
@@ -73,51 +84,51 @@
 }
 
 impl Core {
-    /// Gives the final answer unless there has been one; tells whether it was given.
-    pub(super) fn finish(&mut self, id: RequestId, verdict: FinalAnswer) -> bool {
-        if !self.table.answer(id) {
+    /// Gives the final answer unless the request has had one or its client has left. Returns whether it was given.
+    pub(super) fn finish(&mut self, id: RequestId, answer: FinalAnswer) -> bool {
+        if !self.table.close(id) {
             return false;
         }
-        let invocation = self.table.get(id);
-        let class = invocation.as_ref().map(|i| i.class);
-        log::trace!("job {} {verdict}", id.0);
-        let sent = invocation.and_then(|i| i.last_sent());
-        if let Some(class) = class.and_then(|class| self.counts.class(class)) {
-            match verdict {
-                FinalAnswer::Served(_) => class.served += 1,
-                FinalAnswer::Rejected(_) => class.rejected += 1,
-                FinalAnswer::Failed => class.failed += 1,
+        let request = self.table.get(id);
+        let class = request.as_ref().map(|request| request.class);
+        log::trace!("job {} {answer}", id.0);
+        let last_sent = request.and_then(|request| request.last_sent());
+        if let Some(counts) = class.and_then(|class| self.counts.class_mut(class)) {
+            match answer {
+                FinalAnswer::Served(_) => counts.served += 1,
+                FinalAnswer::Rejected(_) => counts.rejected += 1,
+                FinalAnswer::Failed => counts.failed += 1,
             }
         }
         self.commands.push_back(Command::Answer {
             request: id,
-            answer: verdict,
-            last_sent: sent,
+            answer,
+            last_sent,
         });
-        self.table.forget(id);
+        self.table.remove_if_done(id);
         true
     }
 
-    /// The last byte of a call has been written to its worker: only then is it one that the worker can have.
+    /// Counts an attempt whose last byte has been written to its worker: only then can the worker have it.
     pub fn handle_attempt_written(&mut self, id: RequestId) {
-        let class = self.table.get(id).map(|i| i.class);
-        if let Some(class) = class.and_then(|class| self.counts.class(class)) {
-            class.written += 1;
+        let class = self.table.get(id).map(|request| request.class);
+        if let Some(counts) = class.and_then(|class| self.counts.class_mut(class)) {
+            counts.written += 1;
         }
     }
 
-    /// The totals of each class, in a line for the log.
+    /// The totals of each class, in one line for the log.
     pub fn class_summary(&self) -> String {
-        let named = self.catalogue.class_names().zip(&self.counts.classes);
-        let words = named.map(|(name, c)| {
-            let (served, rejected) = (c.served, c.rejected);
-            let (failed, written) = (c.failed, c.written);
+        let classes = self.names.class_names().zip(&self.counts.classes);
+        let parts = classes.map(|(name, counts)| {
+            let (served, rejected) = (counts.served, counts.rejected);
+            let (failed, written) = (counts.failed, counts.written);
             format!("{name}: served {served} rejected {rejected} failed {failed} written {written}")
         });
-        words.collect::<Vec<_>>().join("; ")
+        parts.collect::<Vec<_>>().join("; ")
     }
 
-    /// A front has joined a resubmission to an earlier job.
+    /// Counts a resubmission that a front has joined to an earlier job.
     pub fn count_duplicate(&mut self) {
         self.counts.duplicates += 1;
     }
--- a/crates/node/src/core/attempts.rs
+++ b/crates/node/src/core/attempts.rs
@@ -1,46 +1,52 @@
-//! Stage 4, send: hands a call to the worker links and sees to its time-out and its withdrawal.
+//! Stage 4, attempts: hands an attempt to the worker links, and ends it when its time is up or it is withdrawn.
 
-use super::timers::Due;
+use super::responses::AttemptEnd;
+use super::timers::Timer;
 use super::{AttemptCommand, Command, Core};
 use marbledeck_dispatcher::{Micros, Outcome, RequestId};
 
 impl Core {
-    pub(super) fn send(&mut self, id: RequestId, attempt: u32, latest: Option<Micros>) {
-        let Some(invocation) = self.table.get(id) else {
+    pub(super) fn start_attempt(
+        &mut self,
+        id: RequestId,
+        number: u32,
+        send_before: Option<Micros>,
+    ) {
+        let Some(request) = self.table.get(id) else {
             return;
         };
-        let until = invocation.deadline;
-        let worker = invocation.calls[attempt as usize].worker;
-        let work = invocation.payload.clone();
-        self.timers.add(until, Due::Attempt(id, attempt));
-        self.counts.calls += 1;
-        log::trace!("call {}.{attempt} to {:016x}", id.0, worker.0);
+        let deadline = request.deadline;
+        let worker = request.attempts[number as usize].worker;
+        let payload = request.payload.clone();
+        self.timers.add(deadline, Timer::Attempt(id, number));
+        self.counts.attempts += 1;
+        log::trace!("call {}.{number} to {:016x}", id.0, worker.0);
         self.commands
             .push_back(Command::StartAttempt(AttemptCommand {
                 request: id,
-                attempt,
+                attempt: number,
                 worker,
-                payload: work,
-                deadline: until,
-                send_before: latest,
+                payload,
+                deadline,
+                send_before,
             }));
     }
 
     pub(super) fn time_out(&mut self, now: Micros, id: RequestId, attempt: u32) {
-        self.stop_waiting(now, id, attempt, Outcome::TimedOut);
+        self.abandon_attempt(now, id, attempt, Outcome::TimedOut);
     }
 
     pub(super) fn cancel(&mut self, now: Micros, id: RequestId, attempt: u32) {
-        self.stop_waiting(now, id, attempt, Outcome::Cancelled);
+        self.abandon_attempt(now, id, attempt, Outcome::Cancelled);
     }
 
-    fn stop_waiting(&mut self, now: Micros, id: RequestId, attempt: u32, outcome: Outcome) {
-        if self.table.out(id, attempt).is_some() {
+    fn abandon_attempt(&mut self, now: Micros, id: RequestId, attempt: u32, outcome: Outcome) {
+        if self.table.in_flight(id, attempt).is_some() {
             self.commands.push_back(Command::CancelAttempt {
                 request: id,
                 attempt,
             });
-            self.back(now, id, attempt, outcome, None);
+            self.end_attempt(now, id, attempt, AttemptEnd::new(outcome));
         }
     }
 }
--- a/crates/node/src/core/licensing.rs
+++ b/crates/node/src/core/licensing.rs
@@ -1,25 +1,32 @@
-//! Licence seats, as an input to the invocations: a job whose licences have no seat is not taken in, and a call for which
-//! there is none is one that could not be made. Which worker, whether to repeat and what to refuse stays with the
-//! decision module.
+//! Licence seats on the way of a request: one whose licences have no seat is not accepted, and an attempt for which
+//! there is none is one that could not be made. Which worker, whether to retry and what to reject stays with the
+//! dispatcher.
 
 use super::{Core, NameRegistry, RequestError};
 use crate::config::SeatsConfig;
-use marbledeck_dispatcher::{ClassId, Micros, Outcome, RequestId};
+use marbledeck_dispatcher::{ClassId, Micros, Outcome, RequestId, TenantId};
 use marbledeck_licensing::{Desk, Licence};
 use std::rc::Rc;
 
+/// The operator file names a class that the platform's settings do not have.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("seats: classes.{0}: the settings have no such class")]
+pub struct UnknownClassError(String);
+
 /// The seats of this node.
 pub struct Licensing {
+    /// Grants this node's part of the seats.
     pub desk: Desk,
-    /// The licences that each class needs, whatever its jobs say.
+    /// The licences that each class needs, whatever its requests name.
     pub by_class: Vec<Vec<Licence>>,
 }
 
-/// What an invocation needs for each of its calls.
+/// What each attempt of a request needs.
 #[derive(Clone, Debug, Default)]
-pub struct Needs {
+pub struct LicenceNeeds {
+    /// The licences, each once and in one order.
     pub licences: Rc<[Licence]>,
-    /// The place of its tenant.
+    /// The index of the request's tenant.
     pub tenant: usize,
 }
 
@@ -27,75 +34,75 @@
     /// The seats as the operator file has them.
     ///
     /// # Errors
-    /// It names a class that the platform's settings do not.
-    pub fn new(config: SeatsConfig, catalogue: &NameRegistry) -> Result<Self, String> {
+    /// It names a class that the platform's settings do not have.
+    pub fn new(config: SeatsConfig, names: &NameRegistry) -> Result<Self, UnknownClassError> {
         let SeatsConfig {
             licences,
             classes,
             idle,
         } = config;
-        let unknown = classes
-            .keys()
-            .find(|class| catalogue.class(class).is_none());
+        let unknown = classes.keys().find(|class| names.class(class).is_none());
         if let Some(class) = unknown {
-            return Err(format!(
-                "seats: classes.{class}: the settings have no such class"
-            ));
+            return Err(UnknownClassError(class.clone()));
         }
-        let desk = Desk::new(licences, catalogue.tenants().to_vec(), idle);
-        let of = |class: &str| -> Vec<Licence> {
-            let names = classes.get(class).into_iter().flatten();
-            names.filter_map(|name| desk.licence(name)).collect()
+        let desk = Desk::new(licences, names.tenants().to_vec(), idle);
+        let licences_of = |class: &str| -> Vec<Licence> {
+            let licences = classes.get(class).into_iter().flatten();
+            licences.filter_map(|name| desk.licence(name)).collect()
         };
-        let by_class = catalogue.class_names().map(of).collect();
+        let by_class = names.class_names().map(licences_of).collect();
         Ok(Licensing { desk, by_class })
     }
 
-    /// The licences of a job: those of its class, and those that it names. Each once and in one order.
-    fn needs(&self, class: ClassId, tenant: usize, named: &[&str]) -> Result<Needs, RequestError> {
+    /// The licences of a request: those of its class, and those that it names. Each once and in one order.
+    fn needs(
+        &self,
+        class: ClassId,
+        tenant: TenantId,
+        named: &[&str],
+    ) -> Result<LicenceNeeds, RequestError> {
         let of_class = self.by_class.get(class.0 as usize);
         let mut licences = of_class.cloned().unwrap_or_default();
         for name in named {
-            let known = self.desk.licence(name);
-            licences.push(known.ok_or_else(|| RequestError::UnknownLicence((*name).to_owned()))?);
+            let licence = self.desk.licence(name);
+            licences.push(licence.ok_or_else(|| RequestError::UnknownLicence((*name).to_owned()))?);
         }
         licences.sort_unstable();
         licences.dedup();
-        Ok(Needs {
+        Ok(LicenceNeeds {
             licences: licences.into(),
-            tenant,
+            tenant: tenant.0 as usize,
         })
     }
 }
 
 impl Core {
-    /// Whether a job may be taken in as far as its licences go, and what its calls need.
+    /// Checks whether a request may be accepted as far as its licences go. Returns what its attempts need.
     ///
     /// # Errors
-    /// A licence that nobody knows, or one that has no seat now: nothing is held for it, since it would wait for a worker
-    /// and keep a seat from another that has one.
-    pub(super) fn needs(
+    /// A licence that is unknown, or one that has no seat now: nothing is held for it, since it would wait for a
+    /// worker and keep a seat from another request that has one.
+    pub(super) fn check_seats(
         &mut self,
         now: Micros,
         class: ClassId,
-        tenant: usize,
+        tenant: TenantId,
         named: &[&str],
-    ) -> Result<Needs, RequestError> {
+    ) -> Result<LicenceNeeds, RequestError> {
         let Some(licensing) = &mut self.licensing else {
             return match named.first() {
                 Some(name) => Err(RequestError::UnknownLicence((*name).to_owned())),
-                None => Ok(Needs::default()),
+                None => Ok(LicenceNeeds::default()),
             };
         };
         let needs = licensing.needs(class, tenant, named)?;
-        match licensing.desk.look(now, &needs.licences, needs.tenant) {
-            Ok(()) => Ok(needs),
-            Err(why) => Err(RequestError::NoSeat(why)),
-        }
+        let free = licensing.desk.look(now, &needs.licences, needs.tenant);
+        free.map_err(RequestError::NoSeat)?;
+        Ok(needs)
     }
 
-    /// Takes the seats of a call that is about to go out; tells whether it may.
-    pub(super) fn seat(&mut self, now: Micros, needs: &Needs) -> bool {
+    /// Takes the seats of an attempt that is about to start. Returns whether it may.
+    pub(super) fn take_seats(&mut self, now: Micros, needs: &LicenceNeeds) -> bool {
         if needs.licences.is_empty() {
             return true;
         }
@@ -103,39 +110,39 @@
             return false;
         };
         let taken = licensing.desk.take(now, &needs.licences, needs.tenant);
-        if let Err(why) = &taken {
-            log::debug!("seats: {why}");
+        if let Err(error) = &taken {
+            log::debug!("seats: {error}");
         }
         taken.is_ok()
     }
 
-    /// A call is back. Only some ends show that its worker has ended it, too: one that was given up may still run.
-    pub(super) fn unseat(&mut self, sent: Micros, needs: &Needs, outcome: Outcome) {
-        if let Some(licensing) = self
-            .licensing
-            .as_mut()
-            .filter(|_| !needs.licences.is_empty())
-        {
-            let known = match outcome {
-                Outcome::Served | Outcome::Failed | Outcome::Rejected => true,
-                Outcome::ConnectFailed | Outcome::NotSent => true,
-                Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => false,
-            };
-            let Needs { licences, tenant } = needs;
-            licensing.desk.end(sent, licences, *tenant, known);
+    /// Returns the seats of an attempt that has ended. Only some ends show that its worker has ended it, too: one that
+    /// was cancelled may still run.
+    pub(super) fn return_seats(&mut self, sent: Micros, needs: &LicenceNeeds, outcome: Outcome) {
+        if needs.licences.is_empty() {
+            return;
         }
+        let Some(licensing) = &mut self.licensing else {
+            return;
+        };
+        let ended_at_worker = match outcome {
+            Outcome::Served | Outcome::Failed | Outcome::Rejected => true,
+            Outcome::ConnectFailed | Outcome::NotSent => true,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => false,
+        };
+        let LicenceNeeds { licences, tenant } = needs;
+        licensing.desk.end(sent, licences, *tenant, ended_at_worker);
     }
 
-    /// Whether the calls of this invocation need seats.
+    /// Whether the attempts of this request need seats.
     pub fn needs_seats(&mut self, id: RequestId) -> bool {
-        let invocation = self.table.get(id);
-        invocation.is_some_and(|i| !i.needs.licences.is_empty())
+        let request = self.table.get(id);
+        request.is_some_and(|request| !request.needs.licences.is_empty())
     }
 
-    /// Until when calls that need seats may begin.
+    /// Until when attempts that need seats may start; none where the site has no seats.
     pub fn seats_valid_until(&self) -> Option<Micros> {
-        self.licensing
-            .as_ref()
-            .map(|licensing| licensing.desk.until())
+        let licensing = self.licensing.as_ref();
+        licensing.map(|licensing| licensing.desk.until())
     }
 }
--- /dev/null
+++ b/crates/node/src/core/names.rs
@@ -0,0 +1,80 @@
+//! The classes and tenants of the platform's settings by their names.
+
+use super::RequestError;
+use marbledeck_dispatcher::{Class, ClassId, Idempotency, Micros, Settings, TenantId};
+use marbledeck_platform_settings::PlatformSettings;
+
+/// The classes and tenants by their names, and how many requests may be open.
+#[derive(Clone, Debug, Default)]
+pub struct NameRegistry {
+    classes: Vec<(String, Class)>,
+    tenants: Vec<String>,
+    pub(super) max_open_requests: usize,
+}
+
+impl NameRegistry {
+    /// The names of these platform settings, with the classes as the dispatcher has them.
+    pub fn new(platform: &PlatformSettings, settings: &Settings) -> Self {
+        let names = platform.classes.iter().map(|class| class.name.clone());
+        let classes = settings.classes.iter().cloned();
+        let tenants = platform.tenants.iter().map(|tenant| tenant.name.clone());
+        let max_open_requests = platform.limits.max_open_requests;
+        NameRegistry {
+            classes: names.zip(classes).collect(),
+            tenants: tenants.collect(),
+            max_open_requests: max_open_requests.map_or(usize::MAX, |max| max as usize),
+        }
+    }
+
+    /// The classes' names, in the order of the settings.
+    pub fn class_names(&self) -> impl Iterator<Item = &str> {
+        self.classes.iter().map(|(name, _)| name.as_str())
+    }
+
+    /// The id of a class, and its settings.
+    pub fn class(&self, name: &str) -> Option<(ClassId, &Class)> {
+        let index = self.classes.iter().position(|(known, _)| known == name)?;
+        Some((ClassId(index as u32), &self.classes[index].1))
+    }
+
+    /// The ids of a request's class and tenant. `has_key` says whether it has an idempotency key.
+    ///
+    /// # Errors
+    /// The class or tenant is unknown, or the class needs a key and the request has none.
+    pub fn check(
+        &self,
+        class: &str,
+        tenant: Option<&str>,
+        has_key: bool,
+    ) -> Result<(ClassId, TenantId), RequestError> {
+        let found = self.class(class);
+        let (id, settings) = found.ok_or_else(|| RequestError::UnknownClass(class.into()))?;
+        let unknown = || RequestError::UnknownTenant(tenant.unwrap_or_default().into());
+        let tenant = self.tenant(tenant).ok_or_else(unknown)?;
+        if matches!(settings.idempotency, Idempotency::Keyed { .. }) && !has_key {
+            return Err(RequestError::MissingKey);
+        }
+        Ok((id, tenant))
+    }
+
+    /// The tenants' names, in the order of the settings.
+    pub fn tenants(&self) -> &[String] {
+        &self.tenants
+    }
+
+    /// The longest deadline of any class.
+    pub fn max_deadline(&self) -> Micros {
+        let deadlines = self.classes.iter().map(|(_, class)| class.deadline);
+        deadlines.max().unwrap_or_default()
+    }
+
+    /// The id of a tenant; a platform without tenants takes any name.
+    pub fn tenant(&self, name: Option<&str>) -> Option<TenantId> {
+        if self.tenants.is_empty() {
+            return Some(TenantId(0));
+        }
+        let is_named = |known: &String| Some(known.as_str()) == name;
+        let index = self.tenants.iter().position(is_named)?;
+        Some(TenantId(index as u32))
+    }
+}
--- a/crates/node/src/core/responses.rs
+++ b/crates/node/src/core/responses.rs
@@ -1,32 +1,62 @@
-//! Stage 5, relay: what comes back from the workers goes to the dispatcher, and a result to the consumer.
+//! Stage 5, responses: what comes back from the workers goes to the dispatcher, and a result to the client.
 
+use super::table::AttemptState;
 use super::{Command, Core, FinalAnswer};
 use marbledeck_dispatcher::{AttemptEnded, Event, LoadReport, Micros, Outcome, RequestId};
 use std::fmt;
 
-/// What a report tells of free slots, for the log.
-pub(super) struct Told(pub Option<LoadReport>);
+/// How an attempt has ended.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AttemptEnd {
+    /// What became of it.
+    pub outcome: Outcome,
+    /// What the worker made; only with [`Outcome::Served`].
+    pub result: Option<Vec<u8>>,
+    /// The worker's load, where it reported it with the end.
+    pub report: Option<LoadReport>,
+}
+
+impl AttemptEnd {
+    /// An end without a result and without a load report.
+    pub fn new(outcome: Outcome) -> Self {
+        Self::with_report(outcome, None)
+    }
+
+    /// An end without a result.
+    pub fn with_report(outcome: Outcome, report: Option<LoadReport>) -> Self {
+        AttemptEnd {
+            outcome,
+            result: None,
+            report,
+        }
+    }
+}
+
+/// Formats the free slots of a load report for the log.
+pub(super) struct FreeSlots(pub Option<LoadReport>);
 
-impl fmt::Display for Told {
+impl fmt::Display for FreeSlots {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.0.and_then(|report| report.free_slots) {
             Some(free) => write!(f, "{free:.1}")?,
             None => f.write_str("-")?,
         }
-        let held = self.0.and_then(|report| report.in_flight);
-        held.map_or(Ok(()), |held| write!(f, ", held {held}"))
+        let in_flight = self.0.and_then(|report| report.in_flight);
+        in_flight.map_or(Ok(()), |count| write!(f, ", held {count}"))
     }
 }
 
 impl Core {
-    /// A worker has begun to run a call.
+    /// A worker has begun to run an attempt.
     pub fn handle_attempt_started(&mut self, now: Micros, id: RequestId, attempt: u32) {
-        let Some(call) = self.table.out(id, attempt) else {
+        let Some(in_flight) = self.table.in_flight(id, attempt) else {
             return;
         };
-        call.started.get_or_insert(now);
-        let worker = call.worker;
-        if self.table.get(id).is_some_and(|i| !i.answered) {
+        if in_flight.state == AttemptState::InFlight {
+            in_flight.state = AttemptState::Running(now);
+        }
+        let worker = in_flight.worker;
+        if !self.table.is_closed(id) {
             self.commands.push_back(Command::RequestRunning(id, worker));
         }
         self.pending.push_back(Event::AttemptStarted {
@@ -36,70 +66,71 @@
         self.decide(now);
     }
 
-    /// A call has ended; `result` comes with [`Outcome::Served`] and is what the worker made. An end told twice, or
-    /// told of a call that was given up, is ignored.
+    /// An attempt has ended. A second end, or the end of an attempt that was cancelled, is ignored.
     pub fn handle_attempt_ended(
         &mut self,
         now: Micros,
         id: RequestId,
         attempt: u32,
-        outcome: Outcome,
-        result: Option<Vec<u8>>,
-        report: Option<LoadReport>,
+        mut end: AttemptEnd,
     ) {
-        if self.table.out(id, attempt).is_none() {
+        if self.table.in_flight(id, attempt).is_none() {
             return;
         }
-        if let Some(result) = result.filter(|_| outcome == Outcome::Served) {
+        let result = end.result.take();
+        if let Some(result) = result.filter(|_| end.outcome == Outcome::Served) {
             self.finish(id, FinalAnswer::Served(result));
         }
-        self.back(now, id, attempt, outcome, report);
+        self.end_attempt(now, id, attempt, end);
         self.decide(now);
     }
 
-    /// Notes the end of a call that is out, for the dispatcher to hear of.
-    pub(super) fn back(
-        &mut self,
-        now: Micros,
-        id: RequestId,
-        attempt: u32,
-        outcome: Outcome,
-        report: Option<LoadReport>,
-    ) {
-        let Some(call) = self.table.out(id, attempt) else {
+    /// Records the end of an attempt in flight and queues it for the dispatcher.
+    pub(super) fn end_attempt(&mut self, now: Micros, id: RequestId, number: u32, end: AttemptEnd) {
+        let AttemptEnd {
+            outcome, report, ..
+        } = end;
+        let Some(attempt) = self.table.in_flight(id, number) else {
             return;
         };
-        call.out = false;
-        let started = call.started;
-        call.never_ran = outcome.never_ran();
-        let (worker, latency) = (call.worker, now - call.sent);
+        let started = match attempt.state {
+            AttemptState::Running(since) => Some(since),
+            _ => None,
+        };
+        attempt.state = if outcome.never_ran() {
+            AttemptState::NeverRan
+        } else {
+            AttemptState::Ended
+        };
+        let (worker, sent) = (attempt.worker, attempt.sent);
+        let latency = now - sent;
         log::trace!(
-            "call {}.{attempt} worker {:016x} {outcome:?}: waited {} ran {} us, free {}",
+            "call {}.{number} worker {:016x} {outcome:?}: waited {} ran {} us, free {}",
             id.0,
             worker.0,
-            started.map_or(latency, |at| at - call.sent).0,
-            started.map_or(Micros(0), |at| now - at).0,
-            Told(report)
+            started.map_or(latency, |since| since - sent).0,
+            started.map_or(Micros(0), |since| now - since).0,
+            FreeSlots(report)
         );
-        let needs = self.table.get(id).map(|i| i.needs.clone());
+        let needs = self.table.get(id).map(|request| request.needs.clone());
         if let Some(needs) = needs {
-            self.unseat(now - latency, &needs, outcome);
+            self.return_seats(now - latency, &needs, outcome);
         }
-        let closed = self.table.get(id).is_none_or(|i| i.answered);
-        self.counts.end(outcome);
+        let request_closed = self.table.is_closed(id);
+        self.counts.record_outcome(outcome);
         self.commands.push_back(Command::AttemptEnded(worker));
-        if started.is_some() && !closed {
+        if started.is_some() && !request_closed {
             self.returned.push(id);
         }
         self.pending.push_back(Event::AttemptEnded(AttemptEnded {
             request: id,
-            attempt,
+            attempt: number,
             worker,
             outcome,
-            request_closed: closed,
+            request_closed,
             latency,
             report,
         }));
-        self.table.forget(id);
+        self.table.remove_if_done(id);
     }
 }
--- a/crates/node/src/core/routing.rs
+++ b/crates/node/src/core/routing.rs
@@ -1,48 +1,52 @@
-//! Stage 3, route: checks that a send the dispatcher wants can be made at all, and numbers the call.
+//! Stage 3, routing: checks that a send which the dispatcher wants can still be made, and numbers the attempt.
 
-use super::table::Call;
+use super::table::{Attempt, AttemptState};
 use super::Core;
 use marbledeck_dispatcher::{AttemptEnded, Event, Micros, Outcome, RequestId, WorkerId};
 
 impl Core {
-    /// A send that can no longer be made is moot, and told so: each send gets exactly one end.
+    /// Starts an attempt at this worker. One that can no longer be made is reported as not sent: the dispatcher hears
+    /// of exactly one end for each send.
     pub(super) fn route(
         &mut self,
         now: Micros,
         id: RequestId,
         worker: WorkerId,
-        latest: Option<Micros>,
+        send_before: Option<Micros>,
     ) {
-        let most = self.attempts as usize;
-        let Some(invocation) = self.table.get(id) else {
-            return log::error!("a send for invocation {}, which is over", id.0);
+        let max_attempts = self.max_attempts as usize;
+        let Some(request) = self.table.get(id) else {
+            return log::error!("a send for request {}, which is over", id.0);
         };
-        let attempt = invocation.calls.len() as u32;
-        let may =
-            !invocation.answered && now < invocation.deadline && invocation.calls.len() < most;
-        let needs = invocation.needs.clone();
-        // A call that finds no seat is moot, as one that finds no worker would be: the dispatcher goes on from there.
-        let may = may && self.seat(now, &needs);
-        let Some(invocation) = self.table.get(id) else {
+        let number = request.attempts.len() as u32;
+        let is_open = !request.closed && now < request.deadline;
+        let allowed = is_open && request.attempts.len() < max_attempts;
+        let needs = request.needs.clone();
+        // An attempt without a licence seat ends like one without a worker: the dispatcher goes on from there.
+        let allowed = allowed && self.take_seats(now, &needs);
+        let Some(request) = self.table.get(id) else {
             return;
         };
-        invocation.calls.push(Call {
+        let state = if allowed {
+            AttemptState::InFlight
+        } else {
+            AttemptState::NeverRan
+        };
+        request.attempts.push(Attempt {
             worker,
             sent: now,
-            out: may,
-            started: None,
-            never_ran: !may,
+            state,
         });
-        if may {
-            return self.send(id, attempt, latest);
+        if allowed {
+            return self.start_attempt(id, number, send_before);
         }
-        let closed = invocation.answered;
+        let request_closed = request.closed;
         self.pending.push_back(Event::AttemptEnded(AttemptEnded {
             request: id,
-            attempt,
+            attempt: number,
             worker,
             outcome: Outcome::NotSent,
-            request_closed: closed,
+            request_closed,
             latency: Micros(0),
             report: None,
         }));
--- a/crates/node/src/core/table.rs
+++ b/crates/node/src/core/table.rs
@@ -1,139 +1,177 @@
-//! The invocations: each is kept until it has its final answer and all of its calls are back.
+//! The request table: each request is kept until it has its final answer and all of its attempts have ended.
 
-use super::licensing::Needs;
+use super::licensing::LicenceNeeds;
 use super::Payload;
 use marbledeck_dispatcher::{ClassId, Micros, RequestId, WorkerId};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-pub struct Call {
+/// How far an attempt has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptState {
+    /// Sent; its worker has not said that it runs.
+    InFlight,
+    /// Its worker runs it since this time.
+    Running(Micros),
+    /// It has ended, and may have run.
+    Ended,
+    /// It has ended, or was never sent, and is known not to have run.
+    NeverRan,
+}
+
+/// One attempt of a request.
+pub struct Attempt {
+    /// Where it was sent.
     pub worker: WorkerId,
+    /// When it was handed to the worker links.
     pub sent: Micros,
-    pub out: bool,
-    /// When a worker told that it runs.
-    pub started: Option<Micros>,
-    /// Proved never to have run.
-    pub never_ran: bool,
+    /// How far it has come.
+    pub state: AttemptState,
 }
 
-pub struct Invocation {
+impl Attempt {
+    /// Whether it has not ended yet.
+    pub fn is_in_flight(&self) -> bool {
+        matches!(
+            self.state,
+            AttemptState::InFlight | AttemptState::Running(_)
+        )
+    }
+}
+
+/// A request that was accepted.
+pub struct Request {
+    /// The class that it belongs to.
     pub class: ClassId,
+    /// What workers get.
     pub payload: Rc<Payload>,
+    /// When its client stops waiting.
     pub deadline: Micros,
-    pub answered: bool,
-    /// What each of its calls takes.
-    pub needs: Needs,
-    pub calls: Vec<Call>,
+    /// It has had its final answer, or its client has left.
+    pub closed: bool,
+    /// The licence seats that each of its attempts takes.
+    pub needs: LicenceNeeds,
+    /// Its attempts, by number.
+    pub attempts: Vec<Attempt>,
 }
 
-impl Invocation {
-    /// Whether a call is out that a worker runs.
-    pub fn runs(&self) -> bool {
-        self.calls
+impl Request {
+    /// Whether a worker runs one of its attempts.
+    pub fn is_running(&self) -> bool {
+        self.attempts
             .iter()
-            .any(|call| call.out && call.started.is_some())
+            .any(|attempt| matches!(attempt.state, AttemptState::Running(_)))
     }
 
-    /// When it was last sent by a call that may have run.
+    /// When the last attempt was sent that may have run.
     pub fn last_sent(&self) -> Option<Micros> {
-        let may_have_run = self.calls.iter().filter(|c| !c.never_ran);
-        may_have_run.map(|c| c.sent).max()
+        let may_have_run = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.state != AttemptState::NeverRan);
+        may_have_run.map(|attempt| attempt.sent).max()
     }
 }
 
+/// All requests that are not done.
 #[derive(Default)]
 pub struct Table {
-    map: HashMap<RequestId, Invocation>,
-    next: u64,
+    requests: HashMap<RequestId, Request>,
+    next_id: u64,
     unanswered: usize,
-    /// The consumers' ids of all that is held.
-    txns: HashSet<String>,
+    /// The clients' transaction ids of all requests held.
+    transaction_ids: HashSet<String>,
     /// Bytes of all bodies held.
-    bytes: usize,
+    body_bytes: usize,
 }
 
 impl Table {
-    /// Enters an invocation under an id that is never used again.
-    pub fn enter(
+    /// Adds a request under an id that is never used again.
+    pub fn insert(
         &mut self,
         class: ClassId,
-        work: Payload,
+        payload: Payload,
         deadline: Micros,
-        needs: Needs,
+        needs: LicenceNeeds,
     ) -> RequestId {
-        let id = RequestId(self.next);
-        self.next += 1;
-        self.txns.insert(work.transaction_id.clone());
-        self.bytes += work.body.len();
-        let new = Invocation {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        self.transaction_ids.insert(payload.transaction_id.clone());
+        self.body_bytes += payload.body.len();
+        let request = Request {
             class,
-            payload: Rc::new(work),
+            payload: Rc::new(payload),
             deadline,
-            answered: false,
+            closed: false,
             needs,
-            calls: Vec::new(),
+            attempts: Vec::new(),
         };
-        self.map.insert(id, new);
+        self.requests.insert(id, request);
         self.unanswered += 1;
         id
     }
 
-    pub fn get(&mut self, id: RequestId) -> Option<&mut Invocation> {
-        self.map.get_mut(&id)
+    /// The request of this id, unless it is done.
+    pub fn get(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.requests.get_mut(&id)
     }
 
-    /// The call of this number, as long as it is out.
-    pub fn out(&mut self, id: RequestId, attempt: u32) -> Option<&mut Call> {
-        let call = self.map.get_mut(&id)?.calls.get_mut(attempt as usize);
-        call.filter(|call| call.out)
+    /// The attempt of this number, as long as it is in flight.
+    pub fn in_flight(&mut self, id: RequestId, attempt: u32) -> Option<&mut Attempt> {
+        let attempts = &mut self.requests.get_mut(&id)?.attempts;
+        let attempt = attempts.get_mut(attempt as usize);
+        attempt.filter(|attempt| attempt.is_in_flight())
     }
 
-    /// Marks an invocation as answered. Tells false where it is unknown or has had its answer: final is once.
-    pub fn answer(&mut self, id: RequestId) -> bool {
-        let open = self.map.get_mut(&id).filter(|i| !i.answered);
-        let Some(invocation) = open else {
+    /// Marks a request as closed. Returns false where it is unknown or was closed before: an answer is given once.
+    pub fn close(&mut self, id: RequestId) -> bool {
+        let open = self.requests.get_mut(&id);
+        let Some(request) = open.filter(|request| !request.closed) else {
             return false;
         };
-        invocation.answered = true;
+        request.closed = true;
         self.unanswered -= 1;
         true
     }
 
-    /// Whether an invocation has had its answer, or needs none.
-    pub fn is_over(&self, id: RequestId) -> bool {
-        self.map.get(&id).is_none_or(|i| i.answered)
+    /// Whether a request has had its answer, or needs none.
+    pub fn is_closed(&self, id: RequestId) -> bool {
+        self.requests.get(&id).is_none_or(|request| request.closed)
     }
 
-    /// Drops an invocation that is answered and has no call out.
-    pub fn forget(&mut self, id: RequestId) {
-        let over = |i: &Invocation| i.answered && i.calls.iter().all(|c| !c.out);
-        if !self.map.get(&id).is_some_and(over) {
+    /// Removes a request that is closed and has no attempt in flight.
+    pub fn remove_if_done(&mut self, id: RequestId) {
+        let is_done = |request: &Request| {
+            request.closed && !request.attempts.iter().any(Attempt::is_in_flight)
+        };
+        if !self.requests.get(&id).is_some_and(is_done) {
             return;
         }
-        if let Some(old) = self.map.remove(&id) {
-            self.txns.remove(&old.payload.transaction_id);
-            self.bytes -= old.payload.body.len();
+        if let Some(request) = self.requests.remove(&id) {
+            self.transaction_ids.remove(&request.payload.transaction_id);
+            self.body_bytes -= request.payload.body.len();
         }
     }
 
-    /// Whether an invocation of this id is held.
-    pub fn has(&self, txn: &str) -> bool {
-        self.txns.contains(txn)
+    /// Whether a request of this transaction id is held.
+    pub fn has_transaction(&self, transaction_id: &str) -> bool {
+        self.transaction_ids.contains(transaction_id)
     }
 
-    /// How many bytes the bodies of all that is held take.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    /// How many bytes the bodies of all requests held take.
+    pub fn body_bytes(&self) -> usize {
+        self.body_bytes
     }
 
-    /// Those without a final answer, in the order in which they came.
-    pub fn open(&self) -> Vec<RequestId> {
-        let open = self.map.iter().filter(|(_, i)| !i.answered);
+    /// The requests without a final answer, in the order in which they came.
+    pub fn open_requests(&self) -> Vec<RequestId> {
+        let open = self.requests.iter().filter(|(_, request)| !request.closed);
         let mut open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
         open.sort();
         open
     }
 
+    /// How many requests have no final answer yet.
     pub fn unanswered(&self) -> usize {
         self.unanswered
     }
--- a/crates/node/src/workers/mod.rs
+++ b/crates/node/src/workers/mod.rs
@@ -5,14 +5,14 @@
 mod submitted;
 
 use crate::clock::millis;
-use crate::core::{AttemptCommand, Core};
+use crate::core::{AttemptCommand, AttemptEnd, Core};
 use crate::fleet::{Aim, Fleet};
 use crate::net::conn::Connection;
 use crate::net::{Net, Peer, Token};
 use marbledeck_dispatcher::{LoadReport, Micros, Outcome, RequestId, WorkerId};
 use marbledeck_membership::{Endpoint, HealthEvidence};
 use marbledeck_platform_settings::ReportFields;
-use outcomes::{Answer, End, News};
+use outcomes::{Answer, News};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use submitted::Submitted;
 
@@ -263,7 +263,7 @@
             self.say(now, place, link, &bytes, net)
         });
         if !sent {
-            core.handle_attempt_ended(now, id, attempt, Outcome::ConnectFailed, None, None);
+            core.handle_attempt_ended(now, id, attempt, AttemptEnd::new(Outcome::ConnectFailed));
         }
     }
 
@@ -438,7 +438,7 @@
                 Errand::Call(id, _) if !link.written => {
                     let seatless = unseated && core.needs_seats(id);
                     let late = link.latest.is_some_and(|latest| latest <= now);
-                    late || core.is_over(id) || link.is_unsent(conn) && (!stands || seatless)
+                    late || core.is_closed(id) || link.is_unsent(conn) && (!stands || seatless)
                 }
                 Errand::Probe => link.is_unsent(conn) && !stands,
                 _ => false,
@@ -563,7 +563,14 @@
         }
     }
 
-    fn end(&mut self, now: Micros, worker: WorkerId, errand: Errand, end: End, core: &mut Core) {
+    fn end(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        errand: Errand,
+        end: AttemptEnd,
+        core: &mut Core,
+    ) {
         self.note_sign(worker, errand, end.outcome);
         if let Some(report) = end.report {
             self.told.insert(worker, (now, report));
@@ -571,7 +578,7 @@
         match errand {
             Errand::Call(id, attempt) => {
                 self.calls.remove(&(id, attempt));
-                core.handle_attempt_ended(now, id, attempt, end.outcome, end.result, end.report);
+                core.handle_attempt_ended(now, id, attempt, end);
             }
             Errand::Probe => core.handle_probe_result(now, worker, end.outcome, end.report),
             Errand::Look | Errand::Tail | Errand::Idle => {}
@@ -587,7 +594,13 @@
         core: &mut Core,
     ) {
         if let Some(link) = self.drop_link(token, net) {
-            self.end(now, link.worker, link.errand, End::of(outcome, None), core);
+            self.end(
+                now,
+                link.worker,
+                link.errand,
+                AttemptEnd::new(outcome),
+                core,
+            );
         }
     }
 
--- a/crates/node/src/workers/outcomes.rs
+++ b/crates/node/src/workers/outcomes.rs
@@ -1,36 +1,18 @@
 //! What comes back from a worker over HTTP, read as it comes: starts, and the outcome of the call.
 
 use super::report;
-use crate::core::Payload;
+use crate::core::{AttemptEnd, Payload};
 use crate::net::conn::Connection;
 use crate::net::http::{self, Body, ParseError, ResponseHead, MAX_BODY};
-use marbledeck_dispatcher::{LoadReport, Micros, Outcome};
+use marbledeck_dispatcher::{Micros, Outcome};
 use marbledeck_platform_settings::ReportFields;
 use serde_json::Value;
 
-/// How a call has ended.
-#[derive(Clone, Debug, PartialEq)]
-pub struct End {
-    pub outcome: Outcome,
-    pub result: Option<Vec<u8>>,
-    pub report: Option<LoadReport>,
-}
-
-impl End {
-    pub fn of(outcome: Outcome, report: Option<LoadReport>) -> Self {
-        End {
-            outcome,
-            result: None,
-            report,
-        }
-    }
-}
-
 /// What has come of a call since the last look.
 #[derive(Default)]
 pub struct News {
     pub started: bool,
-    pub end: Option<End>,
+    pub end: Option<AttemptEnd>,
     /// The answer is whole: whether its connection can carry the next call.
     pub over: Option<bool>,
 }
@@ -84,7 +66,7 @@
         let mut news = News::default();
         if self.step(conn, &mut news).is_err() {
             // What cannot be read may still have run.
-            self.end(&mut news, End::of(Outcome::Failed, None));
+            self.end(&mut news, AttemptEnd::with_report(Outcome::Failed, None));
             news.over = Some(false);
         }
         news
@@ -112,12 +94,12 @@
         } else if whole && self.txn.is_none() && !self.ended {
             let text = std::str::from_utf8(&self.content).unwrap_or_default();
             let told = report::from_text(self.reads, text);
-            let end = End::of(probed(status), told);
+            let end = AttemptEnd::with_report(probed(status), told);
             self.end(news, end);
         }
         if whole {
             // Without its last line a call may have run.
-            self.end(news, End::of(Outcome::Reset, None));
+            self.end(news, AttemptEnd::with_report(Outcome::Reset, None));
             news.over = Some(keep_alive && conn.is_open() && conn.input.is_empty());
         } else if self.content.len() > 2 * MAX_BODY {
             return Err(ParseError::BodyTooLong);
@@ -125,7 +107,7 @@
         Ok(())
     }
 
-    fn end(&mut self, news: &mut News, end: End) {
+    fn end(&mut self, news: &mut News, end: AttemptEnd) {
         if !std::mem::replace(&mut self.ended, true) {
             news.end = Some(end);
         }
@@ -143,7 +125,7 @@
         };
         let load = head.fields.get("X-Pressure");
         let load = load.and_then(|text| report::from_text(self.reads, text));
-        self.end(news, End::of(outcome, load));
+        self.end(news, AttemptEnd::with_report(outcome, load));
     }
 
     /// Takes the lines that are whole; a last one may lack its end only where the body has ended.
@@ -161,22 +143,22 @@
         let text = |name: &str| value.get(name).and_then(Value::as_str);
         if text("id") != self.txn.as_deref() {
             // Not ours, or no object: nothing is served that was not made for this invocation.
-            return self.end(news, End::of(Outcome::Failed, None));
+            return self.end(news, AttemptEnd::with_report(Outcome::Failed, None));
         }
         let load = value.get("load");
         let load = load.and_then(|load| report::from_value(self.reads, load));
         let end = match text("state") {
             Some("started") => return news.started = true,
             Some("done") => match text("result") {
-                Some(result) => End {
+                Some(result) => AttemptEnd {
                     result: Some(result.as_bytes().to_vec()),
-                    ..End::of(Outcome::Served, load)
+                    ..AttemptEnd::with_report(Outcome::Served, load)
                 },
-                None => End::of(Outcome::Failed, load),
+                None => AttemptEnd::with_report(Outcome::Failed, load),
             },
-            Some("failed") => End::of(Outcome::Failed, load),
-            Some("returned") => End::of(Outcome::Rejected, load),
-            Some("lost") => End::of(Outcome::Reset, load),
+            Some("failed") => AttemptEnd::with_report(Outcome::Failed, load),
+            Some("returned") => AttemptEnd::with_report(Outcome::Rejected, load),
+            Some("lost") => AttemptEnd::with_report(Outcome::Reset, load),
             // Progress, or a state of a later day.
             _ => return,
         };
--- a/crates/node/src/workers/submitted.rs
+++ b/crates/node/src/workers/submitted.rs
@@ -1,9 +1,9 @@
 //! Invoker calls by submission: this node is the submitter, and a worker runs the job. `docs/submission.md` has
 //! the protocol, and the outcomes are those of the platform's.
 
-use super::outcomes::{End, News};
+use super::outcomes::News;
 use super::report;
-use crate::core::Payload;
+use crate::core::{AttemptEnd, Payload};
 use crate::net::conn::Connection;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use marbledeck_dispatcher::{Micros, Outcome};
@@ -68,7 +68,7 @@
                     conn.input.consume(length + 1);
                     end
                 }
-                Err(frame::TooLong) => Some(End::of(Outcome::Failed, None)),
+                Err(frame::TooLong) => Some(AttemptEnd::with_report(Outcome::Failed, None)),
             };
             if end.is_some() {
                 self.ended = true;
@@ -81,9 +81,9 @@
 
     /// The end that a line tells, if any. What is not of this job is dropped: a line of an earlier one may
     /// still come.
-    fn line(&mut self, line: &[u8], news: &mut News) -> Option<End> {
+    fn line(&mut self, line: &[u8], news: &mut News) -> Option<AttemptEnd> {
         let Ok(value) = serde_json::from_slice::<Value>(line) else {
-            return Some(End::of(Outcome::Failed, None));
+            return Some(AttemptEnd::with_report(Outcome::Failed, None));
         };
         let text = |name: &str| value.get(name).and_then(Value::as_str);
         let load = value.get("load");
@@ -92,9 +92,9 @@
             // Not taken: tried later or denied, it has never run.
             match text("error") {
                 Some("TRY_LATER" | "DENIED_BY_DRMS") => {
-                    return Some(End::of(Outcome::Rejected, load))
+                    return Some(AttemptEnd::with_report(Outcome::Rejected, load))
                 }
-                Some(_) => return Some(End::of(Outcome::Failed, load)),
+                Some(_) => return Some(AttemptEnd::with_report(Outcome::Failed, load)),
                 None => self.job = text("jobId").map(str::to_owned),
             }
             return None;
@@ -115,16 +115,16 @@
                 } else {
                     Outcome::Failed
                 };
-                Some(End {
+                Some(AttemptEnd {
                     result,
-                    ..End::of(outcome, load)
+                    ..AttemptEnd::with_report(outcome, load)
                 })
             }
             ("REQUEUED", _) | ("FAILED", Some("returned")) => {
-                Some(End::of(Outcome::Rejected, load))
+                Some(AttemptEnd::with_report(Outcome::Rejected, load))
             }
-            ("FAILED", Some("lost")) => Some(End::of(Outcome::Reset, load)),
-            ("FAILED", _) => Some(End::of(Outcome::Failed, load)),
+            ("FAILED", Some("lost")) => Some(AttemptEnd::with_report(Outcome::Reset, load)),
+            ("FAILED", _) => Some(AttemptEnd::with_report(Outcome::Failed, load)),
             _ => None,
         }
     }
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -4,7 +4,7 @@
     Micros, Outcome, RequestId, WorkerEntry, WorkerId, WorkerListKind, ZoneId,
 };
 use marbledeck_node::core::{
-    AttemptCommand, Command, Core, FinalAnswer, NameRegistry, NewRequest, Payload,
+    AttemptCommand, AttemptEnd, Command, Core, FinalAnswer, NameRegistry, NewRequest, Payload,
 };
 use marbledeck_platform_settings::{worker_id, PlatformSettings};
 use rstest::rstest;
@@ -73,10 +73,12 @@
                     .handle_attempt_started(now, self.id(name), go.parse().unwrap());
             }
             ["ended", name, go, how] => {
-                let result = (*how == "ok").then(|| b"result".to_vec());
+                let end = AttemptEnd {
+                    result: (*how == "ok").then(|| b"result".to_vec()),
+                    ..AttemptEnd::new(outcome(how))
+                };
                 let go = go.parse().unwrap();
-                self.core
-                    .handle_attempt_ended(now, self.id(name), go, outcome(how), result, None);
+                self.core.handle_attempt_ended(now, self.id(name), go, end);
             }
             ["gone", name] => drop(self.core.handle_client_left(now, self.id(name))),
             ["settle"] => self.core.end_open_requests(now),
--- a/crates/node/tests/seats.rs
+++ b/crates/node/tests/seats.rs
@@ -5,7 +5,8 @@
 use marbledeck_node::config::SeatsConfig;
 use marbledeck_node::core::licensing::Licensing;
 use marbledeck_node::core::{
-    AttemptCommand, Command, Core, FinalAnswer, NameRegistry, NewRequest, Payload, RequestError,
+    AttemptCommand, AttemptEnd, Command, Core, FinalAnswer, NameRegistry, NewRequest, Payload,
+    RequestError,
 };
 use marbledeck_platform_settings::PlatformSettings;
 use rstest::rstest;
@@ -109,9 +110,10 @@
         Micros(100_000),
         call.request,
         call.attempt,
-        outcome,
-        result,
-        None,
+        AttemptEnd {
+            result,
+            ..AttemptEnd::new(outcome)
+        },
     );
     let (again, verdict) = commands(&mut core);
     // A further attempt takes a seat of its own: there is none while the first may still run.
