--- a/crates/node/src/net/http.rs
+++ b/crates/node/src/net/http.rs
@@ -262,7 +262,7 @@
     }
 
     /// The most bytes that it can still have.
-    pub fn longest(&self) -> usize {
+    pub fn max_remaining(&self) -> usize {
         match self.part {
             Part::Length(n) => n,
             Part::Done => 0,
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,9 +1,12 @@
 //! The loop's sockets: one epoll, the listeners, the connections and what each is waiting for.
 
+mod acceptor;
 pub mod conn;
 pub mod http;
 pub mod ring;
 
+pub use acceptor::Acceptor;
+
 use crate::clock::millis;
 use conn::{Connection, State};
 use marbledeck_dispatcher::Micros;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -514,7 +514,7 @@
             Some(News::Successor(heir)) => {
                 log::info!("another process comes to replace this one");
                 let services = self.services.iter().flat_map(|service| service.listeners());
-                let listeners: Vec<Token> = [self.consumers.listener]
+                let listeners: Vec<Token> = [self.consumers.acceptor.listener()]
                     .into_iter()
                     .chain(services)
                     .collect();
