--- a/crates/node/src/net/http.rs
+++ b/crates/node/src/net/http.rs
@@ -1,7 +1,5 @@
-//! HTTP/1.1 as far as this node speaks it: heads, and bodies by length or in chunks. Bytes in, parts out; a part
-//! that has not wholly come is no fault.
-
-use std::fmt;
+//! HTTP/1.1 as far as this node speaks it: heads, and bodies by length or in chunks. A part that has not come
+//! completely is no error.
 
 /// The longest head: request or status line and all fields.
 pub const MAX_HEAD: usize = 16 * 1024;
@@ -12,24 +10,20 @@
 /// The longest line that gives a chunk's size.
 const MAX_CHUNK_LINE: usize = 256;
 
-/// Why bytes are not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why bytes are no message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
+    /// They do not follow the syntax.
+    #[error("{0}")]
     Malformed(&'static str),
+    /// The head is longer than [`MAX_HEAD`], or has too many fields.
+    #[error("the head is too long")]
     HeadTooLong,
+    /// The body is longer than it may be.
+    #[error("the body is too long")]
     BodyTooLong,
 }
 
-impl fmt::Display for ParseError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            ParseError::Malformed(what) => f.write_str(what),
-            ParseError::HeadTooLong => f.write_str("the head is too long"),
-            ParseError::BodyTooLong => f.write_str("the body is too long"),
-        }
-    }
-}
-
 /// The fields of a head, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields(Vec<(String, String)>);
@@ -53,36 +47,43 @@
         self.all(name).next().is_some()
     }
 
-    /// Whether one of a field's comma-separated values is this word.
-    fn lists(&self, name: &str, word: &str) -> bool {
-        let mut words = self.all(name).flat_map(|value| value.split(','));
-        words.any(|w| w.trim().eq_ignore_ascii_case(word))
+    /// Whether one of a field's comma-separated values is this one.
+    fn lists(&self, name: &str, wanted: &str) -> bool {
+        let mut values = self.all(name).flat_map(|value| value.split(','));
+        values.any(|value| value.trim().eq_ignore_ascii_case(wanted))
     }
 }
 
 /// The head of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHead {
+    /// The method, as it came.
     pub method: String,
+    /// The target, as it came.
     pub target: String,
+    /// The fields.
     pub fields: Fields,
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHead {
+    /// The status code.
     pub status: u16,
+    /// The fields.
     pub fields: Fields,
+    /// Whether the connection stays open after the body.
     pub keep_alive: bool,
 }
 
-fn is_token(word: &str) -> bool {
-    let mark = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-    !word.is_empty() && word.bytes().all(mark)
+fn is_token(text: &str) -> bool {
+    let is_token_byte = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
+    !text.is_empty() && text.bytes().all(is_token_byte)
 }
 
-/// The lines of a head that has wholly come, and how many bytes it takes.
+/// The lines of a head that has come completely, and how many bytes it takes.
 fn head_lines(bytes: &[u8]) -> Result<Option<(Vec<&str>, usize)>, ParseError> {
     let end = bytes.windows(4).position(|w| w == b"\r\n\r\n");
     let Some(end) = end.filter(|end| *end <= MAX_HEAD) else {
@@ -96,8 +97,8 @@
     let text = std::str::from_utf8(&bytes[..end]);
     let text = text.map_err(|_| ParseError::Malformed("the head is not text"))?;
     let lines: Vec<&str> = text.split("\r\n").collect();
-    let control = |c: char| c.is_control() && c != '\t';
-    if lines.iter().any(|line| line.contains(control)) {
+    let is_control = |c: char| c.is_control() && c != '\t';
+    if lines.iter().any(|line| line.contains(is_control)) {
         return Err(ParseError::Malformed("a control character in the head"));
     }
     if lines.len() > MAX_FIELDS + 1 {
@@ -128,9 +129,12 @@
     }
 }
 
-/// The head of a request, if it has come, and how many bytes it takes.
+/// The head of a request, if it has come completely, and how many bytes it takes.
+///
+/// # Errors
+/// The bytes are no head, or one that is too long.
 pub fn request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, ParseError> {
-    // A line's end left over from the body before is passed over.
+    // A line's end left over from the body before is skipped.
     let blank = bytes.iter().take_while(|b| b"\r\n".contains(b)).count();
     let Some((lines, used)) = head_lines(&bytes[blank..])? else {
         return Ok(None);
@@ -152,7 +156,10 @@
     Ok(Some((head, blank + used)))
 }
 
-/// The head of an answer, if it has come, and how many bytes it takes. Interim answers are passed over.
+/// The head of a response, if it has come completely, and how many bytes it takes. Interim responses are skipped.
+///
+/// # Errors
+/// The bytes are no head, or one that is too long.
 pub fn response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, ParseError> {
     let mut skipped = 0;
     loop {
@@ -164,8 +171,8 @@
             .ok_or(ParseError::Malformed("a malformed status line"))?;
         let status = rest
             .get(..3)
-            .filter(|s| s.bytes().all(|b| b.is_ascii_digit()));
-        let status = status.and_then(|s| s.parse().ok());
+            .filter(|digits| digits.bytes().all(|b| b.is_ascii_digit()));
+        let status = status.and_then(|digits| digits.parse().ok());
         let status = status.ok_or(ParseError::Malformed("a malformed status line"))?;
         let fields = fields(&lines[1..])?;
         let keep_alive = keep_alive(version, &fields)?;
@@ -181,14 +188,22 @@
     }
 }
 
+/// What comes next of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part {
+    /// So many bytes, and then its end.
     Length(usize),
+    /// All bytes up to the end of the connection.
     ToClose,
+    /// The line with the size of a chunk.
     ChunkSize,
+    /// So many bytes of a chunk.
     Chunk(usize),
+    /// The empty line after a chunk.
     ChunkEnd,
+    /// The fields after the last chunk.
     Trailer,
+    /// Nothing.
     Done,
 }
 
@@ -196,80 +211,91 @@
 #[derive(Debug)]
 pub struct Body {
     part: Part,
-    /// The bytes of a line that has not wholly come.
+    /// The bytes of a line that has not come completely.
     line: Vec<u8>,
-    taken: usize,
+    /// How many bytes of content and trailers have come.
+    length: usize,
     /// The most bytes that it may have.
-    most: usize,
+    max_length: usize,
 }
 
 impl Body {
-    fn new(part: Part, most: usize) -> Self {
+    fn new(part: Part, max_length: usize) -> Self {
         Body {
             part,
             line: Vec::new(),
-            taken: 0,
-            most,
+            length: 0,
+            max_length,
         }
     }
 
     /// The body of a request with these fields.
+    ///
+    /// # Errors
+    /// The fields do not say how long it is, or it is too long.
     pub fn of_request(fields: &Fields) -> Result<Self, ParseError> {
         Body::of(fields, Part::Length(0), MAX_BODY)
     }
 
-    /// The body of an answer with this head.
+    /// The body of a response with this head.
+    ///
+    /// # Errors
+    /// The head does not say how long it is, or it is too long.
     pub fn of_response(head: &ResponseHead) -> Result<Self, ParseError> {
         Body::of_long_response(head, MAX_BODY)
     }
 
-    /// The same, of a peer whose answers may be longer, but not than this.
-    pub fn of_long_response(head: &ResponseHead, most: usize) -> Result<Self, ParseError> {
+    /// The body of a response with this head, of a peer whose responses may have up to `max_length` bytes.
+    ///
+    /// # Errors
+    /// The head does not say how long it is, or it is too long.
+    pub fn of_long_response(head: &ResponseHead, max_length: usize) -> Result<Self, ParseError> {
         if matches!(head.status, 204 | 304) {
-            return Ok(Body::new(Part::Done, most));
+            return Ok(Body::new(Part::Done, max_length));
         }
-        Body::of(&head.fields, Part::ToClose, most)
+        Body::of(&head.fields, Part::ToClose, max_length)
     }
 
-    fn of(fields: &Fields, otherwise: Part, most: usize) -> Result<Self, ParseError> {
-        let coded = fields.all("Transfer-Encoding").count();
+    fn of(fields: &Fields, default: Part, max_length: usize) -> Result<Self, ParseError> {
+        let encodings = fields.all("Transfer-Encoding").count();
         let mut lengths = fields.all("Content-Length");
         let length = lengths.next();
-        // Two ways to tell where a body ends let two readers see two different requests, even where they agree
-        // to this one.
-        if coded + usize::from(length.is_some()) + lengths.count() > 1 {
+        // Two statements of where a body ends let two readers see two different requests, even where they agree for
+        // this one.
+        if encodings + usize::from(length.is_some()) + lengths.count() > 1 {
             return Err(ParseError::Malformed("the body's length is told twice"));
         }
-        if coded > 0 {
-            let chunked = fields.get("Transfer-Encoding");
-            let chunked = chunked.is_some_and(|c| c.eq_ignore_ascii_case("chunked"));
-            return match chunked {
-                true => Ok(Body::new(Part::ChunkSize, most)),
-                false => Err(ParseError::Malformed("an unknown transfer coding")),
+        if encodings > 0 {
+            let encoding = fields.get("Transfer-Encoding");
+            return if encoding.is_some_and(|name| name.eq_ignore_ascii_case("chunked")) {
+                Ok(Body::new(Part::ChunkSize, max_length))
+            } else {
+                Err(ParseError::Malformed("an unknown transfer coding"))
             };
         }
         let Some(length) = length else {
-            return Ok(Body::new(otherwise, most));
+            return Ok(Body::new(default, max_length));
         };
         if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
             return Err(ParseError::Malformed("a malformed Content-Length"));
         }
         let length = length.parse().map_err(|_| ParseError::BodyTooLong)?;
-        if length > most {
+        if length > max_length {
             return Err(ParseError::BodyTooLong);
         }
-        Ok(Body::new(Part::Length(length), most))
+        Ok(Body::new(Part::Length(length), max_length))
     }
 
-    /// The most bytes that it can still have.
+    /// The most bytes that can still come.
     pub fn max_remaining(&self) -> usize {
         match self.part {
             Part::Length(n) => n,
             Part::Done => 0,
-            _ => self.most,
+            _ => self.max_length,
         }
     }
 
+    /// Whether it is complete.
     pub fn is_done(&self) -> bool {
         matches!(self.part, Part::Done | Part::Length(0))
     }
@@ -279,44 +305,47 @@
         self.part == Part::ToClose
     }
 
-    /// Takes bytes as far as they belong to the body, and adds its content to `out`; tells how many it took.
+    /// Reads bytes as far as they belong to the body, and adds its content to `out`. Returns how many it has read.
+    ///
+    /// # Errors
+    /// The bytes are no body, or one that is too long.
     pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, ParseError> {
         let mut used = 0;
         while used < bytes.len() && !self.is_done() {
             let rest = &bytes[used..];
             used += match self.part {
                 Part::Length(n) => {
-                    let n_taken = self.content(&rest[..n.min(rest.len())], out)?;
-                    self.part = Part::Length(n - n_taken);
-                    n_taken
+                    let read = self.read_content(&rest[..n.min(rest.len())], out)?;
+                    self.part = Part::Length(n - read);
+                    read
                 }
                 Part::Chunk(n) => {
-                    let n_taken = self.content(&rest[..n.min(rest.len())], out)?;
-                    self.part = match n - n_taken {
+                    let read = self.read_content(&rest[..n.min(rest.len())], out)?;
+                    self.part = match n - read {
                         0 => Part::ChunkEnd,
                         left => Part::Chunk(left),
                     };
-                    n_taken
+                    read
                 }
-                Part::ToClose => self.content(rest, out)?,
-                Part::ChunkSize | Part::ChunkEnd | Part::Trailer => self.control(rest)?,
+                Part::ToClose => self.read_content(rest, out)?,
+                Part::ChunkSize | Part::ChunkEnd | Part::Trailer => self.read_line(rest)?,
                 Part::Done => 0,
             };
         }
         Ok(used)
     }
 
-    fn content(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, ParseError> {
-        self.taken += bytes.len();
-        if self.taken > self.most {
+    fn read_content(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, ParseError> {
+        self.length += bytes.len();
+        if self.length > self.max_length {
             return Err(ParseError::BodyTooLong);
         }
         out.extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
-    /// Takes bytes of a line between chunks, and acts on it when it is whole.
-    fn control(&mut self, bytes: &[u8]) -> Result<usize, ParseError> {
+    /// Reads bytes of a line between chunks, and handles it when it is complete.
+    fn read_line(&mut self, bytes: &[u8]) -> Result<usize, ParseError> {
         let end = bytes.iter().position(|b| *b == b'\n');
         let used = end.map_or(bytes.len(), |end| end + 1);
         self.line.extend_from_slice(&bytes[..used]);
@@ -341,8 +370,8 @@
             _ if line.is_empty() => Part::Done,
             _ => {
                 // Trailers are dropped, but not without end.
-                self.taken += line.len() + 2;
-                if self.taken > self.most {
+                self.length += line.len() + 2;
+                if self.length > self.max_length {
                     return Err(ParseError::BodyTooLong);
                 }
                 Part::Trailer
--- a/crates/node/src/net/ring.rs
+++ b/crates/node/src/net/ring.rs
@@ -1,74 +1,78 @@
-//! The one buffer a connection has for each direction: small at first, grown on demand, capped.
+//! The one buffer that a connection has for each direction: small at first, grown on demand, up to a limit.
 
-/// The first size that is allotted, and what is kept when all has been read.
-const FIRST: usize = 2048;
+/// The first size that is allocated, and what is kept when all has been read.
+const INITIAL_SIZE: usize = 2048;
 
+/// A ring buffer of bytes.
 pub struct Ring {
-    buf: Vec<u8>,
+    buffer: Vec<u8>,
     head: usize,
     len: usize,
-    cap: usize,
+    /// The most bytes that it may hold.
+    limit: usize,
 }
 
 impl Ring {
-    /// Allots nothing until it is used, and never more than `cap` bytes.
-    pub fn new(cap: usize) -> Self {
+    /// An empty ring. It allocates nothing until it is used, and never more than `limit` bytes.
+    pub fn new(limit: usize) -> Self {
         Ring {
-            buf: Vec::new(),
+            buffer: Vec::new(),
             head: 0,
             len: 0,
-            cap,
+            limit,
         }
     }
 
-    /// From now on it may hold so many bytes, if that is more than before.
-    pub fn widen(&mut self, cap: usize) {
-        self.cap = self.cap.max(cap);
+    /// Raises the number of bytes that it may hold, if that is more than before.
+    pub fn raise_limit(&mut self, limit: usize) {
+        self.limit = self.limit.max(limit);
     }
 
+    /// How many bytes it holds.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether it holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
     /// Whether nothing more goes in before something is taken out.
     pub fn is_full(&self) -> bool {
-        self.len >= self.cap
+        self.len >= self.limit
     }
 
     /// The next free bytes; none when it is full.
     pub fn free(&mut self) -> &mut [u8] {
-        if self.len == self.buf.len() {
+        if self.len == self.buffer.len() {
             self.grow(self.len + 1);
         }
-        let size = self.buf.len();
+        let size = self.buffer.len();
         let tail = self.head + self.len;
         if tail < size {
-            &mut self.buf[tail..]
+            &mut self.buffer[tail..]
         } else {
             let tail = tail - size;
-            &mut self.buf[tail..self.head.max(tail)]
+            &mut self.buffer[tail..self.head.max(tail)]
         }
     }
 
-    /// So many of the free bytes have been written.
+    /// Marks so many of the free bytes as written.
     pub fn filled(&mut self, n: usize) {
-        self.len = (self.len + n).min(self.buf.len());
+        self.len = (self.len + n).min(self.buffer.len());
     }
 
-    /// The first bytes held that lie in a row.
+    /// The first bytes held that are contiguous.
     pub fn front(&self) -> &[u8] {
-        let end = (self.head + self.len).min(self.buf.len());
-        &self.buf[self.head..end]
+        let end = (self.head + self.len).min(self.buffer.len());
+        &self.buffer[self.head..end]
     }
 
-    /// All bytes held, in a row.
+    /// All bytes held, made contiguous.
     pub fn all(&mut self) -> &[u8] {
-        if self.head + self.len > self.buf.len() {
-            self.buf.rotate_left(self.head);
+        if self.head + self.len > self.buffer.len() {
+            self.buffer.rotate_left(self.head);
             self.head = 0;
         }
         self.front()
@@ -78,23 +82,23 @@
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
-        self.head = if self.buf.is_empty() {
+        self.head = if self.buffer.is_empty() {
             0
         } else {
-            (self.head + n) % self.buf.len()
+            (self.head + n) % self.buffer.len()
         };
         if self.len == 0 {
             self.head = 0;
-            if self.buf.len() > FIRST {
-                self.buf = Vec::new();
+            if self.buffer.len() > INITIAL_SIZE {
+                self.buffer = Vec::new();
             }
         }
     }
 
-    /// Takes all of these bytes, or none of them where they would go beyond the cap.
+    /// Adds all of these bytes, or none of them where they would go beyond the limit. Returns whether they were added.
     #[must_use]
     pub fn push(&mut self, mut bytes: &[u8]) -> bool {
-        if self.len + bytes.len() > self.cap {
+        if self.len + bytes.len() > self.limit {
             return false;
         }
         self.grow(self.len + bytes.len());
@@ -109,14 +113,14 @@
     }
 
     fn grow(&mut self, wanted: usize) {
-        if wanted <= self.buf.len() || self.buf.len() >= self.cap {
+        if wanted <= self.buffer.len() || self.buffer.len() >= self.limit {
             return;
         }
-        let size = wanted.next_power_of_two().max(FIRST).min(self.cap);
+        let size = wanted.next_power_of_two().max(INITIAL_SIZE).min(self.limit);
         let mut bigger = Vec::with_capacity(size);
         bigger.extend_from_slice(self.all());
         bigger.resize(size, 0);
-        self.buf = bigger;
+        self.buffer = bigger;
         self.head = 0;
     }
 }
