--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -1,59 +1,62 @@
 //! Batch submission in DRMAA terms, as `docs/submission.md` describes it: carries lines between submitters'
 //! connections and the protocol's server, which `marbledeck-submission` has without sockets.
 
-mod desk;
+mod scheduler;
 
-use crate::clock::millis;
 use crate::config::SubmissionConfig;
 use crate::core::FinalAnswer;
 use crate::handover;
-use crate::net::{Net, Peer, Ready, Token};
+use crate::net::{Acceptor, Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
-use desk::NodeDesk;
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use marbledeck_submission::frame::{self, TooLong};
 use marbledeck_submission::message::Problem;
 use marbledeck_submission::{Limits, Server, Side, Transfer};
 use rustix::fd::OwnedFd;
+use scheduler::NodeScheduler;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Connections taken in one turn, and lines of one connection handled in one turn.
-const ACCEPTS: usize = 16;
-const LINES: usize = 64;
-/// How long the listener rests when no descriptor is free.
-const REST: Micros = millis(50);
+/// Connections accepted in one turn.
+const MAX_ACCEPTS: usize = 16;
+/// Lines of one connection handled in one turn.
+const MAX_LINES: usize = 64;
 /// A line is written only when no more than this is still to be sent.
-const BACKLOG: usize = 16 * 1024;
+const MAX_BACKLOG: usize = 16 * 1024;
+/// When a submitter is to come back that is one too many.
+const RETRY_AFTER_MS: u64 = 1000;
 
 /// One submitter's connection.
-struct Link {
+struct Submitter {
     token: Token,
     /// It has lines that were not handled yet.
-    more: bool,
+    has_more: bool,
 }
 
+/// The front for batch submission.
 pub struct Submissions {
     server: Server,
+    /// The longest line that a submitter may send, in bytes.
     max_line: usize,
     max_submitters: usize,
-    listener: Token,
+    acceptor: Acceptor,
+    /// The address that it listens at.
     pub addr: SocketAddr,
-    links: HashMap<u64, Link>,
+    /// The submitters, by the numbers of their tokens.
+    submitters: HashMap<u64, Submitter>,
     /// Those with lines that have come and were not handled in their turn.
-    waiting: Vec<u64>,
-    /// When connections are taken again.
-    resting: Option<Micros>,
-    /// Another process of this node serves, and takes the connections.
-    succeeded: bool,
+    deferred: Vec<u64>,
 }
 
 impl Submissions {
     /// Listens where the file says, on the socket that was handed on for it if there is one. `prefix` begins the ids
-    /// of this start's jobs, so that they differ from those of any other.
+    /// of this process's jobs, so that they differ from those of any other.
+    ///
+    /// # Errors
+    /// The address cannot be listened at.
     pub fn new(
         config: SubmissionConfig,
         handed: Option<OwnedFd>,
@@ -77,59 +80,54 @@
             server: Server::new(limits, prefix),
             max_line: config.max_line,
             max_submitters: config.max_submitters,
-            listener,
+            acceptor: Acceptor::new(listener),
             addr,
-            links: HashMap::new(),
-            waiting: Vec::new(),
-            resting: None,
-            succeeded: false,
+            submitters: HashMap::new(),
+            deferred: Vec::new(),
         })
     }
 
     fn accept(&mut self, now: Micros, context: &mut Context) {
         let net = &mut context.net;
-        for _ in 0..ACCEPTS {
-            match net.accept(self.listener) {
+        for _ in 0..MAX_ACCEPTS {
+            match self.acceptor.accept(now, net) {
                 Ok(None) => return,
-                Ok(Some(token)) if self.links.len() < self.max_submitters => {
-                    let link = Link { token, more: false };
-                    self.links.insert(token.number(), link);
+                Ok(Some(token)) if self.submitters.len() < self.max_submitters => {
+                    let submitter = Submitter {
+                        token,
+                        has_more: false,
+                    };
+                    self.submitters.insert(token.number(), submitter);
                     self.server.connect(token.number());
                 }
                 Ok(Some(token)) => {
-                    let problem = Problem::later("too many submitters", 1000);
+                    let problem = Problem::later("too many submitters", RETRY_AFTER_MS);
                     let _ = net.write(token, &frame::line(&problem));
                     net.finish(token);
                 }
-                Err(e) => {
-                    // No descriptor is free: without a rest, the loop would turn until one is.
-                    log::warn!("accept: {e}");
-                    net.set_accepting(self.listener, false);
-                    self.resting = Some(now + REST);
-                    return;
-                }
+                Err(error) => return log::warn!("accept: {error}"),
             }
         }
     }
 
-    fn forget(&mut self, now: Micros, peer: u64) -> Option<Link> {
+    fn forget(&mut self, now: Micros, peer: u64) -> Option<Submitter> {
         self.server.disconnect(now, peer);
-        self.links.remove(&peer)
+        self.submitters.remove(&peer)
     }
 
     /// Handles the lines that have come, as long as their answers leave.
     fn read(&mut self, now: Micros, peer: u64, context: &mut Context) {
-        for _ in 0..LINES {
+        for _ in 0..MAX_LINES {
             self.flush(now, peer, context);
-            let Some(link) = self.links.get_mut(&peer) else {
+            let Some(submitter) = self.submitters.get_mut(&peer) else {
                 return;
             };
-            let Some(conn) = context.net.get(link.token) else {
+            let Some(conn) = context.net.get(submitter.token) else {
                 return;
             };
             if !self.server.wants_line(peer) {
                 // Goes on once it has been answered, or has read.
-                link.more = !conn.input.is_empty();
+                submitter.has_more = !conn.input.is_empty();
                 return;
             }
             let (full, eof) = (conn.input.is_full(), conn.eof);
@@ -140,44 +138,46 @@
                         // A last line without its end is none.
                         conn.input.consume(usize::MAX);
                     }
-                    link.more = false;
-                    return self.let_go(now, peer, context);
+                    submitter.has_more = false;
+                    return self.close_if_done(now, peer, context);
                 }
                 Ok(Some(length)) => {
                     let line = held[..length].trim_ascii().to_vec();
                     conn.input.consume(length + 1);
-                    context.net.touch(link.token);
+                    context.net.touch(submitter.token);
                     if !line.is_empty() {
-                        self.server.line(now, peer, &line, &mut NodeDesk(context));
+                        self.server
+                            .line(now, peer, &line, &mut NodeScheduler(context));
                     }
                 }
                 Err(TooLong) => {
                     // Where the next line begins is not known.
                     let problem = Problem::invalid("the line is too long");
-                    let token = link.token;
+                    let token = submitter.token;
                     let _ = context.net.write(token, &frame::line(&problem));
                     self.forget(now, peer);
                     return context.net.finish(token);
                 }
             }
         }
-        if let Some(link) = self.links.get_mut(&peer) {
-            link.more = true;
+        if let Some(submitter) = self.submitters.get_mut(&peer) {
+            submitter.has_more = true;
         }
-        self.waiting.push(peer);
+        self.deferred.push(peer);
     }
 
-    /// Writes what the submitter is to be told, as far as it takes it.
+    /// Writes what the submitter is to be sent, as far as it takes it.
     fn flush(&mut self, now: Micros, peer: u64, context: &mut Context) {
-        let Some(token) = self.links.get(&peer).map(|link| link.token) else {
+        let submitter = self.submitters.get(&peer);
+        let Some(token) = submitter.map(|submitter| submitter.token) else {
             return;
         };
-        while context.net.has_room(token, BACKLOG) {
+        while context.net.has_room(token, MAX_BACKLOG) {
             let Some(line) = self.server.pull(peer) else {
                 return;
             };
             if !context.net.write(token, &line) {
-                log::warn!("an answer to a submitter does not fit");
+                log::warn!("a response to a submitter does not fit");
                 self.forget(now, peer);
                 return context.net.close(token);
             }
@@ -185,39 +185,39 @@
     }
 
     /// Closes on a submitter that sends nothing more and is owed nothing more.
-    fn let_go(&mut self, now: Micros, peer: u64, context: &mut Context) {
-        let Some(link) = self.links.get(&peer) else {
+    fn close_if_done(&mut self, now: Micros, peer: u64, context: &mut Context) {
+        let Some(submitter) = self.submitters.get(&peer) else {
             return;
         };
-        let token = link.token;
-        let silent = context
-            .net
-            .get(token)
-            .is_some_and(|c| c.eof && c.input.is_empty());
-        if silent && self.server.is_done_with(peer) {
+        let token = submitter.token;
+        let conn = context.net.get(token);
+        let has_ended = conn.is_some_and(|conn| conn.eof && conn.input.is_empty());
+        if has_ended && self.server.is_done_with(peer) {
             self.forget(now, peer);
             context.net.finish(token);
         }
     }
 
-    /// Writes to all who have something to read, and goes on with their lines.
-    fn speak(&mut self, now: Micros, context: &mut Context) {
+    /// Writes to all submitters that have something to read, and goes on with their lines.
+    fn flush_all(&mut self, now: Micros, context: &mut Context) {
         for peer in self.server.take_talkative() {
             self.flush(now, peer, context);
             if !self.server.wants_line(peer) {
                 continue;
             }
-            let link = self.links.get_mut(&peer);
-            match link.map(|link| std::mem::take(&mut link.more)) {
-                Some(true) => self.waiting.push(peer),
-                Some(false) => self.let_go(now, peer, context),
-                None => {}
+            let Some(submitter) = self.submitters.get_mut(&peer) else {
+                continue;
+            };
+            if std::mem::take(&mut submitter.has_more) {
+                self.deferred.push(peer);
+            } else {
+                self.close_if_done(now, peer, context);
             }
         }
     }
 }
 
-/// The other process, in the server's words.
+/// The other process, as the server names it.
 fn partner(side: handover::Side) -> Side {
     match side {
         handover::Side::Predecessor => Side::Elder,
@@ -231,7 +231,7 @@
     }
 
     fn listeners(&self) -> Vec<Token> {
-        vec![self.listener]
+        vec![self.acceptor.listener()]
     }
 
     /// Something has come from a submitter, or can be sent to it, or it is lost. Its jobs go on all the same.
@@ -240,7 +240,7 @@
             return self.accept(now, context);
         }
         let peer = event.token.number();
-        let known = self.links.contains_key(&peer);
+        let known = self.submitters.contains_key(&peer);
         match context.net.get(event.token) {
             Some(conn) if known && !conn.broken => self.read(now, peer, context),
             _ => {
@@ -251,29 +251,26 @@
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let more = (!self.waiting.is_empty()).then_some(Micros(0));
-        let wakes = [self.server.next_wake(), more, self.resting];
+        let deferred = (!self.deferred.is_empty()).then_some(Micros(0));
+        let wakes = [self.server.next_wake(), deferred, self.acceptor.next_wake()];
         wakes.into_iter().flatten().min()
     }
 
     fn wake(&mut self, now: Micros, context: &mut Context) {
-        if self.resting.is_some_and(|until| until <= now) {
-            self.resting = None;
-            context.net.set_accepting(self.listener, !self.succeeded);
-        }
-        let was_deaf = self.server.is_deaf();
-        self.server.wake(now, &mut NodeDesk(context));
-        if was_deaf && !self.server.is_deaf() {
-            self.waiting.extend(self.links.keys());
+        self.acceptor.wake(now, &mut context.net);
+        let was_paused = self.server.is_deaf();
+        self.server.wake(now, &mut NodeScheduler(context));
+        if was_paused && !self.server.is_deaf() {
+            self.deferred.extend(self.submitters.keys());
         }
-        for peer in std::mem::take(&mut self.waiting) {
+        for peer in std::mem::take(&mut self.deferred) {
             self.read(now, peer, context);
         }
     }
 
     fn settled(&mut self, now: Micros, context: &mut Context) {
         self.server.admitted(now);
-        self.speak(now, context);
+        self.flush_all(now, context);
     }
 
     fn answer(
@@ -302,10 +299,7 @@
     }
 
     fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
-        self.succeeded = succeeded;
-        context
-            .net
-            .set_accepting(self.listener, !succeeded && self.resting.is_none());
+        self.acceptor.set_succeeded(succeeded, &mut context.net);
     }
 
     fn end(&mut self, _now: Micros) {
@@ -327,13 +321,13 @@
             return;
         }
         log::info!("submissions: handed over to the other process");
-        self.speak(now, context);
+        self.flush_all(now, context);
         self.server.begin_transfer();
-        // Their jobs go on there: what they hear next is that they are to connect anew.
-        for peer in self.links.keys().copied().collect::<Vec<_>>() {
+        // Their jobs go on there: the submitters are to connect again.
+        for peer in self.submitters.keys().copied().collect::<Vec<_>>() {
             self.flush(now, peer, context);
-            if let Some(link) = self.forget(now, peer) {
-                context.net.finish(link.token);
+            if let Some(submitter) = self.forget(now, peer) {
+                context.net.finish(submitter.token);
             }
         }
     }
@@ -343,26 +337,27 @@
     }
 
     fn next_word(&mut self, side: handover::Side) -> Option<Value> {
-        let told = self.server.pull_transfer(partner(side))?;
-        serde_json::to_value(told).ok()
+        let transfer = self.server.pull_transfer(partner(side))?;
+        serde_json::to_value(transfer).ok()
     }
 
     fn told(&mut self, now: Micros, side: handover::Side, word: Value, context: &mut Context) {
         match serde_json::from_value::<Transfer>(word) {
-            Ok(told) => {
-                let was_deaf = self.server.is_deaf();
-                let desk = &mut NodeDesk(context);
-                self.server.take_transfer(now, partner(side), told, desk);
-                if was_deaf && !self.server.is_deaf() {
-                    self.waiting.extend(self.links.keys());
+            Ok(transfer) => {
+                let was_paused = self.server.is_deaf();
+                let scheduler = &mut NodeScheduler(context);
+                self.server
+                    .take_transfer(now, partner(side), transfer, scheduler);
+                if was_paused && !self.server.is_deaf() {
+                    self.deferred.extend(self.submitters.keys());
                 }
             }
-            Err(e) => log::warn!("submissions: a word of the other process: {e}"),
+            Err(error) => log::warn!("submissions: a message of the other process: {error}"),
         }
     }
 
     fn lost(&mut self, now: Micros, side: handover::Side) {
         self.server.partner_lost(now, partner(side));
-        self.waiting.extend(self.links.keys());
+        self.deferred.extend(self.submitters.keys());
     }
 }
--- a/crates/node/src/submission/desk.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -8,17 +8,22 @@
 use marbledeck_submission::message::{ErrorId, Machine, Problem, Queue};
 use marbledeck_submission::{ClassFacts, Desk, Order, Template, Whereabouts};
 
+/// When a submitter is to come back where there is no capacity.
+const RETRY_AFTER_MS: u64 = 1000;
+
 /// Lends the node's parts to the server for one step.
-pub struct NodeDesk<'a>(pub &'a mut Context);
+pub struct NodeScheduler<'a>(pub &'a mut Context);
 
-fn refused(why: RequestError) -> Problem {
-    match why {
-        RequestError::TooMany | RequestError::NoSeat(_) => Problem::later(why.to_string(), 1000),
-        _ => Problem::invalid(why.to_string()),
+fn problem(error: RequestError) -> Problem {
+    match error {
+        RequestError::TooMany | RequestError::NoSeat(_) => {
+            Problem::later(error.to_string(), RETRY_AFTER_MS)
+        }
+        _ => Problem::invalid(error.to_string()),
     }
 }
 
-impl Desk for NodeDesk<'_> {
+impl Desk for NodeScheduler<'_> {
     fn class(&self, name: &str) -> Option<ClassFacts> {
         let (_, class) = self.0.core.names().class(name)?;
         let window = match class.idempotency {
@@ -33,8 +38,8 @@
     }
 
     fn check(&self, class: &str, tenant: Option<&str>, keyed: bool) -> Result<(), Problem> {
-        let checked = self.0.core.names().check(class, tenant, keyed);
-        checked.map(drop).map_err(refused)
+        let names = self.0.core.names();
+        names.check(class, tenant, keyed).map(drop).map_err(problem)
     }
 
     fn place(&self, template: &Template) -> Result<Whereabouts, Problem> {
@@ -46,8 +51,8 @@
         } = &*self.0;
         match outbox {
             None if template.manifest.is_some() || template.forwarded.is_some() => {
-                let words = "`manifest` is not supported: this node has no part [sites]";
-                Err(Problem::new(ErrorId::UnsupportedAttribute, words))
+                let message = "`manifest` is not supported: this node has no part [sites]";
+                Err(Problem::new(ErrorId::UnsupportedAttribute, message))
             }
             None => Ok(Whereabouts::Here),
             Some(outbox) => match outbox.place(*now, template, agreed)? {
@@ -62,8 +67,8 @@
             return Ok(outbox.take_in(now, &order));
         }
         let manifest = order.template.manifest.as_ref();
-        let needs = manifest.into_iter().flat_map(|manifest| &manifest.licences);
-        let licences = needs.map(String::as_str).collect();
+        let licences = manifest.into_iter().flat_map(|manifest| &manifest.licences);
+        let licences = licences.map(String::as_str).collect();
         let payload = Payload {
             transaction_id: order.txn,
             key: order.key,
@@ -71,7 +76,7 @@
             target: order.target,
             body: order.body,
         };
-        let order = NewRequest {
+        let request = NewRequest {
             class: order.class,
             tenant: order.tenant,
             time_left: order.time_left,
@@ -81,7 +86,7 @@
             licences,
             payload,
         };
-        self.0.core.accept_request(now, order).map_err(refused)
+        self.0.core.accept_request(now, request).map_err(problem)
     }
 
     fn recall(&mut self, now: Micros, id: RequestId) -> bool {
@@ -104,9 +109,9 @@
     }
 
     fn queues(&self) -> Vec<Queue> {
-        let catalogue = self.0.core.names();
+        let names = self.0.core.names();
         let queue = |name: &str| {
-            let (_, class) = catalogue.class(name)?;
+            let (_, class) = names.class(name)?;
             let window = match class.idempotency {
                 Idempotency::Keyed { window, .. } => Some(window),
                 _ => None,
@@ -118,7 +123,7 @@
                 keyed: window.is_some(),
             })
         };
-        catalogue.class_names().filter_map(queue).collect()
+        names.class_names().filter_map(queue).collect()
     }
 
     fn machines(&self, now: Micros) -> Vec<Machine> {
@@ -128,28 +133,28 @@
             fleet,
             ..
         } = &*self.0;
-        let out = workers.attempts_in_flight();
+        let in_flight = workers.attempts_in_flight();
         let views = fleet.members.views(now).into_iter();
         let machine = |view: marbledeck_membership::WorkerView| {
             let worker = worker_id(&view.id);
-            let told = workers.load_report(worker);
-            let by_hand = fleet.members.out_of_service().contains(&view.id);
-            let word = fleet.members.report(&view.id);
-            let state = match (by_hand, view.state, core.is_ejected(now, worker)) {
+            let load = workers.load_report(worker);
+            let out_of_service = fleet.members.out_of_service().contains(&view.id);
+            let report = fleet.members.report(&view.id);
+            let state = match (out_of_service, view.state, core.is_ejected(now, worker)) {
                 (true, ..) => "out".to_owned(),
                 (_, WorkerState::Ready, true) => "resting".to_owned(),
                 (_, WorkerState::Ready, false) => "up".to_owned(),
-                _ => word.map_or("gone".to_owned(), |word| word.status.to_string()),
+                _ => report.map_or("gone".to_owned(), |report| report.status.to_string()),
             };
             Machine {
                 available: state == "up",
                 state,
-                zone: word.map_or(String::new(), |word| word.zone.clone()),
-                kind: word.map_or(String::new(), |word| word.kind.clone()),
+                zone: report.map_or(String::new(), |report| report.zone.clone()),
+                kind: report.map_or(String::new(), |report| report.kind.clone()),
                 address: view.address.map_or(String::new(), |addr| addr.to_string()),
-                calls: out.get(&worker).copied().unwrap_or_default(),
-                free_slots: told.and_then(|(_, report)| report.free_slots),
-                report_age_ms: told.map(|(at, _)| (now - at).0 / 1000),
+                calls: in_flight.get(&worker).copied().unwrap_or_default(),
+                free_slots: load.and_then(|(_, report)| report.free_slots),
+                report_age_ms: load.map(|(reported, _)| (now - reported).0 / 1000),
                 name: view.id,
             }
         };
