--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -1,6 +1,6 @@
 //! Reads the clients' requests, hands them to the core and sends the answers.
 
-use super::connection::{EvictionRank, PartialRequest, ReadStep, Stage};
+use super::connection::{ClientConnection, EvictionRank, PartialRequest, ReadStep, Stage};
 use super::reply::{Notice, Reply};
 use super::{request_parser, Clients};
 use crate::core::{Core, FinalAnswer};
@@ -56,7 +56,7 @@
                 return self.refuse(token, &notice, net);
             }
             let client = self.open.get(&token);
-            if client.is_some_and(|client| client.has_request()) {
+            if client.is_some_and(ClientConnection::has_request) {
                 self.handle_request(now, token, net, core);
             } else if net.get(token).is_none_or(|conn| conn.input.is_empty()) {
                 return;
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The node without its sockets: it owns the dispatcher, the requests, their timers and ids. Fronts and worker links
 //! report events to it and carry out its commands.
 //!
-//! A request passes the stages in the order of these modules, each a unit of its own: [`validation`], [`admission`],
-//! [`routing`], [`attempts`], [`responses`] and [`accounting`].
+//! A request passes the stages in the order of these modules, each a unit of its own: `validation`, `admission`,
+//! `routing`, `attempts`, `responses` and `accounting`.
 
 mod accounting;
 mod admission;
--- a/crates/node/src/submission/scheduler.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -153,8 +153,8 @@
                 kind: report.map_or(String::new(), |report| report.kind.clone()),
                 address: view.address.map_or(String::new(), |addr| addr.to_string()),
                 calls: in_flight.get(&worker).copied().unwrap_or_default(),
-                free_slots: load.and_then(|(_, report)| report.free_slots),
-                report_age_ms: load.map(|(reported, _)| (now - reported).0 / 1000),
+                free_slots: load.and_then(|load| load.report.free_slots),
+                report_age_ms: load.map(|load| (now - load.received).0 / 1000),
                 name: view.id,
             }
         };
--- a/crates/node/src/workers/events.rs
+++ b/crates/node/src/workers/events.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{self, Purpose};
 use super::exchange::{Completion, ReadProgress};
-use super::Workers;
+use super::{LastReport, Workers};
 use crate::clock::millis;
 use crate::core::{AttemptEnd, Core};
 use crate::net::{Net, Token};
@@ -103,7 +103,9 @@
     ) {
         self.record_evidence(worker, purpose, end.outcome);
         if let Some(report) = end.report {
-            self.load_reports.insert(worker, (now, report));
+            let received = now;
+            self.load_reports
+                .insert(worker, LastReport { received, report });
         }
         match purpose {
             Purpose::Attempt(attempt) => {
--- a/crates/node/src/workers/mod.rs
+++ b/crates/node/src/workers/mod.rs
@@ -46,14 +46,22 @@
     pub submission_workers: HashSet<WorkerId>,
 }
 
+/// A worker's load as it reported it last.
+#[derive(Clone, Copy, Debug)]
+pub struct LastReport {
+    /// When it came.
+    pub received: Micros,
+    /// What it says.
+    pub report: LoadReport,
+}
+
 /// The links to all workers.
 pub struct Workers {
     config: WorkersConfig,
     pool: Pool,
     /// Connections with an attempt or probe of which something may still be to be written.
     sending: Vec<Token>,
-    /// What each worker reported last of its load, and when.
-    load_reports: HashMap<WorkerId, (Micros, LoadReport)>,
+    load_reports: HashMap<WorkerId, LastReport>,
     /// Whether evidence of which workers are there is wanted.
     pub collects_evidence: bool,
     /// What attempts and health checks have shown of workers.
@@ -73,8 +81,8 @@
         }
     }
 
-    /// What a worker reported last of its load, and when.
-    pub fn load_report(&self, worker: WorkerId) -> Option<(Micros, LoadReport)> {
+    /// What a worker reported last of its load.
+    pub fn load_report(&self, worker: WorkerId) -> Option<LastReport> {
         self.load_reports.get(&worker).copied()
     }
 
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -54,7 +54,7 @@
             }
             ["order", name, class, wait] => {
                 self.names.push(name.to_string());
-                let order = NewRequest {
+                let request = NewRequest {
                     class,
                     tenant: Some("au"),
                     time_left: ms(wait),
@@ -65,8 +65,8 @@
                     },
                     ..NewRequest::default()
                 };
-                let taken = self.core.accept_request(now, order);
-                assert_eq!(taken, Ok(self.id(name)));
+                let accepted = self.core.accept_request(now, request);
+                assert_eq!(accepted, Ok(self.id(name)));
             }
             ["started", name, go] => {
                 self.core
@@ -88,12 +88,13 @@
         }
     }
 
-    fn told(&mut self) -> Vec<String> {
-        let mut told = Vec::new();
+    /// The commands that wait, as the scripts write them.
+    fn drain_commands(&mut self) -> Vec<String> {
+        let mut lines = Vec::new();
         while let Some(command) = self.core.next_command() {
             let names = &self.names;
             let name = |id: RequestId| names[id.0 as usize].clone();
-            told.push(match command {
+            lines.push(match command {
                 Command::StartAttempt(AttemptCommand {
                     request: id,
                     attempt,
@@ -119,7 +120,7 @@
                 } => format!("give up {} {attempt}", name(id)),
                 Command::ProbeWorker(_) => "probe".to_owned(),
                 Command::WatchWorkers => "watch".to_owned(),
-                // Told to peers only: every end of a call has one.
+                // For peers only: every end of an attempt has one.
                 Command::AttemptEnded(_) => continue,
                 Command::RequestRunning(id, _) => format!("running {}", name(id)),
                 Command::RequestRequeued(id) => format!("requeued {}", name(id)),
@@ -143,7 +144,7 @@
                 }
             });
         }
-        told
+        lines
     }
 }
 
@@ -153,11 +154,11 @@
     let config = fs::read_to_string(tests.join("exchanges/config.json")).unwrap();
     let config = config.replace("\"MEMBERS\"", "");
     let config: serde_json::Value = serde_json::from_str(&config).unwrap();
-    let facts: PlatformSettings = serde_json::from_value(config["settings"].clone()).unwrap();
-    let settings = facts.dispatcher_settings().unwrap();
-    let catalogue = NameRegistry::new(&facts, &settings);
+    let platform: PlatformSettings = serde_json::from_value(config["settings"].clone()).unwrap();
+    let settings = platform.dispatcher_settings().unwrap();
+    let names = NameRegistry::new(&platform, &settings);
     let mut script = Script {
-        core: Core::new(settings, catalogue, 7, Micros(0)).unwrap(),
+        core: Core::new(settings, names, 7, Micros(0)).unwrap(),
         workers: Vec::new(),
         names: Vec::new(),
     };
@@ -174,7 +175,7 @@
             wanted.push(line[1..].trim().to_owned());
         }
         assert_eq!(
-            script.told(),
+            script.drain_commands(),
             wanted,
             "{}:{}: {line}",
             file.display(),
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -1,4 +1,4 @@
-//! A node among the others of its tier: what it says to them, and what it makes of what they say.
+//! A node among its peers: what it sends to them, and what it makes of what they send.
 
 use marbledeck_dispatcher::{LoadReport, Micros, Outcome, WorkerEntry, WorkerId, WorkerListKind};
 use marbledeck_gossip::message::Message;
@@ -13,9 +13,9 @@
 /// Far longer than anything takes; only a failure waits for so long.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// A core of one of 300 dispatchers before so many workers, which asks four of them before it sends.
+/// The core of one of 300 nodes with so many workers, which probes four of them before it sends.
 fn core(workers: u64) -> Core {
-    let facts: PlatformSettings = serde_json::from_str(
+    let platform: PlatformSettings = serde_json::from_str(
         r#"{"balancers":300,"self-index":0,"zone":0,"localities":["east"],"kinds":["std"],"registry-mode":"automatic",
         "stats":{"how":"piggyback"},"bounds":{"probes":true,"may-cancel":true,"try-limit":3},
         "family-info":{"report-x0":"free slots","tells-start":true},"rules":{},
@@ -23,9 +23,9 @@
         "tenants":[{"name":"au","share":1.0}]}"#,
     )
     .expect("settings");
-    let settings = facts.dispatcher_settings().expect("settings that fit");
-    let catalogue = NameRegistry::new(&facts, &settings);
-    let mut core = Core::new(settings, catalogue, 7, Micros(0)).expect("a core");
+    let settings = platform.dispatcher_settings().expect("settings that fit");
+    let names = NameRegistry::new(&platform, &settings);
+    let mut core = Core::new(settings, names, 7, Micros(0)).expect("a core");
     let entry = |id| WorkerEntry {
         worker: WorkerId(id),
         ..WorkerEntry::default()
@@ -38,18 +38,19 @@
     core
 }
 
-fn order(core: &mut Core, now: Micros) {
-    let order = NewRequest {
+fn submit(core: &mut Core, now: Micros) {
+    let request = NewRequest {
         class: "preview",
         tenant: Some("au"),
         time_left: Micros(7_500_000),
         payload: Payload::default(),
         ..NewRequest::default()
     };
-    core.accept_request(now, order).expect("taken");
+    core.accept_request(now, request).expect("accepted");
 }
 
-fn asked(core: &mut Core) -> Vec<WorkerId> {
+/// The workers that the waiting commands probe.
+fn probed_workers(core: &mut Core) -> Vec<WorkerId> {
     let commands = std::iter::from_fn(|| core.next_command());
     commands
         .filter_map(|command| match command {
@@ -59,10 +60,11 @@
         .collect()
 }
 
-fn called(core: &mut Core) -> Option<WorkerId> {
+/// The worker of the first attempt among the waiting commands.
+fn attempted_worker(core: &mut Core) -> Option<WorkerId> {
     let mut commands = std::iter::from_fn(|| core.next_command());
     commands.find_map(|command| match command {
-        Command::StartAttempt(call) => Some(call.worker),
+        Command::StartAttempt(attempt) => Some(attempt.worker),
         _ => None,
     })
 }
@@ -74,42 +76,46 @@
     })
 }
 
-/// All four have told five free slots, a second ago; the nodes have sent five jobs to three of them since. Whichever
-/// answer comes first, the job goes to the fourth.
+/// All four have reported five free slots, a second ago; the nodes have sent five jobs to three of them since.
+/// Whichever answer comes first, the job goes to the fourth.
 #[test]
 fn a_job_does_not_go_where_others_have_just_sent() {
-    for late in [false, true] {
+    for peer_answers_last in [false, true] {
         let mut core = core(40);
         let now = Micros(5_000_000);
-        order(&mut core, now);
-        let workers = asked(&mut core);
+        submit(&mut core, now);
+        let workers = probed_workers(&mut core);
         assert_eq!(workers.len(), 4);
         workers
             .iter()
             .for_each(|worker| core.await_fleet_in_flight(*worker));
         for (n, worker) in workers.iter().enumerate() {
-            assert_eq!(called(&mut core), None, "not all have answered");
-            let calls = if n == 2 { 0 } else { 5 };
-            if late {
+            assert_eq!(attempted_worker(&mut core), None, "not all have answered");
+            let in_flight = if n == 2 { 0 } else { 5 };
+            if peer_answers_last {
                 core.handle_probe_result(now, *worker, Outcome::Served, free(5.0));
-                assert_eq!(called(&mut core), None, "the peer has not answered");
-                core.set_fleet_in_flight(now, *worker, Some(calls));
+                assert_eq!(
+                    attempted_worker(&mut core),
+                    None,
+                    "the peer has not answered"
+                );
+                core.set_fleet_in_flight(now, *worker, Some(in_flight));
             } else {
-                core.set_fleet_in_flight(now, *worker, Some(calls));
+                core.set_fleet_in_flight(now, *worker, Some(in_flight));
                 core.handle_probe_result(now, *worker, Outcome::Served, free(5.0));
             }
         }
-        assert_eq!(called(&mut core), Some(workers[2]));
+        assert_eq!(attempted_worker(&mut core), Some(workers[2]));
     }
 }
 
-/// Where no peer knows, what the worker itself has told counts.
+/// Where no peer knows, what the worker itself has reported counts.
 #[test]
 fn without_peers_the_report_counts() {
     let mut core = core(40);
     let now = Micros(5_000_000);
-    order(&mut core, now);
-    let workers = asked(&mut core);
+    submit(&mut core, now);
+    let workers = probed_workers(&mut core);
     for (n, worker) in workers.iter().enumerate() {
         core.await_fleet_in_flight(*worker);
         core.handle_probe_result(
@@ -120,7 +126,7 @@
         );
         core.set_fleet_in_flight(now, *worker, None);
     }
-    assert_eq!(called(&mut core), Some(workers[1]));
+    assert_eq!(attempted_worker(&mut core), Some(workers[1]));
 }
 
 /// The other nodes, all played by one socket, so that one of them keeps the only worker.
--- a/crates/node/tests/seats.rs
+++ b/crates/node/tests/seats.rs
@@ -1,4 +1,4 @@
-//! Seats as the core takes them for calls, without any socket.
+//! Licence seats as the core takes them for attempts, without any socket.
 
 use marbledeck_dispatcher::{Micros, Outcome, WorkerEntry, WorkerId, WorkerListKind};
 use marbledeck_licensing::{Part, Reading};
@@ -13,9 +13,9 @@
 
 const RUN: Micros = Micros(2_000_000);
 
-/// A core before three workers, whose fleet has given it one seat of av1 and two of aac until ten seconds.
+/// A core with three workers, whose fleet has granted it one seat of av1 and two of aac until ten seconds.
 fn core() -> Core {
-    let facts: PlatformSettings = serde_json::from_str(
+    let platform: PlatformSettings = serde_json::from_str(
         r#"{"balancers":1,"self-index":0,"zone":0,"localities":["east"],"kinds":["std"],"registry-mode":"automatic",
         "stats":{"how":"piggyback"},"bounds":{"may-cancel":true,"try-limit":3},
         "family-info":{"report-x0":"free slots","tells-start":true},"rules":{},
@@ -23,9 +23,9 @@
         {"name":"encode","effect":"safe","promise-us":250000,"deadline-us":7500000}]}"#,
     )
     .expect("settings");
-    let settings = facts.dispatcher_settings().expect("settings that fit");
-    let catalogue = NameRegistry::new(&facts, &settings);
-    let mut core = Core::new(settings, catalogue, 7, Micros(0)).expect("a core");
+    let settings = platform.dispatcher_settings().expect("settings that fit");
+    let names = NameRegistry::new(&platform, &settings);
+    let mut core = Core::new(settings, names, 7, Micros(0)).expect("a core");
     let entry = |id| WorkerEntry {
         worker: WorkerId(id),
         ..WorkerEntry::default()
@@ -54,14 +54,14 @@
     core
 }
 
-fn hand(
+fn submit(
     core: &mut Core,
     now: u64,
     transaction_id: &str,
     class: &str,
     licences: Vec<&str>,
 ) -> Result<(), RequestError> {
-    let order = NewRequest {
+    let request = NewRequest {
         class,
         time_left: Micros(1_000_000),
         licences,
@@ -71,22 +71,23 @@
         },
         ..NewRequest::default()
     };
-    core.accept_request(Micros(now), order).map(drop)
+    core.accept_request(Micros(now), request).map(drop)
 }
 
-fn commands(core: &mut Core) -> (Option<AttemptCommand>, Option<FinalAnswer>) {
-    let (mut call, mut verdict) = (None, None);
+/// The last attempt started and the last answer given among the commands that wait.
+fn drain_commands(core: &mut Core) -> (Option<AttemptCommand>, Option<FinalAnswer>) {
+    let (mut attempt, mut last_answer) = (None, None);
     while let Some(command) = core.next_command() {
         match command {
-            Command::StartAttempt(made) => call = Some(made),
-            Command::Answer { answer: said, .. } => verdict = Some(said),
+            Command::StartAttempt(command) => attempt = Some(command),
+            Command::Answer { answer, .. } => last_answer = Some(answer),
             _ => {}
         }
     }
-    (call, verdict)
+    (attempt, last_answer)
 }
 
-/// Each end of a call, and whether its worker is known to have ended it.
+/// Each end of an attempt, and whether its worker is known to have ended it.
 #[rstest]
 #[case(Outcome::Served, true)]
 #[case(Outcome::Failed, true)]
@@ -95,58 +96,59 @@
 #[case(Outcome::Reset, false)]
 fn an_end_frees_its_seat_where_the_worker_has_ended_it(
     #[case] outcome: Outcome,
-    #[case] known: bool,
+    #[case] ended_at_worker: bool,
 ) {
     let mut core = core();
-    hand(&mut core, 0, "a", "encode", vec![]).expect("one is free");
-    let (call, _) = commands(&mut core);
-    let call = call.expect("it goes out");
+    submit(&mut core, 0, "a", "encode", vec![]).expect("one is free");
+    let (attempt, _) = drain_commands(&mut core);
+    let attempt = attempt.expect("it is sent");
     assert!(matches!(
-        hand(&mut core, 1, "b", "encode", vec![]),
+        submit(&mut core, 1, "b", "encode", vec![]),
         Err(RequestError::NoSeat(_))
     ));
     let result = (outcome == Outcome::Served).then(|| b"done".to_vec());
     core.handle_attempt_ended(
         Micros(100_000),
-        call.request,
-        call.attempt,
+        attempt.request,
+        attempt.attempt,
         AttemptEnd {
             result,
             ..AttemptEnd::new(outcome)
         },
     );
-    let (again, verdict) = commands(&mut core);
+    let (retry, answer) = drain_commands(&mut core);
     // A further attempt takes a seat of its own: there is none while the first may still run.
     assert_eq!(
-        again.is_some(),
-        known && outcome != Outcome::Served,
-        "{outcome:?} {verdict:?}"
+        retry.is_some(),
+        ended_at_worker && outcome != Outcome::Served,
+        "{outcome:?} {answer:?}"
     );
-    if !known {
+    if !ended_at_worker {
         assert!(
-            matches!(verdict, Some(FinalAnswer::Rejected(_))),
-            "{verdict:?}"
+            matches!(answer, Some(FinalAnswer::Rejected(_))),
+            "{answer:?}"
         );
-        assert!(hand(&mut core, RUN.0 - 1, "c", "encode", vec![]).is_err());
-        assert!(hand(&mut core, RUN.0, "d", "encode", vec![]).is_ok());
+        assert!(submit(&mut core, RUN.0 - 1, "c", "encode", vec![]).is_err());
+        assert!(submit(&mut core, RUN.0, "d", "encode", vec![]).is_ok());
     }
 }
 
-/// A call that ran out of time, or was given up by its consumer, holds its seat: a cancel does not stop work.
+/// An attempt that has timed out, or whose client has left, holds its seat: a cancel does not stop work.
 #[rstest]
 #[case(true)]
 #[case(false)]
-fn a_call_that_was_given_up_holds_its_seat(#[case] timed_out: bool) {
+fn an_abandoned_attempt_holds_its_seat(#[case] timed_out: bool) {
     let mut core = core();
-    hand(&mut core, 0, "a", "encode", vec![]).expect("one is free");
-    let call = commands(&mut core).0.expect("it goes out");
-    match timed_out {
-        true => core.wake(Micros(1_000_000)),
-        false => drop(core.handle_client_left(Micros(1_000_000), call.request)),
+    submit(&mut core, 0, "a", "encode", vec![]).expect("one is free");
+    let attempt = drain_commands(&mut core).0.expect("it is sent");
+    if timed_out {
+        core.wake(Micros(1_000_000));
+    } else {
+        core.handle_client_left(Micros(1_000_000), attempt.request);
     }
-    assert!(hand(&mut core, 1_500_000, "b", "encode", vec![]).is_err());
-    // One whose end is still to come is out until it has come.
-    let free = hand(&mut core, RUN.0, "c", "encode", vec![]).is_ok();
+    assert!(submit(&mut core, 1_500_000, "b", "encode", vec![]).is_err());
+    // One whose end is still to come holds its seat until then.
+    let free = submit(&mut core, RUN.0, "c", "encode", vec![]).is_ok();
     assert_eq!(free, timed_out);
 }
 
@@ -154,19 +156,19 @@
 fn a_job_names_its_licences_and_gets_all_or_none() {
     let mut core = core();
     assert_eq!(
-        hand(&mut core, 0, "x", "preview", vec!["prores"]),
+        submit(&mut core, 0, "x", "preview", vec!["prores"]),
         Err(RequestError::UnknownLicence("prores".into()))
     );
-    hand(&mut core, 0, "a", "preview", vec!["aac", "av1"]).expect("both are free");
-    assert!(commands(&mut core).0.is_some());
+    submit(&mut core, 0, "a", "preview", vec!["aac", "av1"]).expect("both are free");
+    assert!(drain_commands(&mut core).0.is_some());
     assert!(matches!(
-        hand(&mut core, 0, "b", "preview", vec!["av1"]),
+        submit(&mut core, 0, "b", "preview", vec!["av1"]),
         Err(RequestError::NoSeat(_))
     ));
-    hand(&mut core, 0, "c", "preview", vec!["aac"]).expect("the second of two");
-    assert!(commands(&mut core).0.is_some());
-    // What needs none goes on as ever, also when the reading is over.
-    hand(&mut core, 0, "d", "preview", vec![]).expect("no seat");
-    assert!(hand(&mut core, 10_000_000, "e", "preview", vec!["aac"]).is_err());
-    hand(&mut core, 10_000_000, "f", "preview", vec![]).expect("no seat");
+    submit(&mut core, 0, "c", "preview", vec!["aac"]).expect("the second of two");
+    assert!(drain_commands(&mut core).0.is_some());
+    // What needs none is accepted as before, also when the grant has expired.
+    submit(&mut core, 0, "d", "preview", vec![]).expect("no seat");
+    assert!(submit(&mut core, 10_000_000, "e", "preview", vec!["aac"]).is_err());
+    submit(&mut core, 10_000_000, "f", "preview", vec![]).expect("no seat");
 }
