--- a/crates/node/src/admin/figures.rs
+++ b/crates/node/src/admin/figures.rs
@@ -38,7 +38,7 @@
 pub fn text(core: &Core, fleet: FleetCounts) -> String {
     let mut text = String::new();
     let counts = core.counts();
-    for (name, class) in core.catalogue().names().zip(&counts.classes) {
+    for (name, class) in core.names().class_names().zip(&counts.classes) {
         let totals = [
             ("ok", class.served),
             ("shed", class.rejected),
--- a/crates/node/src/config/node.rs
+++ b/crates/node/src/config/node.rs
@@ -2,7 +2,7 @@
 
 use crate::config_error::{ConfigError, ConfigProblem};
 use crate::config_file::{parse_address, parse_json};
-use crate::core::Catalogue;
+use crate::core::NameRegistry;
 use crate::discovery::EndpointList;
 use crate::gossip::config::PeersConfig;
 use marbledeck_dispatcher::{LoadReporting, Micros, Settings};
@@ -106,7 +106,7 @@
     /// The platform's settings as the dispatcher takes them.
     pub settings: Settings,
     /// The names of classes and tenants.
-    pub catalogue: Catalogue,
+    pub names: NameRegistry,
     /// What the fields of a load report mean.
     pub report_fields: ReportFields,
     /// The names of the zones, by number.
@@ -161,7 +161,7 @@
             seed,
             cached_list: file.cached_list,
             peers,
-            catalogue: Catalogue::new(&platform_settings, &settings),
+            names: NameRegistry::new(&platform_settings, &settings),
             report_fields: platform_settings.report_fields(),
             workers_report_load: settings.load_reporting != LoadReporting::Never,
             settings,
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,13 +1,16 @@
-//! The node without its wires: it owns the dispatcher, the invocations, their timers and ids. Fronts and worker
-//! links hand it events and carry out its commands.
+//! The node without its sockets: it owns the dispatcher, the requests, their timers and ids. Fronts and worker links
+//! report events to it and carry out its commands.
 //!
-//! An invocation passes the stages in the order of the modules below, each a unit of its own:
-//! [`validation`], [`admission`], [`routing`], [`attempts`], [`responses`] and [`accounting`].
+//! A request passes the stages in the order of these modules, each a unit of its own: `validation`, `admission`,
+//! `routing`, `attempts`, `responses` and `accounting`.
 
 mod accounting;
 mod admission;
 mod attempts;
+mod commands;
 pub mod licensing;
+mod names;
+mod probes;
 mod responses;
 mod routing;
 mod table;
@@ -15,170 +18,98 @@
 mod validation;
 
 pub use accounting::{ClassCounts, Counts};
-pub use validation::{Catalogue, Malformed, Order};
+pub use commands::{AttemptCommand, Command, FinalAnswer, Payload};
+pub use names::NameRegistry;
+pub use responses::AttemptEnd;
+pub use validation::{NewRequest, RequestError};
 
 use marbledeck_dispatcher::{
-    Action, Dispatcher, Event, LoadReport, Micros, Outcome, RequestId, Settings, SettingsError,
-    WorkerEntry, WorkerId, WorkerListKind,
+    Action, Dispatcher, Event, Micros, RequestId, Settings, SettingsError, WorkerEntry, WorkerId,
+    WorkerListKind,
 };
+use probes::PendingProbe;
 use std::collections::{HashMap, VecDeque};
-use std::fmt;
-use std::rc::Rc;
 use table::Table;
-use timers::{Due, Timers};
+use timers::{Timer, Timers};
 
-/// What a worker is handed, unchanged by the node.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Work {
-    /// The consumer's id of this try.
-    pub txn: String,
-    /// The key by which workers drop repeats.
-    pub key: Option<String>,
-    /// How and on what it is to be done: opaque to the core.
-    pub method: String,
-    /// Likewise.
-    pub target: String,
-    /// Likewise.
-    pub body: Vec<u8>,
-}
-
-/// The final answer of an invocation.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// The result that a worker gave for it.
-    Served(Vec<u8>),
-    /// Trying again is harmless, perhaps after this time.
-    Rejected(Option<Micros>),
-    /// Nothing is promised.
-    Failed,
-}
-
-impl fmt::Display for Verdict {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Verdict::Served(_) => f.write_str("served"),
-            Verdict::Rejected(None) => f.write_str("rejected"),
-            Verdict::Rejected(Some(wait)) => write!(f, "rejected for {} ms", wait.0 / 1000),
-            Verdict::Failed => f.write_str("failed"),
-        }
-    }
-}
-
-/// One attempt of an invocation at a worker.
-#[derive(Clone, Debug)]
-pub struct InvokerCall {
-    pub id: RequestId,
-    pub attempt: u32,
-    pub worker: WorkerId,
-    pub work: Rc<Work>,
-    pub until: Micros,
-    /// Its last byte has to leave before, if it is to leave at all.
-    pub latest: Option<Micros>,
-}
-
-/// What the fronts and the worker links are to do.
-#[derive(Clone, Debug)]
-pub enum Command {
-    /// Make an invoker call, to be answered by one [`Core::call_ended`].
-    Call(InvokerCall),
-    /// Stop waiting for a call. Nothing more is to be told of it.
-    GiveUp { id: RequestId, attempt: u32 },
-    /// Ask a worker for its load, to be answered by one [`Core::probed`].
-    Probe(WorkerId),
-    /// A call to this worker has ended, however.
-    CameBack(WorkerId),
-    /// Watch the directory.
-    Watch,
-    /// The final answer, once for each invocation; `sent` is the last send that may have run.
-    Answer {
-        id: RequestId,
-        verdict: Verdict,
-        sent: Option<Micros>,
-    },
-    /// A worker has begun to run the invocation.
-    Running(RequestId, WorkerId),
-    /// It ran, has come back without a final answer, and no worker runs it now.
-    Requeued(RequestId),
-}
-
-/// All that the node decides and remembers of its invocations.
+/// All that the node decides and remembers of its requests.
 pub struct Core {
     dispatcher: Dispatcher,
-    catalogue: Catalogue,
-    attempts: u32,
+    names: NameRegistry,
+    /// The most attempts of one request.
+    max_attempts: u32,
     table: Table,
     timers: Timers,
     counts: Counts,
-    ready_workers: bool,
-    /// What the dispatcher is still to be told, in order.
+    /// Whether any worker has been named yet.
+    has_workers: bool,
+    /// Events that the dispatcher is still to handle, in order.
     pending: VecDeque<Event>,
+    /// The dispatcher's actions; empty between two calls of it, kept for its allocation.
     actions: Vec<Action>,
     commands: VecDeque<Command>,
-    /// Invocations of which a call that ran has come back.
+    /// Requests of which an attempt that ran has ended without the final answer.
     returned: Vec<RequestId>,
     /// Licence seats, where the site has any.
     pub licensing: Option<licensing::Licensing>,
-    /// Workers that are asked for their load while a peer is asked what all nodes have out there.
-    awaited: HashMap<WorkerId, Awaited>,
-}
-
-/// The first of the two answers: the dispatcher is told both at once.
-#[derive(Default)]
-struct Awaited {
-    probed: Option<(Outcome, Option<LoadReport>)>,
-    held: Option<Option<u8>>,
+    /// Probes that wait for the count of attempts that all nodes have in flight.
+    pending_probes: HashMap<WorkerId, PendingProbe>,
 }
 
 impl Core {
+    /// A core with these settings; `seed` is that of all random draws.
+    ///
+    /// # Errors
+    /// The dispatcher does not accept the settings.
     pub fn new(
         settings: Settings,
-        catalogue: Catalogue,
+        names: NameRegistry,
         seed: u64,
         now: Micros,
     ) -> Result<Self, SettingsError> {
-        let attempts = settings.limits.max_attempts;
+        let max_attempts = settings.limits.max_attempts;
         let counts = Counts {
             classes: vec![ClassCounts::default(); settings.classes.len()],
             ..Counts::default()
         };
         Ok(Core {
             dispatcher: Dispatcher::new(settings, seed, now)?,
-            catalogue,
-            attempts,
+            names,
+            max_attempts,
             table: Table::default(),
             timers: Timers::default(),
             counts,
-            ready_workers: false,
+            has_workers: false,
             pending: VecDeque::new(),
             actions: Vec::new(),
             commands: VecDeque::new(),
             returned: Vec::new(),
             licensing: None,
-            awaited: HashMap::new(),
+            pending_probes: HashMap::new(),
         })
     }
 
-    /// From now on the tenants may ask for so many jobs a second over all nodes, in the order of the settings.
-    pub fn set_rates(&mut self, now: Micros, quotas: &[Option<f64>]) {
+    /// Sets the tenants' quotas, in requests a second over all nodes and in the order of the settings.
+    pub fn set_quotas(&mut self, now: Micros, quotas: &[Option<f64>]) {
         self.dispatcher.set_quotas(now, quotas);
     }
 
-    /// The same, as it is now.
-    pub fn rates(&self) -> Vec<Option<f64>> {
+    /// The tenants' quotas as they are now.
+    pub fn quotas(&self) -> Vec<Option<f64>> {
         self.dispatcher.quotas()
     }
 
-    /// The final answer of something that another site was asked to do, for the front that handed it over.
-    pub fn answer_for(&mut self, id: RequestId, verdict: Verdict) {
+    /// Queues the final answer of a request that another site was asked to run, for the front that accepted it.
+    pub fn push_answer(&mut self, id: RequestId, answer: FinalAnswer) {
         self.commands.push_back(Command::Answer {
-            id,
-            verdict,
-            sent: None,
+            request: id,
+            answer,
+            last_sent: None,
         });
     }
 
-    /// The next thing to do, if any.
-    pub fn command(&mut self) -> Option<Command> {
+    /// Removes the next command, if there is one.
+    pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
@@ -187,22 +118,27 @@
         self.timers.next()
     }
 
-    /// Handles every timer that is due.
+    /// Handles every timer that has expired.
     pub fn wake(&mut self, now: Micros) {
-        while let Some(due) = self.timers.pop(now) {
-            match due {
-                Due::Dispatcher(timer) => self.pending.push_back(Event::TimerExpired(timer)),
-                Due::Attempt(id, attempt) => self.time_out(now, id, attempt),
-                Due::Deadline(id) => self.overdue(id),
+        while let Some(timer) = self.timers.pop_expired(now) {
+            match timer {
+                Timer::Dispatcher(timer) => self.pending.push_back(Event::TimerExpired(timer)),
+                Timer::Attempt(id, attempt) => self.time_out(now, id, attempt),
+                Timer::Deadline(id) => self.fail_overdue(id),
             }
             self.decide(now);
         }
     }
 
-    /// The directory has told its list, a part of it, or that it cannot.
-    pub fn listed(&mut self, now: Micros, kind: WorkerListKind, entries: Vec<WorkerEntry>) {
+    /// Applies a full list of workers, a change of it, or the failure to get one.
+    pub fn apply_worker_list(
+        &mut self,
+        now: Micros,
+        kind: WorkerListKind,
+        entries: Vec<WorkerEntry>,
+    ) {
         if kind != WorkerListKind::Failed {
-            self.ready_workers |= !entries.is_empty();
+            self.has_workers |= !entries.is_empty();
         }
         self.pending.push_back(Event::WorkerList {
             kind,
@@ -211,101 +147,47 @@
         self.decide(now);
     }
 
-    pub fn probed(
-        &mut self,
-        now: Micros,
-        worker: WorkerId,
-        outcome: Outcome,
-        report: Option<LoadReport>,
-    ) {
-        match self.awaited.get_mut(&worker) {
-            Some(awaited) => awaited.probed = Some((outcome, report)),
-            None => self.learn(worker, outcome, report),
-        }
-        self.meet(now, worker);
-    }
-
-    /// The probe of this worker waits for [`Core::told_held`], which is to come once and soon.
-    pub fn ask_held(&mut self, worker: WorkerId) {
-        self.awaited.insert(worker, Awaited::default());
-    }
-
-    /// How many calls all nodes together have out to this worker; none where nobody knows.
-    pub fn told_held(&mut self, now: Micros, worker: WorkerId, calls: Option<u8>) {
-        if let Some(awaited) = self.awaited.get_mut(&worker) {
-            awaited.held = Some(calls);
-        }
-        self.meet(now, worker);
-    }
-
-    /// Tells the dispatcher of a probe once both answers are there.
-    fn meet(&mut self, now: Micros, worker: WorkerId) {
-        let both = self.awaited.get(&worker);
-        let both = both.and_then(|a| a.probed.zip(a.held));
-        if let Some(((outcome, report), held)) = both {
-            self.awaited.remove(&worker);
-            let report = report.map(|report| LoadReport {
-                in_flight: held.map(f64::from),
-                ..report
-            });
-            self.learn(worker, outcome, report);
-        }
-        self.decide(now);
-    }
-
-    /// Has the dispatcher told what is known of a worker that it asked about.
-    fn learn(&mut self, worker: WorkerId, outcome: Outcome, report: Option<LoadReport>) {
-        log::trace!(
-            "probe worker {:016x} {outcome:?}: free {}",
-            worker.0,
-            responses::Told(report)
-        );
-        self.pending.push_back(Event::ProbeEnded {
-            worker,
-            outcome,
-            report,
-        });
-    }
-
-    /// Whether the directory has named any worker yet.
+    /// Whether any worker has been named yet.
     pub fn has_workers(&self) -> bool {
-        self.ready_workers
+        self.has_workers
     }
 
-    /// Whether an invocation has had its answer, or its consumer has left.
-    pub fn is_over(&self, id: RequestId) -> bool {
-        self.table.is_over(id)
+    /// Whether a request has had its answer, or its client has left.
+    pub fn is_closed(&self, id: RequestId) -> bool {
+        self.table.is_closed(id)
     }
 
-    /// Whether no invocation waits for its final answer.
-    pub fn idle(&self) -> bool {
+    /// Whether no request waits for its final answer.
+    pub fn is_idle(&self) -> bool {
         self.unanswered() == 0
     }
 
-    /// How many invocations wait for their final answer.
+    /// How many requests wait for their final answer.
     pub fn unanswered(&self) -> usize {
         self.table.unanswered()
     }
 
-    /// From now on so many processes stand in for this node.
-    pub fn share(&mut self, now: Micros, processes: u32) {
+    /// Sets how many processes of this node share its quotas.
+    pub fn set_processes(&mut self, now: Micros, processes: u32) {
         self.dispatcher.set_processes(now, processes);
     }
 
-    /// Whether the dispatcher leaves this worker alone for now, for its failures.
-    pub fn rests(&self, now: Micros, worker: WorkerId) -> bool {
+    /// Whether the dispatcher sends nothing to this worker for now because of its failures.
+    pub fn is_ejected(&self, now: Micros, worker: WorkerId) -> bool {
         self.dispatcher.is_ejected(now, worker)
     }
 
-    /// How many bytes the bodies of the invocations take that are not over.
-    pub fn held(&self) -> usize {
-        self.table.bytes()
+    /// How many bytes the bodies of the requests take that are not done.
+    pub fn body_bytes(&self) -> usize {
+        self.table.body_bytes()
     }
 
-    pub fn catalogue(&self) -> &Catalogue {
-        &self.catalogue
+    /// The classes and tenants by their names.
+    pub fn names(&self) -> &NameRegistry {
+        &self.names
     }
 
+    /// The totals since the start.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
@@ -316,32 +198,34 @@
             let mut actions = std::mem::take(&mut self.actions);
             self.dispatcher.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                match action {
-                    Action::Send {
-                        request: id,
-                        worker,
-                        send_before: latest,
-                    } => self.route(now, id, worker, latest),
-                    Action::Reject {
-                        request: id,
-                        retry_after: come_back,
-                    } => self.reject(id, come_back),
-                    Action::Fail(id) => self.fail(id),
-                    Action::Cancel {
-                        request: id,
-                        attempt,
-                    } => self.cancel(now, id, attempt),
-                    Action::Probe(worker) => self.commands.push_back(Command::Probe(worker)),
-                    Action::SetTimer { at, timer } => self.timers.add(at, Due::Dispatcher(timer)),
-                    Action::WatchWorkers => self.commands.push_back(Command::Watch),
-                }
+                self.carry_out(now, action);
             }
             self.actions = actions;
         }
         for id in std::mem::take(&mut self.returned) {
-            if self.table.get(id).is_some_and(|i| !i.answered && !i.runs()) {
-                self.commands.push_back(Command::Requeued(id));
+            let request = self.table.get(id);
+            if request.is_some_and(|request| !request.closed && !request.is_running()) {
+                self.commands.push_back(Command::RequestRequeued(id));
             }
         }
     }
+
+    fn carry_out(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::Send {
+                request,
+                worker,
+                send_before,
+            } => self.route(now, request, worker, send_before),
+            Action::Reject {
+                request,
+                retry_after,
+            } => self.reject(request, retry_after),
+            Action::Fail(request) => self.fail(request),
+            Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
+            Action::Probe(worker) => self.commands.push_back(Command::ProbeWorker(worker)),
+            Action::SetTimer { at, timer } => self.timers.add(at, Timer::Dispatcher(timer)),
+            Action::WatchWorkers => self.commands.push_back(Command::WatchWorkers),
+        }
+    }
 }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -184,11 +184,11 @@
             return;
         }
         self.next_call = None;
-        let idle = self.idle.take().filter(|token| net.is_quiet(*token));
+        let idle = self.idle.take().filter(|token| net.is_reusable(*token));
         let call = self.staleness.next_call(now);
         let connection = match idle {
             Some(token) => Ok(token),
-            None => net.connect(self.address, Peer::Directory),
+            None => net.connect(self.address, Peer::Discovery),
         };
         let token = match connection {
             Ok(token) => token,
--- a/crates/node/src/federation.rs
+++ b/crates/node/src/federation.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::millis;
 use crate::context::Context;
-use crate::core::Verdict;
+use crate::core::FinalAnswer;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::placement::{ForwardedJob, ForwardedJobs, Sites};
 use crate::service::Service;
@@ -119,7 +119,7 @@
         self.connect_after.retain(|_, due| now < *due);
         self.connect_after.insert(address, now + RETRY_INTERVAL);
         let token = net.connect(address, self.peer).ok()?;
-        net.widen(token, MAX_LINE + INPUT_MARGIN);
+        net.raise_buffer_limit(token, MAX_LINE + INPUT_MARGIN);
         let connection = Connection {
             address,
             open: HashMap::new(),
@@ -155,9 +155,9 @@
         if now >= job.deadline || job.is_abandoned && !may_be_taken {
             // What a site may have may have run.
             let verdict = if may_be_taken {
-                Verdict::Failed
+                FinalAnswer::Failed
             } else {
-                Verdict::Rejected(Some(RETRY_INTERVAL))
+                FinalAnswer::Rejected(Some(RETRY_INTERVAL))
             };
             return finish(id, verdict, context);
         }
@@ -174,7 +174,7 @@
             NextStep::Ask { address: None, .. } | NextStep::Nothing => {}
             NextStep::Reject(reason) => {
                 log::info!("sites: no site takes a job: {reason}");
-                finish(id, Verdict::Rejected(Some(RETRY_INTERVAL)), context);
+                finish(id, FinalAnswer::Rejected(Some(RETRY_INTERVAL)), context);
             }
         }
     }
@@ -363,9 +363,9 @@
     match serde_json::from_value::<JobInfo>(answer["jobInfo"].clone()) {
         Ok(info) if info.job_state.is_final() => {
             let verdict = match (info.job_state, info.result_bytes()) {
-                (JobState::Done, Some(result)) => Verdict::Served(result),
-                (JobState::Done, None) => Verdict::Served(Vec::new()),
-                _ => Verdict::Failed,
+                (JobState::Done, Some(result)) => FinalAnswer::Served(result),
+                (JobState::Done, None) => FinalAnswer::Served(Vec::new()),
+                _ => FinalAnswer::Failed,
             };
             finish(id, verdict, context);
         }
@@ -378,7 +378,7 @@
                     "sites: a job that was taken is not known there: {}",
                     problem.message
                 );
-                finish(id, Verdict::Failed, context);
+                finish(id, FinalAnswer::Failed, context);
             }
             _ => {}
         },
@@ -392,11 +392,11 @@
 }
 
 /// A job has ended: its final answer goes to whoever waits for it.
-fn finish(id: RequestId, verdict: Verdict, context: &mut Context) {
+fn finish(id: RequestId, verdict: FinalAnswer, context: &mut Context) {
     let jobs = context.forwarded_jobs.as_mut();
     let job = jobs.and_then(|jobs| jobs.remove(id));
     if job.is_some_and(|job| !job.is_abandoned) {
-        context.core.answer_for(id, verdict);
+        context.core.push_answer(id, verdict);
     }
 }
 
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -49,14 +49,14 @@
         core: &mut Core,
     ) {
         self.stale_workers.extend(change.stale_workers);
-        core.listed(now, kind, change.entries);
+        core.apply_worker_list(now, kind, change.entries);
     }
 
     /// Tells the core of a change that no list of discovery brought.
     pub fn apply_change(&mut self, now: Micros, change: MembershipChange, core: &mut Core) {
         self.stale_workers.extend(change.stale_workers);
         if !change.entries.is_empty() {
-            core.listed(now, WorkerListKind::Delta, change.entries);
+            core.apply_worker_list(now, WorkerListKind::Delta, change.entries);
         }
     }
 
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -89,7 +89,9 @@
                 continue;
             };
             if let Some(worker) = self.questions.take_answered(answer.worker) {
-                context.core.told_held(now, worker, answer.in_flight);
+                context
+                    .core
+                    .set_fleet_in_flight(now, worker, answer.in_flight);
             }
         }
     }
@@ -112,7 +114,7 @@
         }
         while let Some(worker) = self.questions.take_overdue(now) {
             self.peers.mark_owner_silent(worker);
-            context.core.told_held(now, worker, None);
+            context.core.set_fleet_in_flight(now, worker, None);
         }
         self.peers.wake(now);
     }
@@ -124,14 +126,16 @@
     fn handle_probe(&mut self, now: Micros, worker: WorkerId, context: &mut Context) {
         match self.peers.query(now, worker) {
             QueryOutcome::Known(attempts) => {
-                context.core.ask_held(worker);
-                context.core.told_held(now, worker, Some(attempts));
+                context.core.await_fleet_in_flight(worker);
+                context
+                    .core
+                    .set_fleet_in_flight(now, worker, Some(attempts));
             }
             QueryOutcome::Sent if self.socket.is_some() => {
-                context.core.ask_held(worker);
+                context.core.await_fleet_in_flight(worker);
                 let deadline = now + ANSWER_TIMEOUT;
                 if let Some(dropped) = self.questions.insert(worker, deadline) {
-                    context.core.told_held(now, dropped, None);
+                    context.core.set_fleet_in_flight(now, dropped, None);
                 }
             }
             QueryOutcome::Sent | QueryOutcome::Unavailable => {}
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -126,7 +126,7 @@
     ) {
         let body = serde_json::to_string(state).unwrap_or_default();
         let message = format!("{:08x}\n{body}", body.len());
-        if let Err(e) = net.pass(successor, message.as_bytes(), listeners) {
+        if let Err(e) = net.send_listeners(successor, message.as_bytes(), listeners) {
             log::warn!("handover: {e}");
             self.drop_link(successor, net);
         }
@@ -253,5 +253,5 @@
     listener.set_nonblocking(true)?;
     std::fs::set_permissions(&beside, Permissions::from_mode(SOCKET_MODE))?;
     std::fs::rename(&beside, path)?;
-    net.adopt(listener.into(), Peer::Partner)
+    net.add_listener(listener.into(), Peer::Partner)
 }
--- a/crates/node/src/node/builder.rs
+++ b/crates/node/src/node/builder.rs
@@ -6,7 +6,7 @@
 use super::succession::{Inheritance, Readiness};
 use super::{Node, ReadConfig, LOG_INTERVAL};
 use crate::admin::Ops;
-use crate::clients::Consumers;
+use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::config::{
     ConsensusConfig, EurekaConfig, LicensingConfig, NodeConfig, OperatorConfig, PeersConfig,
@@ -27,7 +27,7 @@
 use crate::records::AgreedRecords;
 use crate::service::Service;
 use crate::submission::Submissions;
-use crate::workers::{Figures, Workers};
+use crate::workers::{Workers, WorkersConfig};
 use marbledeck_dispatcher::{Micros, SettingsError};
 use marbledeck_membership::{Membership, SelfPreservation, SourceId, SourceReport};
 use marbledeck_platform_settings::worker_id;
@@ -77,7 +77,7 @@
         let net = Net::new()?;
         let workers = Workers::new(worker_figures(&config, &operator_config));
         let (discovery, fleet) = new_discovery(now, &config);
-        let core = Core::new(config.settings, config.catalogue, config.seed, now)?;
+        let core = Core::new(config.settings, config.names, config.seed, now)?;
         let handover_socket = config.handover_socket.as_deref();
         let mut builder = Builder {
             now,
@@ -148,8 +148,8 @@
         &mut self,
         address: SocketAddr,
         limits: ResourceLimits,
-    ) -> io::Result<Consumers> {
-        Consumers::new(
+    ) -> io::Result<Clients> {
+        Clients::new(
             address,
             self.inheritance.client_listener.take(),
             limits.client_connections,
@@ -237,7 +237,7 @@
             return Ok(());
         };
         let core = &mut self.context.core;
-        let licensing = Licensing::new(config, core.catalogue())
+        let licensing = Licensing::new(config, core.names())
             .map_err(|error| StartError::Licensing(error.to_string()))?;
         core.licensing = Some(licensing);
         Ok(())
@@ -273,7 +273,7 @@
             fleet,
             ..
         } = &mut self.context;
-        workers.wants_signs = fleet.members.uses_evidence();
+        workers.collects_evidence = fleet.members.uses_evidence();
         discovery.load_cached_list(now, list, fleet, core);
         if let Some(StaticWorkers { source, reports }) = static_workers {
             let change = fleet.members.apply_full_list(now, source, reports);
@@ -292,7 +292,7 @@
     fn start_handover(&mut self, path: Option<&Path>) -> io::Result<Handover> {
         let net = &mut self.context.net;
         let link = self.inheritance.link.take();
-        let predecessor = link.map(|link| net.join(link.into(), Peer::Partner));
+        let predecessor = link.map(|link| net.add_connection(link.into(), Peer::Partner));
         let mut handover = Handover::new(path, predecessor.transpose()?, net);
         if !self.inheritance.state.services.is_empty() {
             let names = self.services.iter().map(|service| service.name());
@@ -303,17 +303,17 @@
     }
 }
 
-fn worker_figures(config: &NodeConfig, operator_config: &OperatorConfig) -> Figures {
+fn worker_figures(config: &NodeConfig, operator_config: &OperatorConfig) -> WorkersConfig {
     let submission = operator_config.submission.iter();
     let by_submission = submission.flat_map(|submission| &submission.workers);
-    Figures {
-        reads: config.report_fields,
-        reports: config.workers_report_load,
-        idle: config.worker_idle_timeout,
+    WorkersConfig {
+        report_fields: config.report_fields,
+        has_load_endpoint: config.workers_report_load,
+        idle_timeout: config.worker_idle_timeout,
         connect_timeout: config.connect_timeout,
-        progress: config.progress_interval,
-        most: config.limits.worker_connections,
-        by_submission: by_submission.map(|id| worker_id(id)).collect(),
+        progress_interval: config.progress_interval,
+        max_connections: config.limits.worker_connections,
+        submission_workers: by_submission.map(|id| worker_id(id)).collect(),
     }
 }
 
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -9,14 +9,14 @@
     /// Carries out what the core wants done, and writes it out.
     pub(super) fn finish_turn(&mut self, now: Micros) {
         self.carry_out(now);
-        if self.context.workers.is_writing() {
+        if self.context.workers.has_unsent() {
             self.recheck_before_sending();
         }
         let Context {
             net, core, workers, ..
         } = &mut self.context;
-        net.settle(now);
-        workers.written(net, core);
+        net.flush(now);
+        workers.record_written(net, core);
     }
 
     /// The last look before attempts begin. This process may have stood still, or been busy for long with what had come
@@ -28,14 +28,14 @@
         let (fleet, net, core) = (&mut context.fleet, &mut context.net, &mut context.core);
         context.discovery.wake(now, fleet, net, core);
         let awaited = context.discovery.awaited();
-        if let Some(ready) = awaited.and_then(|token| net.look(token)) {
+        if let Some(ready) = awaited.and_then(|token| net.poll_connection(token)) {
             context
                 .discovery
                 .handle_event(now, ready.token, fleet, net, core);
         }
-        let leaving = context.workers.leaving(net);
-        self.clients.look(now, leaving, net, core);
-        context.workers.withdraw(now, fleet, net, core);
+        let leaving = context.workers.requests_leaving(net);
+        self.clients.drop_departed(now, leaving, net, core);
+        context.workers.withdraw_stale(now, fleet, net, core);
         // What becomes of their jobs is not left to the next turn.
         self.carry_out(now);
     }
@@ -71,9 +71,9 @@
                 ..
             } = &mut self.context;
             for worker in std::mem::take(&mut fleet.stale_workers) {
-                workers.forget(worker, net);
+                workers.forget_worker(worker, net);
             }
-            let Some(command) = core.command() else {
+            let Some(command) = core.next_command() else {
                 return;
             };
             self.carry_out_command(now, command);
@@ -90,35 +90,41 @@
             ..
         } = &mut self.context;
         match command {
-            Command::Call(call) => {
+            Command::StartAttempt(attempt) => {
                 for service in &mut self.services {
-                    service.handle_attempt_start(now, call.worker);
+                    service.handle_attempt_start(now, attempt.worker);
                 }
-                let target = fleet.target(call.worker);
-                workers.call(now, &call, target, net, core);
+                let target = fleet.target(attempt.worker);
+                workers.start_attempt(now, &attempt, target, net, core);
             }
-            Command::GiveUp { id, attempt } => workers.give_up(id, attempt, net),
-            Command::Probe(worker) => self.probe(now, worker),
-            Command::CameBack(worker) => {
+            Command::CancelAttempt { request, attempt } => {
+                workers.cancel_attempt(request, attempt, net);
+            }
+            Command::ProbeWorker(worker) => self.probe(now, worker),
+            Command::AttemptEnded(worker) => {
                 for service in &mut self.services {
                     service.handle_attempt_end(now, worker);
                 }
             }
-            Command::Watch => discovery.watch(now, net),
-            Command::Answer { id, verdict, sent } => {
-                if !self.clients.answer(now, id, &verdict, net, core) {
+            Command::WatchWorkers => discovery.watch(now, net),
+            Command::Answer {
+                request,
+                answer,
+                last_sent,
+            } => {
+                if !self.clients.send_answer(now, request, &answer, net, core) {
                     let mut services = self.services.iter_mut();
-                    services.any(|service| service.handle_answer(now, id, &verdict, sent));
+                    services.any(|service| service.handle_answer(now, request, &answer, last_sent));
                 }
             }
-            Command::Running(id, worker) => {
+            Command::RequestRunning(request, worker) => {
                 for service in &mut self.services {
-                    service.handle_run_start(now, id, worker, &self.context);
+                    service.handle_run_start(now, request, worker, &self.context);
                 }
             }
-            Command::Requeued(id) => {
+            Command::RequestRequeued(request) => {
                 for service in &mut self.services {
-                    service.handle_requeue(now, id);
+                    service.handle_requeue(now, request);
                 }
             }
         }
--- a/crates/node/src/node/limits.rs
+++ b/crates/node/src/node/limits.rs
@@ -68,19 +68,19 @@
         let processes = 1 + usize::from(self.handover.has_partner());
         let resources = self.limits.resources;
         let net = &mut self.context.net;
-        self.clients.pot = resources.body_bytes / processes;
+        self.clients.body_budget = resources.body_bytes / processes;
         self.clients
-            .set_most(now, resources.client_connections / processes, net);
+            .set_max_connections(now, resources.client_connections / processes, net);
         self.context
             .workers
-            .set_most(resources.worker_connections / processes, net);
+            .set_max_connections(resources.worker_connections / processes, net);
         if let Some(operators) = &mut self.operators {
             operators.most = admin::CALLERS / processes;
         }
         let rate_sharers = 1 + u32::from(self.handover.shares_jobs());
         if self.limits.rate_sharers != rate_sharers {
             self.limits.rate_sharers = rate_sharers;
-            self.context.core.share(now, rate_sharers);
+            self.context.core.set_processes(now, rate_sharers);
         }
         if !self.lifecycle.is_closed() {
             let succeeded = self.handover.has_serving_successor();
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -17,7 +17,7 @@
 pub use signals::Signals;
 
 use crate::admin::Ops;
-use crate::clients::Consumers;
+use crate::clients::Clients;
 use crate::clock::{millis, Clock};
 use crate::config::{ConfigError, NodeConfig};
 use crate::context::Context;
@@ -42,7 +42,7 @@
 pub struct Node {
     clock: Clock,
     context: Context,
-    clients: Consumers,
+    clients: Clients,
     /// The services, by their numbers.
     services: Vec<Box<dyn Service>>,
     operators: Option<Ops>,
@@ -71,7 +71,7 @@
             self.announce_readiness();
             self.finish_turn(now);
             if self.is_finished(now) {
-                log::info!("{}", self.context.core.by_class());
+                log::info!("{}", self.context.core.class_summary());
                 log::info!("ended: {}", self.context.core.counts());
                 return;
             }
@@ -82,7 +82,7 @@
             // Timers first: however many events have come, they are punctual.
             self.wake(self.clock.now());
             for event in events.drain(..) {
-                if let Some(ready) = self.context.net.pump(event) {
+                if let Some(ready) = self.context.net.process_event(event) {
                     self.handle_event(ready);
                 }
             }
@@ -123,9 +123,9 @@
         discovery.wake(now, fleet, net, core);
         core.wake(now);
         workers.wake(now, net, core);
-        let evidence = std::mem::take(&mut workers.signs);
+        let evidence = std::mem::take(&mut workers.evidence);
         for worker in fleet.wake(now, evidence, core) {
-            workers.look(now, worker, fleet.endpoint(worker), net);
+            workers.check_health(now, worker, fleet.endpoint(worker), net);
         }
         self.clients.wake(now, net);
         for service in &mut self.services {
@@ -137,12 +137,12 @@
         }
         if self.lifecycle.take_due_settling(now) {
             log::info!("settling {} that are open", self.context.core.unanswered());
-            self.context.core.settle(now);
+            self.context.core.end_open_requests(now);
         }
         if now >= self.next_log {
             self.next_log = now + LOG_INTERVAL;
             log::info!("{}", self.context.core.counts());
-            log::info!("{}", self.context.core.by_class());
+            log::info!("{}", self.context.core.class_summary());
         }
     }
 
@@ -150,18 +150,18 @@
         let (now, token) = (self.clock.now(), event.token);
         self.context.now = now;
         match event.peer {
-            Peer::Consumer if event.listener => self.clients.accept(now, &mut self.context.net),
-            Peer::Consumer => {
+            Peer::Client if event.listener => self.clients.accept(now, &mut self.context.net),
+            Peer::Client => {
                 let Context { net, core, .. } = &mut self.context;
-                self.clients.ready(now, token, net, core);
+                self.clients.handle_ready(now, token, net, core);
             }
             Peer::Worker => {
                 let Context {
                     net, core, workers, ..
                 } = &mut self.context;
-                workers.ready(now, token, net, core);
+                workers.handle_ready(now, token, net, core);
             }
-            Peer::Directory => {
+            Peer::Discovery => {
                 let Context {
                     net,
                     core,
@@ -178,8 +178,8 @@
             }
             Peer::Operator => self.handle_operator_event(now, &event),
             Peer::Partner => self.handle_partner_event(now, &event),
-            Peer::End => self.shut_down(now),
-            Peer::Reload => self.reload(now),
+            Peer::TerminateSignal => self.shut_down(now),
+            Peer::ReloadSignal => self.reload(now),
         }
         self.carry_out(now);
     }
@@ -210,7 +210,7 @@
     /// All sockets that the successor takes over.
     fn listeners(&self) -> Vec<Token> {
         let of_services = self.services.iter().flat_map(|service| service.listeners());
-        [self.clients.listener]
+        [self.clients.acceptor.listener()]
             .into_iter()
             .chain(of_services)
             .collect()
--- a/crates/node/src/node/operators.rs
+++ b/crates/node/src/node/operators.rs
@@ -14,7 +14,7 @@
             Call::Check => self.check_serving(),
             Call::Vars => {
                 let Context { core, fleet, .. } = &self.context;
-                let counts = fleet.count(|worker| core.rests(now, worker));
+                let counts = fleet.count(|worker| core.is_ejected(now, worker));
                 let text = admin::figures(core, counts);
                 return self.send_to_operator(caller, &text);
             }
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -151,12 +151,12 @@
             return;
         }
         log::info!("ending");
-        let longest_deadline = self.context.core.catalogue().longest();
+        let longest_deadline = self.context.core.names().max_deadline();
         self.lifecycle = Lifecycle::Draining {
             close_at: now + ACCEPT_GRACE,
             deadlines: Deadlines::new(now, longest_deadline),
         };
-        self.clients.ending = true;
+        self.clients.draining = true;
         for service in &mut self.services {
             service.begin_shutdown(now);
         }
@@ -195,7 +195,7 @@
             } => {
                 if *drop_half_read_at <= now {
                     *drop_half_read_at = now + HALF_READ_TIMEOUT;
-                    self.clients.drop_half_read(&mut self.context.net);
+                    self.clients.drop_incomplete(&mut self.context.net);
                 }
             }
         }
@@ -213,6 +213,6 @@
                 && self.handover.is_flushed(net);
         let may_leave_open = deadlines.exit_at <= now;
         let is_sent = net.is_closed() || may_leave_open && net.is_flushed();
-        self.clients.is_idle() && self.context.core.idle() && is_sent && is_handed_over
+        self.clients.is_idle() && self.context.core.is_idle() && is_sent && is_handed_over
     }
 }
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -6,7 +6,7 @@
 
 use crate::admin;
 use crate::context::Context;
-use crate::core::Verdict;
+use crate::core::FinalAnswer;
 use crate::handover::Side;
 use crate::net::{Ready, Token};
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
@@ -41,7 +41,7 @@
         &mut self,
         _now: Micros,
         _id: RequestId,
-        _verdict: &Verdict,
+        _verdict: &FinalAnswer,
         _sent: Option<Micros>,
     ) -> bool {
         false
--- a/crates/node/src/submission/desk.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -1,26 +1,31 @@
 //! The core and the workers as the submission server sees them.
 
 use crate::context::Context;
-use crate::core::{Malformed, Order as CoreOrder, Work};
+use crate::core::{NewRequest, Payload, RequestError};
 use crate::placement::Destination;
 use marbledeck_dispatcher::{Idempotency, Micros, RequestId, WorkerState};
 use marbledeck_platform_settings::worker_id;
 use marbledeck_submission::message::{ErrorId, Machine, Problem, Queue};
 use marbledeck_submission::{ClassFacts, Desk, Order, Template, Whereabouts};
 
+/// When a submitter is to come back where there is no capacity.
+const RETRY_AFTER_MS: u64 = 1000;
+
 /// Lends the node's parts to the server for one step.
-pub struct NodeDesk<'a>(pub &'a mut Context);
+pub struct NodeScheduler<'a>(pub &'a mut Context);
 
-fn refused(why: Malformed) -> Problem {
-    match why {
-        Malformed::TooMany | Malformed::NoSeat(_) => Problem::later(why.to_string(), 1000),
-        _ => Problem::invalid(why.to_string()),
+fn problem(error: RequestError) -> Problem {
+    match error {
+        RequestError::TooMany | RequestError::NoSeat(_) => {
+            Problem::later(error.to_string(), RETRY_AFTER_MS)
+        }
+        _ => Problem::invalid(error.to_string()),
     }
 }
 
-impl Desk for NodeDesk<'_> {
+impl Desk for NodeScheduler<'_> {
     fn class(&self, name: &str) -> Option<ClassFacts> {
-        let (_, class) = self.0.core.catalogue().class(name)?;
+        let (_, class) = self.0.core.names().class(name)?;
         let window = match class.idempotency {
             Idempotency::Keyed { window, .. } => window,
             _ => Micros(0),
@@ -33,8 +38,8 @@
     }
 
     fn check(&self, class: &str, tenant: Option<&str>, keyed: bool) -> Result<(), Problem> {
-        let checked = self.0.core.catalogue().check(class, tenant, keyed);
-        checked.map(drop).map_err(refused)
+        let names = self.0.core.names();
+        names.check(class, tenant, keyed).map(drop).map_err(problem)
     }
 
     fn place(&self, template: &Template) -> Result<Whereabouts, Problem> {
@@ -46,8 +51,8 @@
         } = &*self.0;
         match forwarded_jobs {
             None if template.manifest.is_some() || template.forwarded.is_some() => {
-                let words = "`manifest` is not supported: this node has no part [sites]";
-                Err(Problem::new(ErrorId::UnsupportedAttribute, words))
+                let message = "`manifest` is not supported: this node has no part [sites]";
+                Err(Problem::new(ErrorId::UnsupportedAttribute, message))
             }
             None => Ok(Whereabouts::Here),
             Some(jobs) => match jobs.place(*now, template, records)? {
@@ -62,16 +67,16 @@
             return Ok(jobs.forward(now, &order));
         }
         let manifest = order.template.manifest.as_ref();
-        let needs = manifest.into_iter().flat_map(|manifest| &manifest.licences);
-        let licences = needs.map(String::as_str).collect();
-        let work = Work {
-            txn: order.txn,
+        let licences = manifest.into_iter().flat_map(|manifest| &manifest.licences);
+        let licences = licences.map(String::as_str).collect();
+        let payload = Payload {
+            transaction_id: order.txn,
             key: order.key,
             method: "POST".to_owned(),
             target: order.target,
             body: order.body,
         };
-        let order = CoreOrder {
+        let request = NewRequest {
             class: order.class,
             tenant: order.tenant,
             time_left: order.time_left,
@@ -79,9 +84,9 @@
             slots: order.slots,
             memory: 0.0,
             licences,
-            work,
+            payload,
         };
-        self.0.core.take_in(now, order).map_err(refused)
+        self.0.core.accept_request(now, request).map_err(problem)
     }
 
     fn recall(&mut self, now: Micros, id: RequestId) -> bool {
@@ -93,7 +98,7 @@
         {
             return jobs.recall(id);
         }
-        self.0.core.recall(now, id)
+        self.0.core.cancel_if_unsent(now, id)
     }
 
     fn gone(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
@@ -106,7 +111,7 @@
             jobs.abandon(id);
             return Some(now);
         }
-        self.0.core.gone(now, id)
+        self.0.core.handle_client_left(now, id)
     }
 
     fn count_duplicate(&mut self) {
@@ -114,9 +119,9 @@
     }
 
     fn queues(&self) -> Vec<Queue> {
-        let catalogue = self.0.core.catalogue();
+        let names = self.0.core.names();
         let queue = |name: &str| {
-            let (_, class) = catalogue.class(name)?;
+            let (_, class) = names.class(name)?;
             let window = match class.idempotency {
                 Idempotency::Keyed { window, .. } => Some(window),
                 _ => None,
@@ -128,7 +133,7 @@
                 keyed: window.is_some(),
             })
         };
-        catalogue.names().filter_map(queue).collect()
+        names.class_names().filter_map(queue).collect()
     }
 
     fn machines(&self, now: Micros) -> Vec<Machine> {
@@ -138,28 +143,28 @@
             fleet,
             ..
         } = &*self.0;
-        let out = workers.out();
+        let in_flight = workers.attempts_in_flight();
         let views = fleet.members.views(now).into_iter();
         let machine = |view: marbledeck_membership::WorkerView| {
             let worker = worker_id(&view.id);
-            let told = workers.told(worker);
-            let by_hand = fleet.members.out_of_service().contains(&view.id);
-            let word = fleet.members.report(&view.id);
-            let state = match (by_hand, view.state, core.rests(now, worker)) {
+            let load = workers.load_report(worker);
+            let out_of_service = fleet.members.out_of_service().contains(&view.id);
+            let report = fleet.members.report(&view.id);
+            let state = match (out_of_service, view.state, core.is_ejected(now, worker)) {
                 (true, ..) => "out".to_owned(),
                 (_, WorkerState::Ready, true) => "resting".to_owned(),
                 (_, WorkerState::Ready, false) => "up".to_owned(),
-                _ => word.map_or("gone".to_owned(), |word| word.status.to_string()),
+                _ => report.map_or("gone".to_owned(), |report| report.status.to_string()),
             };
             Machine {
                 available: state == "up",
                 state,
-                zone: word.map_or(String::new(), |word| word.zone.clone()),
-                kind: word.map_or(String::new(), |word| word.kind.clone()),
+                zone: report.map_or(String::new(), |report| report.zone.clone()),
+                kind: report.map_or(String::new(), |report| report.kind.clone()),
                 address: view.address.map_or(String::new(), |addr| addr.to_string()),
-                calls: out.get(&worker).copied().unwrap_or_default(),
-                free_slots: told.and_then(|(_, report)| report.free_slots),
-                report_age_ms: told.map(|(at, _)| (now - at).0 / 1000),
+                calls: in_flight.get(&worker).copied().unwrap_or_default(),
+                free_slots: load.and_then(|load| load.report.free_slots),
+                report_age_ms: load.map(|load| (now - load.received).0 / 1000),
                 name: view.id,
             }
         };
--- a/crates/node/tests/golden/node_file.rs
+++ b/crates/node/tests/golden/node_file.rs
@@ -309,7 +309,7 @@
     let _ = writeln!(text, "overload-factor: {}", rules.overload_factor);
     let _ = writeln!(text, "tip-after-us: {}", rules.overload_window.0);
     let _ = writeln!(text, "must-ask-in-us: {}", rules.poll_interval.0);
-    for (name, class) in config.catalogue.names().zip(&settings.classes) {
+    for (name, class) in config.names.class_names().zip(&settings.classes) {
         let kind = class
             .kind
             .map_or("any".to_owned(), |kind| kind.0.to_string());
@@ -323,7 +323,7 @@
             "profile {name}: kind {kind}, promise-us {promise}, stretch {stretch}, deadline-us {deadline}"
         );
     }
-    for (name, tenant) in config.catalogue.tenants().iter().zip(&settings.tenants) {
+    for (name, tenant) in config.names.tenants().iter().zip(&settings.tenants) {
         let quota = tenant
             .quota
             .map_or("none".to_owned(), |quota| quota.to_string());
