--- a/crates/node/src/admin/figures.rs
+++ b/crates/node/src/admin/figures.rs
@@ -1,5 +1,5 @@
-//! What the node reports of itself, as lines of a name and a number. Nothing is counted here: the core counts jobs
-//! where they end and calls where they are written.
+//! What the node reports of itself, as lines of a name and a number. Nothing is counted here: the core counts requests
+//! where they end and attempts where they are written.
 
 use crate::core::Core;
 use crate::fleet::FleetCounts;
@@ -7,35 +7,45 @@
 use marbledeck_membership::WorkerView;
 use std::fmt::Write;
 
-/// Each worker in a line: in or out, where it is, why, and what each source says and how many seconds ago it did. As
-/// much as fits an answer; the last line tells how many there are.
-pub fn members(views: &[WorkerView]) -> String {
-    const MOST: usize = 120 * 1024;
+/// Workers are described until the text has this many bytes: as much as fits an answer.
+const MAX_MEMBERS_TEXT: usize = 120 * 1024;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// Each worker in a line: in or out, where it is, why, and what each source reports and how many seconds ago it did. The
+/// last line has how many there are.
+pub fn describe_members(views: &[WorkerView]) -> String {
     let (mut text, mut shown) = (String::new(), 0);
     for view in views {
-        if text.len() > MOST {
+        if text.len() > MAX_MEMBERS_TEXT {
             break;
         }
-        let word = match view.state {
-            WorkerState::Ready => "in",
-            WorkerState::Draining => "out",
-            WorkerState::Removed => "gone",
-        };
-        let addr = view.address.map_or("-".to_owned(), |addr| addr.to_string());
-        let _ = write!(text, "{} {word} {addr} ({})", view.id, view.reason);
-        for report in &view.reports {
-            let (source, status) = (&report.source, report.status);
-            let _ = write!(text, "; {source}: {status}, {} s", report.age.0 / 1_000_000);
-        }
-        text.push('\n');
+        describe_member(view, &mut text);
         shown += 1;
     }
     let _ = writeln!(text, "-- {shown} of {}", views.len());
     text
 }
 
-/// The figures, and the line that ends them.
-pub fn text(core: &Core, fleet: FleetCounts) -> String {
+fn describe_member(view: &WorkerView, text: &mut String) {
+    let state = match view.state {
+        WorkerState::Ready => "in",
+        WorkerState::Draining => "out",
+        WorkerState::Removed => "gone",
+    };
+    let address = view
+        .address
+        .map_or("-".to_owned(), |address| address.to_string());
+    let _ = write!(text, "{} {state} {address} ({})", view.id, view.reason);
+    for report in &view.reports {
+        let (source, status) = (&report.source, report.status);
+        let age = report.age.0 / MICROS_PER_SECOND;
+        let _ = write!(text, "; {source}: {status}, {age} s");
+    }
+    text.push('\n');
+}
+
+/// The node's counters and gauges, and the line that ends them.
+pub fn describe_figures(core: &Core, fleet: FleetCounts) -> String {
     let mut text = String::new();
     let counts = core.counts();
     for (name, class) in core.catalogue().names().zip(&counts.classes) {
@@ -45,17 +55,17 @@
             ("errors", class.failed),
             ("tries", class.written),
         ];
-        for (what, total) in totals {
-            let _ = writeln!(text, "node_{what}_total{{kind={name:?}}} {total}");
+        for (counter, total) in totals {
+            let _ = writeln!(text, "node_{counter}_total{{kind={name:?}}} {total}");
         }
     }
-    let now = [
+    let gauges = [
         ("active", core.unanswered()),
         ("pool_size", fleet.listed),
         ("pool_ejected", fleet.avoided),
     ];
-    for (what, number) in now {
-        let _ = writeln!(text, "node_{what} {number}");
+    for (gauge, value) in gauges {
+        let _ = writeln!(text, "node_{gauge} {value}");
     }
     text + "--\n"
 }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,184 +1,176 @@
-//! The operators' address: a connection carries one line, gets one answer and is closed. `docs/operations.md` has
-//! the calls.
+//! The operations address: a connection carries one line, gets one answer and is closed. `docs/operations.md` has the
+//! calls.
 //!
-//! It has descriptors of its own, so that a crowd of consumers cannot shut operators out, and its callers are bounded
-//! in number, length and time, so that one who says nothing, or half a call, hinders nobody.
+//! It has descriptors of its own, so that a crowd of clients cannot shut operators out, and its callers are bounded in
+//! number, length and time, so that one who sends nothing, or half a call, hinders nobody.
 
+mod call;
 mod figures;
 
-pub use figures::{members, text as figures};
+pub use call::{Call, CallError};
+pub use figures::{describe_figures, describe_members};
 
 use crate::clock::millis;
 use crate::net::{Net, Peer, Token};
+use call::CHANGE_PREFIX;
 use marbledeck_dispatcher::Micros;
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
 
-/// Callers at a time. One more takes the place of the eldest.
-pub const CALLERS: usize = 16;
-/// Callers taken in one turn.
-const ACCEPTS: usize = 8;
+/// Callers at a time. One more takes the place of the oldest.
+pub const MAX_CALLERS: usize = 16;
+/// Callers accepted in one turn.
+const ACCEPTS_PER_TURN: usize = 8;
 /// How long a caller may take for its line: one may be typing it.
-const PATIENCE: Micros = millis(10_000);
-/// How long the listener rests when no descriptor is free.
-const REST: Micros = millis(50);
-/// The longest call, in bytes; that of a change may be longer.
-const LONGEST: usize = 512;
-const LONGEST_CHANGE: usize = 128 * 1024;
-
-/// What an operator asks for.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Whether this process can serve.
-    Check,
-    Vars,
-    /// Each worker, and which source says what of it.
-    Members,
-    /// Take this worker out.
-    SetDown(String),
-    /// This worker may serve again.
-    SetUp(String),
-    /// The records that the fleet has agreed on.
-    Records,
-    /// Change some of them: what is to be changed, as JSON.
-    Change(String),
-}
+const CALL_TIMEOUT: Micros = millis(10_000);
+/// How long no caller is accepted when no descriptor is free.
+const ACCEPT_PAUSE: Micros = millis(50);
+/// The longest call, in bytes.
+const MAX_CALL: usize = 512;
+/// The longest change, in bytes.
+const MAX_CHANGE: usize = 128 * 1024;
+
+/// What is done and how it stands now, or why it cannot be done.
+pub type Answer = Result<String, String>;
 
-impl Call {
-    /// Reads a line without its end.
-    fn read(line: &[u8]) -> Result<Self, &'static str> {
-        let line = std::str::from_utf8(line).map_err(|_| "not text")?;
-        if let Some(change) = line.strip_prefix("change ") {
-            return Ok(Call::Change(change.trim().to_owned()));
-        }
-        let words: Vec<&str> = line.split_ascii_whitespace().collect();
-        match words[..] {
-            ["check"] => Ok(Call::Check),
-            ["vars"] => Ok(Call::Vars),
-            ["members"] => Ok(Call::Members),
-            ["records"] => Ok(Call::Records),
-            ["set-down", id] => Ok(Call::SetDown(id.to_owned())),
-            ["set-up", id] => Ok(Call::SetUp(id.to_owned())),
-            ["set-down" | "set-up", ..] => Err("want the id of one render worker"),
-            _ => Err("unknown call; known: check, vars, members, set-down ID, set-up ID, records, change JSON"),
-        }
-    }
+/// A caller that has not called yet.
+struct Caller {
+    token: Token,
+    deadline: Micros,
 }
 
-/// Yes, with a word on it, or no, with the reason.
-pub type Answer = Result<String, String>;
-
-pub struct Ops {
+/// The server at the operations address.
+pub struct Admin {
     listener: Token,
+    /// Where it listens.
     pub addr: SocketAddr,
-    /// Who has not called yet, the eldest first, and until when it may.
-    callers: VecDeque<(Micros, Token)>,
-    /// How many there may be, those included that have had their answer.
-    pub most: usize,
-    /// No caller is taken until then: there was no descriptor.
-    resting: Option<Micros>,
+    /// Who has not called yet, the oldest first.
+    callers: VecDeque<Caller>,
+    /// How many callers there may be, those included that have had their answer.
+    max_callers: usize,
+    /// Until then no caller is accepted, since there was no descriptor.
+    accept_paused_until: Option<Micros>,
 }
 
-impl Ops {
+impl Admin {
+    /// Listens at this address.
+    ///
+    /// # Errors
+    /// The address cannot be had.
     pub fn new(addr: SocketAddr, net: &mut Net) -> io::Result<Self> {
         let (listener, addr) = net.listen(addr, None, Peer::Operator)?;
-        Ok(Ops {
+        Ok(Admin {
             listener,
             addr,
             callers: VecDeque::new(),
-            most: CALLERS,
-            resting: None,
+            max_callers: MAX_CALLERS,
+            accept_paused_until: None,
         })
     }
 
+    /// From now on there are at most so many callers at a time.
+    pub fn set_max_callers(&mut self, max_callers: usize) {
+        self.max_callers = max_callers;
+    }
+
+    /// When [`Admin::wake`] is next wanted.
     pub fn next_wake(&self) -> Option<Micros> {
-        let caller = self.callers.front().map(|(until, _)| *until);
-        [caller, self.resting].into_iter().flatten().min()
+        let caller = self.callers.front().map(|caller| caller.deadline);
+        [caller, self.accept_paused_until]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// Closes on the callers that took too long.
+    /// Drops the callers that took too long.
     pub fn wake(&mut self, now: Micros, net: &mut Net) {
-        if self.resting.is_some_and(|until| until <= now) {
-            self.resting = None;
+        if self.accept_paused_until.is_some_and(|until| until <= now) {
+            self.accept_paused_until = None;
             net.listening(self.listener, true);
         }
-        while let Some((_, token)) = self.callers.pop_front_if(|(until, _)| *until <= now) {
-            net.close(token);
+        while let Some(caller) = self.callers.pop_front_if(|caller| caller.deadline <= now) {
+            net.close(caller.token);
         }
     }
 
+    /// Accepts callers.
     pub fn accept(&mut self, now: Micros, net: &mut Net) {
-        for _ in 0..ACCEPTS {
+        for _ in 0..ACCEPTS_PER_TURN {
             match net.accept(self.listener) {
                 Ok(None) => return,
                 Ok(Some(token)) => {
                     self.make_room(net);
-                    self.callers.push_back((now + PATIENCE, token));
+                    let deadline = now + CALL_TIMEOUT;
+                    self.callers.push_back(Caller { token, deadline });
                 }
                 Err(e) => {
-                    // The loop would turn without end on a caller that it cannot take.
+                    // The loop would turn without end on a caller that it cannot accept.
                     log::warn!("operators: {e}");
                     net.listening(self.listener, false);
-                    self.resting = Some(now + REST);
+                    self.accept_paused_until = Some(now + ACCEPT_PAUSE);
                     return;
                 }
             }
         }
     }
 
-    /// Sees to it that one more caller is no more than there may be: one that has its answer goes first, then the
-    /// one that has been silent for longest.
+    /// Sees to it that one more caller is no more than there may be: one that has its answer goes first, then the one
+    /// that has been silent for longest.
     fn make_room(&mut self, net: &mut Net) {
-        if self.callers.len() + net.leaving(Peer::Operator) < self.most {
+        let answered = net.leaving(Peer::Operator);
+        if self.callers.len() + answered < self.max_callers {
             return;
         }
-        if net.leaving(Peer::Operator) > 0 {
+        if answered > 0 {
             net.hasten(Peer::Operator);
-        } else if let Some((_, token)) = self.callers.pop_front() {
-            net.close(token);
+        } else if let Some(oldest) = self.callers.pop_front() {
+            net.close(oldest.token);
         }
     }
 
-    /// Something has come from a caller. Tells its call, if that has wholly come; it wants one [`Ops::answer`].
-    pub fn ready(&mut self, token: Token, net: &mut Net) -> Option<Call> {
+    /// Something has come from a caller. Returns its call, if that has come completely; it wants one answer.
+    pub fn read_call(&mut self, token: Token, net: &mut Net) -> Option<Call> {
         let conn = net.get(token)?;
-        let bytes = conn.input.all();
-        let end = bytes.iter().position(|b| *b == b'\n');
-        let longest = match bytes.starts_with(b"change ") {
-            true => LONGEST_CHANGE,
-            false => LONGEST,
-        };
-        let call = match end {
-            Some(end) if end <= longest => Call::read(&bytes[..end]),
-            None if bytes.len() <= longest && !conn.eof && !conn.broken => return None,
-            // What was cut off is no call: half of `set-down w12` names another worker.
-            None if bytes.len() <= longest => Err("half a call"),
-            _ => Err("the call is too long"),
-        };
-        match call {
+        let is_over = conn.eof || conn.broken;
+        match parse_input(conn.input.all(), is_over).transpose()? {
             Ok(call) => Some(call),
-            Err(what) => {
-                self.answer(token, Err(what.to_owned()), net);
+            Err(error) => {
+                self.answer(token, Err(error.to_string()), net);
                 None
             }
         }
     }
 
-    /// Answers a call.
+    /// Answers a call with yes or no.
     pub fn answer(&mut self, token: Token, answer: Answer, net: &mut Net) {
         let line = match answer {
-            Ok(word) => format!("ACK {word}\n"),
-            Err(why) => format!("NAK {why}\n"),
+            Ok(result) => format!("ACK {result}\n"),
+            Err(reason) => format!("NAK {reason}\n"),
         };
-        self.say(token, &line, net);
+        self.send(token, &line, net);
     }
 
-    /// Says something else than yes or no, and closes.
-    pub fn say(&mut self, token: Token, text: &str, net: &mut Net) {
-        self.callers.retain(|(_, caller)| *caller != token);
-        // A caller that has gone hears nothing.
+    /// Answers a call with a text of its own, and closes.
+    pub fn send(&mut self, token: Token, text: &str, net: &mut Net) {
+        self.callers.retain(|caller| caller.token != token);
+        // A caller that has gone gets nothing.
         let _ = net.write(token, text.as_bytes());
         net.finish(token);
     }
 }
+
+/// The call that these bytes begin with; none where it has not come completely.
+fn parse_input(bytes: &[u8], is_over: bool) -> Result<Option<Call>, CallError> {
+    let max_length = if bytes.starts_with(CHANGE_PREFIX.as_bytes()) {
+        MAX_CHANGE
+    } else {
+        MAX_CALL
+    };
+    match bytes.iter().position(|byte| *byte == b'\n') {
+        Some(end) if end <= max_length => Call::parse(&bytes[..end]).map(Some),
+        None if bytes.len() <= max_length && is_over => Err(CallError::CutOff),
+        None if bytes.len() <= max_length => Ok(None),
+        _ => Err(CallError::TooLong),
+    }
+}
--- /dev/null
+++ b/crates/node/src/consensus/operators.rs
@@ -0,0 +1,99 @@
+//! What operators call for: to see the records, and to change them.
+
+use super::voting::Voting;
+use super::Consensus;
+use crate::context::Context;
+use crate::net::Token;
+use marbledeck_consensus::{Acting, Change, Command, Reader, What};
+use marbledeck_dispatcher::Micros;
+use std::fmt::Write as _;
+
+/// Changes of operators that may wait for their outcome.
+const MAX_PENDING_CHANGES: usize = 8;
+
+/// A change that an operator waits for.
+pub(super) struct PendingChange {
+    /// The operator's connection.
+    pub(super) caller: Token,
+    /// The change.
+    pub(super) command: Command,
+}
+
+impl Consensus {
+    /// The records and the licence seats in lines, and in the last one what the reading and the voter are worth.
+    pub(super) fn describe_records(&self, now: Micros, context: &Context) -> String {
+        let mut text = String::new();
+        let Some(reader) = &context.records.reader else {
+            return text;
+        };
+        for name in reader.names() {
+            describe_record(now, name, reader, &mut text);
+        }
+        if let Some(licensing) = &context.core.licensing {
+            for (pool, tenant, seats, in_use) in licensing.desk.figures() {
+                let _ = writeln!(
+                    text,
+                    "seats {pool} {tenant:?}: {in_use} of {seats} in use here"
+                );
+            }
+        }
+        let left_ms = (reader.until() - now).0 / 1000;
+        let voting = self.voting.as_ref();
+        let voter = voting.map_or("no voter".to_owned(), Voting::describe);
+        let _ = writeln!(
+            text,
+            "-- revision {}, reading for {left_ms} ms more; {voter}",
+            reader.revision()
+        );
+        text
+    }
+
+    /// Takes a change of the records, as JSON; it is answered once it has its outcome.
+    pub(super) fn take_change(&mut self, caller: Token, json: &str) {
+        if let Err(reason) = self.enqueue_change(caller, json) {
+            self.replies.push_back((caller, format!("NAK {reason}\n")));
+        }
+    }
+
+    /// # Errors
+    /// Why the change is rejected, for the operator.
+    fn enqueue_change(&mut self, caller: Token, json: &str) -> Result<(), ChangeError> {
+        let mut json = serde_json::Deserializer::from_str(json);
+        let change: Change = serde_path_to_error::deserialize(&mut json)?;
+        if self.pending_changes.len() >= MAX_PENDING_CHANGES {
+            return Err(ChangeError::TooMany);
+        }
+        change
+            .check()
+            .map_err(|error| ChangeError::Invalid(format!("{error}: {}", error.advice())))?;
+        self.latest_change += 1;
+        let command = self.command(self.latest_change, What::Change(change));
+        self.pending_changes
+            .push_back(PendingChange { caller, command });
+        Ok(())
+    }
+}
+
+/// Why a change of an operator is rejected at once.
+#[derive(Debug, thiserror::Error)]
+enum ChangeError {
+    #[error("{}: {}", .0.path(), .0.inner())]
+    Unreadable(#[from] serde_path_to_error::Error<serde_json::Error>),
+    #[error("too many changes wait; come back in a second")]
+    TooMany,
+    #[error("{0}")]
+    Invalid(String),
+}
+
+fn describe_record(now: Micros, name: &str, reader: &Reader, text: &mut String) {
+    let (state, record) = match reader.acting(now, name) {
+        Acting::On(record) => ("in force", Some(record)),
+        Acting::Between => ("not yet in force", None),
+        Acting::Without(record, _) => ("as last known", Some(record)),
+        Acting::Never => ("unknown", None),
+    };
+    let version = record.map_or(0, |record| record.version);
+    let body = record.map(|record| serde_json::to_string(&record.body).unwrap_or_default());
+    let body = body.unwrap_or_default();
+    let _ = writeln!(text, "{name} {version} {state} {body}");
+}
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -1,7 +1,8 @@
-//! The link to a Eureka registry: asks what `marbledeck-eureka` wants asked, hands it the answers as they come, and tells
-//! the membership of what it finds, a bounded part of it in each turn.
+//! The client of a Eureka registry: makes the calls that `marbledeck-eureka` plans, passes the answers on to it as they
+//! come, and tells the membership of what it finds, a bounded part of it in each turn.
 
 pub(crate) mod config;
+mod own_entry;
 
 use crate::context::Context;
 use crate::fleet::Fleet;
@@ -10,114 +11,63 @@
 use crate::service::Service;
 use config::EurekaConfig;
 use marbledeck_dispatcher::Micros;
-use marbledeck_eureka::{Change, Encoding, Form, Lease, LeaseAsk, LeaseSettings, Poll, Settings};
+use marbledeck_eureka::{Change, Encoding, Form, Lease, LeaseSettings, Poll, Settings};
 use marbledeck_membership::{MembershipChange, SourceId};
+use own_entry::OwnEntry;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Changes of single workers told in a turn, and workers looked at for being missing.
-const CHANGES: usize = 200;
-const SWEPT: usize = 500;
-/// The longest answer, packed or not.
+/// Changes of single workers that are applied in one turn.
+const CHANGES_PER_TURN: usize = 200;
+/// Workers that are looked at in one turn for being missing from a list.
+const SWEPT_PER_TURN: usize = 500;
+/// The longest answer, packed or not, in bytes.
 const MAX_ANSWER: usize = 64 * 1024 * 1024;
 
-/// What is being asked.
+/// A call to the registry that is not answered yet.
 struct Call {
     number: u64,
     token: Token,
+    /// The answer's head, and what is still to come of its body.
     head: Option<(ResponseHead, Body)>,
 }
 
-/// What is being said of the node itself.
-struct Own {
-    lease: Lease,
-    call: Option<(u64, Token)>,
-}
-
-impl Own {
-    fn close(&mut self, net: &mut Net) {
-        if let Some((_, token)) = self.call.take() {
-            net.close(token);
-        }
-    }
-
-    fn ask(&mut self, now: Micros, registries: &[SocketAddr], peer: Peer, net: &mut Net) {
-        while let Some(ask) = self.lease.ask(now) {
-            self.close(net);
-            let addr = registries[ask.registry];
-            match net.connect(addr, peer) {
-                Ok(token) => {
-                    // A new connection holds a request.
-                    let _ = net.write(token, &said(&ask, addr));
-                    self.call = Some((ask.number, token));
-                }
-                Err(e) => {
-                    log::warn!("eureka: {e}");
-                    self.lease.failed(now, ask.number);
-                }
-            }
-        }
-    }
-
-    fn read(&mut self, now: Micros, token: Token, net: &mut Net) {
-        let (Some((number, _)), Some(conn)) = (self.call, net.get(token)) else {
-            return;
-        };
-        match http::response_head(conn.input.all()) {
-            Ok(None) if !conn.eof && !conn.broken => {}
-            Ok(Some((head, _))) => {
-                if !(200..300).contains(&head.status) {
-                    log::warn!("eureka: status {} on the node's own entry", head.status);
-                }
-                self.lease.answered(now, number, head.status);
-                self.close(net);
-            }
-            _ => {
-                self.lease.failed(now, number);
-                self.close(net);
-            }
-        }
-    }
-}
-
-fn said(ask: &LeaseAsk, addr: SocketAddr) -> Vec<u8> {
-    let (method, path, body) = (ask.method, &ask.path, &ask.body);
-    let kind = match body.is_empty() {
-        true => "",
-        false => "Content-Type: application/json\r\n",
-    };
-    let length = body.len();
-    format!(
-        "{method} {path} HTTP/1.1\r\nHost: {addr}\r\n{kind}Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
-    )
-    .into_bytes()
+/// The search for workers that a complete list did not name.
+enum Sweep {
+    /// None is under way.
+    Idle,
+    /// It goes on after the worker of this id, or at the first.
+    After(Option<String>),
 }
 
+/// The service for a Eureka registry.
 pub struct Eureka {
-    own: Option<Own>,
+    /// The node's own entry; none where it is not to register.
+    own_entry: Option<OwnEntry>,
     source: SourceId,
     poll: Poll,
+    /// The replicas of the registry.
     registries: Vec<SocketAddr>,
+    /// The encoding that is asked for.
     form: Form,
+    /// For whom events of its sockets are.
     peer: Peer,
     call: Option<Call>,
-    /// What the membership is still to be told.
+    /// Changes that the membership is still to be told of.
     backlog: VecDeque<Change>,
-    /// How far the search for missing workers has come, while it is on.
-    sweep: Option<Option<String>>,
-    /// What was last said of trouble: each is logged once.
-    said: Option<String>,
+    sweep: Sweep,
+    /// The fault that was logged last: each is logged once.
+    logged_fault: Option<String>,
 }
 
 impl Eureka {
+    /// Polls the registry as the configuration says, as this source of the membership.
     pub fn new(config: EurekaConfig, source: SourceId, peer: Peer, now: Micros, seed: u64) -> Self {
         let registries: Vec<SocketAddr> = config.urls.iter().map(|url| url.addr).collect();
+        let path = config.urls.first().map(|url| url.path.clone());
         let settings = Settings {
             registries: registries.len(),
-            path: config
-                .urls
-                .first()
-                .map_or(String::new(), |url| url.path.clone()),
+            path: path.unwrap_or_default(),
             apps: config.apps,
             vip: config.vip,
             keys: config.keys,
@@ -126,23 +76,20 @@
             full: config.full,
             deltas: config.deltas,
         };
-        let own = config.register.map(|own| Own {
-            lease: Lease::new(
-                LeaseSettings {
-                    registries: settings.registries,
-                    path: settings.path.clone(),
-                    app: own.app,
-                    id: own.id,
-                    addr: own.addr,
-                    renew: own.renew,
-                    timeout: settings.timeout,
-                },
-                now,
-            ),
-            call: None,
+        let own_entry = config.register.map(|entry| {
+            let lease_settings = LeaseSettings {
+                registries: settings.registries,
+                path: settings.path.clone(),
+                app: entry.app,
+                id: entry.id,
+                addr: entry.addr,
+                renew: entry.renew,
+                timeout: settings.timeout,
+            };
+            OwnEntry::new(Lease::new(lease_settings, now))
         });
         Eureka {
-            own,
+            own_entry,
             source,
             poll: Poll::new(settings, now, seed),
             registries,
@@ -150,105 +97,118 @@
             peer,
             call: None,
             backlog: VecDeque::new(),
-            sweep: None,
-            said: None,
+            sweep: Sweep::Idle,
+            logged_fault: None,
         }
     }
 
-    /// Asks what is to be asked now.
-    fn ask(&mut self, now: Micros, net: &mut Net) {
+    /// Makes the calls that are due.
+    fn make_calls(&mut self, now: Micros, net: &mut Net) {
         while let Some(ask) = self.poll.ask(now) {
             // One that took too long was given up by that.
             if let Some(call) = self.call.take() {
                 net.close(call.token);
             }
-            let addr = self.registries[ask.registry];
-            let token = match net.connect(addr, self.peer) {
+            let registry = self.registries[ask.registry];
+            let token = match net.connect(registry, self.peer) {
                 Ok(token) => token,
                 Err(e) => {
                     self.poll.failed(now, ask.number, &e.to_string());
                     continue;
                 }
             };
-            let accept = match self.form {
-                Form::Json => "application/json",
-                Form::Xml => "application/xml",
-            };
-            let request = format!(
-                "GET {} HTTP/1.1\r\nHost: {addr}\r\nAccept: {accept}\r\nAccept-Encoding: gzip\r\n\
-                 Connection: close\r\n\r\n",
-                ask.path
-            );
             // A new connection holds a request.
-            let _ = net.write(token, request.as_bytes());
+            let _ = net.write(token, &self.request(&ask.path, registry));
             self.call = Some(Call {
                 number: ask.number,
                 token,
                 head: None,
             });
         }
-        if self.said != self.poll.trouble {
-            self.said.clone_from(&self.poll.trouble);
-            match &self.said {
-                Some(trouble) => log::warn!("eureka: {trouble}"),
-                None => log::info!("eureka: {} instances", self.poll.instances()),
-            }
+        self.log_fault();
+    }
+
+    fn request(&self, path: &str, registry: SocketAddr) -> Vec<u8> {
+        let accept = match self.form {
+            Form::Json => "application/json",
+            Form::Xml => "application/xml",
+        };
+        format!(
+            "GET {path} HTTP/1.1\r\nHost: {registry}\r\nAccept: {accept}\r\nAccept-Encoding: gzip\r\n\
+             Connection: close\r\n\r\n"
+        )
+        .into_bytes()
+    }
+
+    fn log_fault(&mut self) {
+        if self.logged_fault == self.poll.trouble {
+            return;
+        }
+        self.logged_fault.clone_from(&self.poll.trouble);
+        match &self.logged_fault {
+            Some(fault) => log::warn!("eureka: {fault}"),
+            None => log::info!("eureka: {} instances", self.poll.instances()),
         }
     }
 
-    fn read(&mut self, now: Micros, token: Token, net: &mut Net) {
-        let (Some(call), Some(conn)) = (&mut self.call, net.get(token)) else {
+    /// Something has come from the registry.
+    fn read(&mut self, now: Micros, net: &mut Net) {
+        let Some(call) = &self.call else {
             return;
         };
         let number = call.number;
+        if net.get(call.token).is_none() {
+            return;
+        }
+        match self.read_answer(now, net) {
+            Ok(Progress::Incomplete) => {}
+            Ok(Progress::Complete) => {
+                self.poll.end(now, number);
+                self.close(net);
+            }
+            Ok(Progress::Broken) => self.fail(now, "the connection broke", net),
+            Err(fault) => return self.fail(now, &fault.to_string(), net),
+        }
+        self.backlog.extend(self.poll.take_changes());
+    }
+
+    /// Passes on what has come of the answer.
+    fn read_answer(&mut self, now: Micros, net: &mut Net) -> Result<Progress, http::Fault> {
+        let Some(call) = &mut self.call else {
+            return Ok(Progress::Incomplete);
+        };
+        let Some(conn) = net.get(call.token) else {
+            return Ok(Progress::Incomplete);
+        };
         if call.head.is_none() {
-            match http::response_head(conn.input.all()) {
-                Ok(None) => {}
-                Ok(Some((head, used))) => {
-                    conn.input.consume(used);
-                    let gzip = head.fields.get("Content-Encoding") == Some("gzip");
-                    let encoding = if gzip {
-                        Encoding::Gzip
-                    } else {
-                        Encoding::Plain
-                    };
-                    let form = match head.fields.get("Content-Type") {
-                        Some(kind) if kind.contains("xml") => Form::Xml,
-                        Some(kind) if kind.contains("json") => Form::Json,
-                        _ => self.form,
-                    };
-                    self.poll.head(now, number, head.status, form, encoding);
-                    match Body::of_long_response(&head, MAX_ANSWER) {
-                        Ok(body) => call.head = Some((head, body)),
-                        Err(e) => return self.fail(now, &e.to_string(), net),
-                    }
-                }
-                Err(e) => return self.fail(now, &e.to_string(), net),
+            if let Some((head, length)) = http::response_head(conn.input.all())? {
+                conn.input.consume(length);
+                let form = answer_form(&head).unwrap_or(self.form);
+                self.poll
+                    .head(now, call.number, head.status, form, encoding(&head));
+                let body = Body::of_long_response(&head, MAX_ANSWER)?;
+                call.head = Some((head, body));
             }
         }
-        let mut over = false;
         if let Some((_, body)) = &mut call.head {
             let mut content = Vec::new();
-            match body.take(conn.input.all(), &mut content) {
-                Ok(used) => conn.input.consume(used),
-                Err(e) => return self.fail(now, &e.to_string(), net),
+            let length = body.take(conn.input.all(), &mut content)?;
+            conn.input.consume(length);
+            self.poll.bytes(now, call.number, &content);
+            if body.is_done() || conn.eof && body.ends_with_connection() {
+                return Ok(Progress::Complete);
             }
-            self.poll.bytes(now, number, &content);
-            over = body.is_done() || conn.eof && body.ends_with_connection();
         }
-        let broken = conn.eof || conn.broken;
-        if over {
-            self.poll.end(now, number);
-            self.close(net);
-        } else if broken {
-            self.fail(now, "the connection broke", net);
+        if conn.eof || conn.broken {
+            Ok(Progress::Broken)
+        } else {
+            Ok(Progress::Incomplete)
         }
-        self.backlog.extend(self.poll.take_changes());
     }
 
-    fn fail(&mut self, now: Micros, why: &str, net: &mut Net) {
+    fn fail(&mut self, now: Micros, reason: &str, net: &mut Net) {
         if let Some(call) = &self.call {
-            self.poll.failed(now, call.number, why);
+            self.poll.failed(now, call.number, reason);
         }
         self.close(net);
     }
@@ -260,44 +220,74 @@
     }
 
     /// Tells the membership some of what was found.
-    fn tell(&mut self, now: Micros, fleet: &mut Fleet) -> MembershipChange {
-        let (mut told, mut changes) = (MembershipChange::default(), 0);
-        if let Some(after) = self.sweep.take() {
+    fn update_membership(&mut self, now: Micros, fleet: &mut Fleet) -> MembershipChange {
+        if let Sweep::After(id) = std::mem::replace(&mut self.sweep, Sweep::Idle) {
+            let members = &mut fleet.members;
             let (missing, next) =
-                fleet
-                    .members
-                    .sweep_missing(now, self.source, after.as_deref(), SWEPT);
-            self.sweep = next.map(Some);
-            told.append(missing);
-            return told;
+                members.sweep_missing(now, self.source, id.as_deref(), SWEPT_PER_TURN);
+            if next.is_some() {
+                self.sweep = Sweep::After(next);
+            }
+            return missing;
         }
-        while changes < CHANGES {
+        let mut update = MembershipChange::default();
+        let mut applied = 0;
+        while applied < CHANGES_PER_TURN {
             let Some(change) = self.backlog.pop_front() else {
                 break;
             };
-            changes += 1;
+            applied += 1;
             let members = &mut fleet.members;
-            told.append(match change {
-                Change::Begin => {
-                    members.begin_full_list(self.source);
-                    MembershipChange::default()
-                }
-                Change::Part(words) => {
+            match change {
+                Change::Begin => members.begin_full_list(self.source),
+                Change::Part(reports) => {
                     // A part is a turn's work.
-                    changes = CHANGES;
-                    members.apply_list_part(now, self.source, words)
+                    applied = CHANGES_PER_TURN;
+                    update.append(members.apply_list_part(now, self.source, reports));
                 }
                 Change::End => {
-                    self.sweep = Some(None);
+                    self.sweep = Sweep::After(None);
                     break;
                 }
-                Change::Named(word) => members.apply_report(now, self.source, *word),
+                Change::Named(report) => {
+                    update.append(members.apply_report(now, self.source, *report));
+                }
                 Change::Removed { id, explicit } => {
-                    members.remove_worker(now, self.source, &id, explicit)
+                    update.append(members.remove_worker(now, self.source, &id, explicit));
                 }
-            });
+            }
         }
-        told
+        update
+    }
+}
+
+/// How far an answer has come.
+enum Progress {
+    /// More is to come.
+    Incomplete,
+    /// It is complete.
+    Complete,
+    /// The connection ended before that.
+    Broken,
+}
+
+fn encoding(head: &ResponseHead) -> Encoding {
+    if head.fields.get("Content-Encoding") == Some("gzip") {
+        Encoding::Gzip
+    } else {
+        Encoding::Plain
+    }
+}
+
+/// The form that an answer states.
+fn answer_form(head: &ResponseHead) -> Option<Form> {
+    let content_type = head.fields.get("Content-Type")?;
+    if content_type.contains("xml") {
+        Some(Form::Xml)
+    } else if content_type.contains("json") {
+        Some(Form::Json)
+    } else {
+        None
     }
 }
 
@@ -307,54 +297,52 @@
     }
 
     fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
-        let ours = self
-            .call
-            .as_ref()
-            .is_some_and(|call| call.token == event.token);
-        let of_own = |own: &&mut Own| own.call.is_some_and(|(_, token)| token == event.token);
-        if let Some(own) = self.own.as_mut().filter(of_own) {
-            own.read(now, event.token, &mut context.net);
-            own.ask(now, &self.registries, self.peer, &mut context.net);
-        } else if ours {
-            self.read(now, event.token, &mut context.net);
-            self.ask(now, &mut context.net);
+        let net = &mut context.net;
+        let token = event.token;
+        let own_entry = self.own_entry.as_mut();
+        if let Some(own_entry) = own_entry.filter(|own_entry| own_entry.uses(token)) {
+            own_entry.read(now, net);
+            own_entry.make_calls(now, &self.registries, self.peer, net);
+        } else if self.call.as_ref().is_some_and(|call| call.token == token) {
+            self.read(now, net);
+            self.make_calls(now, net);
         } else {
-            context.net.close(event.token);
+            net.close(token);
         }
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let busy = !self.backlog.is_empty() || self.sweep.is_some();
-        let own = self.own.as_ref().and_then(|own| own.lease.next_wake());
-        match busy {
-            true => Some(Micros(0)),
-            false => own.into_iter().chain([self.poll.next_wake()]).min(),
+        if !self.backlog.is_empty() || matches!(self.sweep, Sweep::After(_)) {
+            return Some(Micros(0));
         }
+        let own_entry = self.own_entry.as_ref();
+        let lease = own_entry.and_then(|own_entry| own_entry.lease.next_wake());
+        lease.into_iter().chain([self.poll.next_wake()]).min()
     }
 
     fn wake(&mut self, now: Micros, context: &mut Context) {
-        self.ask(now, &mut context.net);
-        if let Some(own) = &mut self.own {
-            own.ask(now, &self.registries, self.peer, &mut context.net);
+        self.make_calls(now, &mut context.net);
+        if let Some(own_entry) = &mut self.own_entry {
+            own_entry.make_calls(now, &self.registries, self.peer, &mut context.net);
         }
         self.backlog.extend(self.poll.take_changes());
-        let told = self.tell(now, &mut context.fleet);
-        context.fleet.apply_change(now, told, &mut context.core);
+        let change = self.update_membership(now, &mut context.fleet);
+        context.fleet.apply_change(now, change, &mut context.core);
     }
 
     /// Another process renews the node's entry from now on: without a gap, and without a cancel.
     fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
-        if let Some(own) = &mut self.own {
-            own.lease.set_handed_on(context.now, succeeded);
+        if let Some(own_entry) = &mut self.own_entry {
+            own_entry.lease.set_handed_on(context.now, succeeded);
             if succeeded {
-                own.close(&mut context.net);
+                own_entry.close(&mut context.net);
             }
         }
     }
 
     fn begin_shutdown(&mut self, now: Micros) {
-        if let Some(own) = &mut self.own {
-            own.lease.leave(now);
+        if let Some(own_entry) = &mut self.own_entry {
+            own_entry.lease.leave(now);
         }
     }
 }
--- a/crates/node/src/node/builder.rs
+++ b/crates/node/src/node/builder.rs
@@ -5,14 +5,14 @@
 use super::signals::Signals;
 use super::succession::{Inheritance, Readiness};
 use super::{Node, ReadConfig, LOG_INTERVAL};
-use crate::admin::Ops;
+use crate::admin::Admin;
 use crate::clients::Consumers;
 use crate::clock::Clock;
 use crate::config::{
     ConsensusConfig, EurekaConfig, LicensingConfig, NodeConfig, OperatorConfig, PeersConfig,
     ResourceLimits, SubmissionConfig,
 };
-use crate::consensus::Agreement;
+use crate::consensus::Consensus;
 use crate::context::Context;
 use crate::core::licensing::Licensing;
 use crate::core::Core;
@@ -180,11 +180,11 @@
         Ok(())
     }
 
-    fn start_operators(&mut self, address: Option<SocketAddr>) -> io::Result<Option<Ops>> {
+    fn start_operators(&mut self, address: Option<SocketAddr>) -> io::Result<Option<Admin>> {
         let Some(address) = address else {
             return Ok(None);
         };
-        let operators = Ops::new(address, &mut self.context.net)?;
+        let operators = Admin::new(address, &mut self.context.net)?;
         log::info!("{} answers operators at {}", self.node_name, operators.addr);
         Ok(Some(operators))
     }
@@ -248,7 +248,7 @@
             return Ok(());
         };
         let peer = self.next_peer();
-        let consensus = Agreement::new(config, peer, self.now, &mut self.context.net)?;
+        let consensus = Consensus::new(config, peer, self.now, &mut self.context.net)?;
         self.context.records.reader = Some(consensus.reader());
         self.services.push(Box::new(consensus));
         Ok(())
--- a/crates/node/src/node/limits.rs
+++ b/crates/node/src/node/limits.rs
@@ -75,7 +75,7 @@
             .workers
             .set_most(resources.worker_connections / processes, net);
         if let Some(operators) = &mut self.operators {
-            operators.most = admin::CALLERS / processes;
+            operators.set_max_callers(admin::MAX_CALLERS / processes);
         }
         let rate_sharers = 1 + u32::from(self.handover.shares_jobs());
         if self.limits.rate_sharers != rate_sharers {
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! The node: the core with its services and connections, served by one event loop.
 //!
-//! [`builder`] puts the parts together; this module is the event loop. [`commands`] carries out what the core decides,
-//! [`operators`] what operators call for. [`shutdown`], [`reload`] and [`succession`] are the steps of SIGTERM, SIGHUP
-//! and of replacing a running process; [`limits`] shares what the node may hold between its processes.
+//! `builder` puts the parts together; this module is the event loop. `commands` carries out what the core decides,
+//! `operators` what operators call for. `shutdown`, `reload` and `succession` are the steps of SIGTERM, SIGHUP
+//! and of replacing a running process; `limits` shares what the node may hold between its processes.
 
 mod builder;
 mod commands;
@@ -16,7 +16,7 @@
 pub use builder::StartError;
 pub use signals::Signals;
 
-use crate::admin::Ops;
+use crate::admin::Admin;
 use crate::clients::Consumers;
 use crate::clock::{millis, Clock};
 use crate::config::{ConfigError, NodeConfig};
@@ -45,7 +45,7 @@
     clients: Consumers,
     /// The services, by their numbers.
     services: Vec<Box<dyn Service>>,
-    operators: Option<Ops>,
+    operators: Option<Admin>,
     handover: Handover,
     limits: SharedLimits,
     signals: Signals,
@@ -100,7 +100,7 @@
                 .and_then(ForwardedJobs::next_wake),
             self.context.fleet.members.next_wake(),
             self.clients.next_wake(),
-            self.operators.as_ref().and_then(Ops::next_wake),
+            self.operators.as_ref().and_then(Admin::next_wake),
             self.lifecycle.next_wake(),
             Some(self.next_log),
         ];
@@ -191,7 +191,7 @@
         let net = &mut self.context.net;
         if event.listener {
             operators.accept(now, net);
-        } else if let Some(call) = operators.ready(event.token, net) {
+        } else if let Some(call) = operators.read_call(event.token, net) {
             self.handle_operator_call(now, event.token, call);
         }
     }
--- a/crates/node/src/node/operators.rs
+++ b/crates/node/src/node/operators.rs
@@ -15,11 +15,11 @@
             Call::Vars => {
                 let Context { core, fleet, .. } = &self.context;
                 let counts = fleet.count(|worker| core.rests(now, worker));
-                let text = admin::figures(core, counts);
+                let text = admin::describe_figures(core, counts);
                 return self.send_to_operator(caller, &text);
             }
             Call::Members => {
-                let text = admin::members(&self.context.fleet.members.views(now));
+                let text = admin::describe_members(&self.context.fleet.members.views(now));
                 return self.send_to_operator(caller, &text);
             }
             Call::SetDown(id) => self.set_out_of_service(now, id, true),
@@ -42,7 +42,7 @@
     /// Sends an answer of several lines.
     pub(super) fn send_to_operator(&mut self, caller: Token, text: &str) {
         if let Some(operators) = &mut self.operators {
-            operators.say(caller, text, &mut self.context.net);
+            operators.send(caller, text, &mut self.context.net);
         }
     }
 
