--- a/crates/node/src/consensus/voting/mod.rs
+++ b/crates/node/src/consensus/voting/mod.rs
@@ -1,16 +1,22 @@
 //! This node as a voter: its store, the voter of `marbledeck-consensus`, and the questions of nodes.
 
+mod admission;
+mod disk;
+mod error;
 mod store;
 
+pub(super) use error::VotingError;
+
 use super::config::ConsensusConfig;
 use crate::clock::millis;
 use crate::net::{Net, Peer, Token};
+use admission::{Admission, Hello, HelloReply};
+use disk::Purpose;
 use marbledeck_consensus::wire::{Answer, Frame, Said};
 use marbledeck_consensus::{AgreementError, Command, Terms, Voter, Warden};
 use marbledeck_dispatcher::Micros;
-use marbledeck_storage::{Done, Store, StoreError, Write};
+use marbledeck_storage::{Store, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
 /// How often the voters tell each other which nodes have asked them.
@@ -30,26 +36,6 @@
     pub(super) incarnation: u64,
 }
 
-/// What was written.
-enum Purpose {
-    /// State of the voter, with the voter's ticket.
-    Voter(u64),
-    /// The number of this other voter's store.
-    KnownStore(u64),
-    /// That all other voters know this store.
-    Admission,
-}
-
-/// The answer to a voter that has sent who it is.
-pub(super) struct HelloReply {
-    /// The voter's connection.
-    pub(super) connection: Token,
-    /// The voter's number.
-    pub(super) voter: u64,
-    /// Whether its store is the one that is known.
-    pub(super) is_known: bool,
-}
-
 /// What is to be sent.
 #[derive(Default)]
 pub(super) struct Output {
@@ -61,53 +47,6 @@
     pub(super) hello_replies: Vec<HelloReply>,
 }
 
-/// A voter that has sent who it is, and has no answer yet.
-struct Hello {
-    connection: Token,
-    voter: u64,
-    store: u64,
-}
-
-/// Whether this store may vote under this voter's number. One that has lost its store has forgotten its promises.
-enum Admission {
-    /// It may not yet: these of the other voters have taken it for the one of this number.
-    Pending { welcomed_by: BTreeSet<u64> },
-    /// It may, since all others have, once.
-    Admitted,
-    /// It may not: another voter knows this number with another store.
-    Denied,
-}
-
-/// Why this node does not vote.
-#[derive(Debug, thiserror::Error)]
-pub(super) enum VotingError {
-    /// The system has no descriptor left.
-    #[error(transparent)]
-    Descriptors(#[from] io::Error),
-    /// The store cannot be used.
-    #[error(transparent)]
-    Store(#[from] StoreError),
-    /// What is stored makes no voter.
-    #[error(transparent)]
-    Voter(#[from] AgreementError),
-}
-
-impl VotingError {
-    /// What an operator can do.
-    pub(super) fn advice(&self) -> &'static str {
-        match self {
-            VotingError::Descriptors(_) => "raise the limit of descriptors",
-            VotingError::Store(error) => error.advice(),
-            VotingError::Voter(error) => error.advice(),
-        }
-    }
-
-    /// Whether another process has the store: it may be had later.
-    pub(super) fn is_temporary(&self) -> bool {
-        matches!(self, VotingError::Store(StoreError::InUse))
-    }
-}
-
 /// This node as a voter.
 pub(super) struct Voting {
     id: u64,
@@ -220,7 +159,7 @@
         matches!(self.admission, Admission::Admitted) && self.voter.stopped().is_none()
     }
 
-    /// In words, for an operator.
+    /// A description for operators.
     pub(super) fn describe(&self) -> String {
         let (term, index) = self.voter.place();
         format!(
@@ -251,50 +190,6 @@
         }
     }
 
-    /// The voters that this one is to connect to, so that they know it.
-    pub(super) fn missing_welcomes(&self) -> Vec<u64> {
-        let Admission::Pending { welcomed_by } = &self.admission else {
-            return Vec::new();
-        };
-        let others = self.others.iter().copied();
-        others
-            .filter(|voter| !welcomed_by.contains(voter))
-            .collect()
-    }
-
-    /// Another voter has taken this store for the one of this number.
-    pub(super) fn handle_welcome(&mut self, voter: u64) {
-        let Admission::Pending { welcomed_by } = &mut self.admission else {
-            return;
-        };
-        welcomed_by.insert(voter);
-        if welcomed_by.len() == self.others.len() {
-            self.write(Purpose::Admission, store::write_admitted());
-        }
-    }
-
-    /// Another voter knows this number with another store.
-    pub(super) fn handle_denial(&mut self, voter: u64) {
-        if matches!(self.admission, Admission::Denied) {
-            return;
-        }
-        self.admission = Admission::Denied;
-        log::error!(
-            "agreement: voter {voter} knows voter {} with another store: what this one had promised is forgotten, and \
-             it does not vote. Put its old store back, or replace the voter under a new number",
-            self.id
-        );
-    }
-
-    /// Another voter sends who it is. It is answered once its store's number is noted durably.
-    pub(super) fn handle_hello(&mut self, connection: Token, voter: u64, store: u64) {
-        self.hellos.push(Hello {
-            connection,
-            voter,
-            store,
-        });
-    }
-
     /// A message of another voter.
     ///
     /// # Errors
@@ -381,15 +276,6 @@
         }
     }
 
-    fn write_backlog(&mut self) {
-        while let Some(write) = self.backlog.pop_front() {
-            if !self.disk.write(write.clone()) {
-                self.backlog.push_front(write);
-                break;
-            }
-        }
-    }
-
     fn follow_leadership(&mut self, now: Micros) {
         match (&self.leader_duties, self.voter.leads()) {
             (None, true) => {
@@ -404,65 +290,6 @@
         }
     }
 
-    fn write(&mut self, purpose: Purpose, mut write: Write) {
-        self.writes += 1;
-        write.ticket = self.writes;
-        self.purposes.push_back((self.writes, purpose));
-        if !self.backlog.is_empty() || !self.disk.write(write.clone()) {
-            // The disk is far behind: nothing more is taken in before it has caught up.
-            self.voter.stall();
-            self.backlog.push_back(write);
-        }
-    }
-
-    /// The disk's thread has done something.
-    pub(super) fn handle_disk_signal(&mut self, now: Micros) {
-        let mut bytes = [0; 64];
-        while matches!(self.disk_pipe.read(&mut bytes), Ok(length) if length > 0) {}
-        for done in self.disk.take_done() {
-            match done {
-                Done::Written(ticket) => self.handle_written(now, ticket),
-                Done::Stalled(e) => {
-                    if !std::mem::replace(&mut self.is_stalled, true) {
-                        log::error!("agreement: {e}: {}", e.advice());
-                    }
-                    self.voter.stall();
-                }
-            }
-        }
-    }
-
-    /// All writes up to this one are durable.
-    fn handle_written(&mut self, now: Micros, ticket: u64) {
-        if std::mem::take(&mut self.is_stalled) {
-            log::info!("agreement: the disk takes writes again; this voter takes part again");
-        }
-        while let Some((_, purpose)) = self
-            .purposes
-            .pop_front_if(|(written, _)| *written <= ticket)
-        {
-            self.finish_write(now, purpose);
-        }
-    }
-
-    fn finish_write(&mut self, now: Micros, purpose: Purpose) {
-        match purpose {
-            Purpose::Voter(ticket) => self.voter.saved(ticket),
-            // Those that have sent who they are, are answered now.
-            Purpose::KnownStore(voter) => {
-                let store = self.unwritten_stores.remove(&voter);
-                self.known_stores.extend(store.map(|store| (voter, store)));
-            }
-            Purpose::Admission => {
-                log::info!("agreement: all voters know this store; it votes");
-                if !matches!(self.admission, Admission::Denied) {
-                    self.admission = Admission::Admitted;
-                }
-                self.next_tick = now;
-            }
-        }
-    }
-
     /// What is to be sent now.
     pub(super) fn work(&mut self, now: Micros) -> Output {
         let mut output = Output::default();
@@ -494,29 +321,6 @@
         output
     }
 
-    /// Answers those whose stores are durably noted, and has the others noted.
-    fn answer_hellos(&mut self, output: &mut Output) {
-        for hello in std::mem::take(&mut self.hellos) {
-            let voter = hello.voter;
-            if let Some(known) = self.known_stores.get(&voter) {
-                output.hello_replies.push(HelloReply {
-                    connection: hello.connection,
-                    voter,
-                    is_known: *known == hello.store,
-                });
-                continue;
-            }
-            if !self.unwritten_stores.contains_key(&voter) {
-                let write = store::write_known_store(voter, hello.store);
-                self.write(Purpose::KnownStore(voter), write);
-                self.unwritten_stores.insert(voter, hello.store);
-            }
-            // The last connection of a voter is the one that counts.
-            self.hellos.retain(|other| other.voter != voter);
-            self.hellos.push(hello);
-        }
-    }
-
     /// Answers the questions up to this one.
     fn answer_questions(&mut self, confirmed: u64, output: &mut Output) {
         let later = self.questions.split_off(&(confirmed + 1));
--- a/crates/node/src/discovery/staleness.rs
+++ b/crates/node/src/discovery/staleness.rs
@@ -1,5 +1,5 @@
 //! When discovery is called, and until when its endpoint list may be trusted. No input or output: the client in the module
-//! above calls as it is told here, and states what has become of each call.
+//! above calls when this module says so, and reports what has become of each call.
 //!
 //! The platform's rule: whatever becomes of a call, a change counts as notified [`NOTIFICATION_DELAY`] after discovery
 //! had it and could be reached. So after each call that was not answered there is a moment since when something may have
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -53,7 +53,7 @@
     /// For whom events of its sockets are.
     peer: Peer,
     call: Option<Call>,
-    /// Changes that the membership is still to be told of.
+    /// Changes that the membership does not have yet.
     backlog: VecDeque<Change>,
     sweep: Sweep,
     /// The fault that was logged last: each is logged once.
--- a/crates/node/src/federation.rs
+++ b/crates/node/src/federation/mod.rs
@@ -3,18 +3,20 @@
 //! A job is offered to one site at a time. Which site is next is `marbledeck-federation`'s to say, and which jobs there
 //! are is in [`ForwardedJobs`].
 
+mod answers;
+mod next_step;
+
 use crate::clock::millis;
 use crate::context::Context;
 use crate::core::Verdict;
 use crate::net::{Net, Peer, Ready, Token};
-use crate::placement::{ForwardedJob, ForwardedJobs, Sites};
+use crate::placement::Sites;
 use crate::service::Service;
+use answers::{finish, handle_answer, handle_lost_question, OpenQuestion, Question};
 use marbledeck_dispatcher::{Micros, RequestId};
-use marbledeck_federation::{check, Fit, Heard, Known, Step};
 use marbledeck_submission::frame;
-use marbledeck_submission::message::{ErrorId, JobInfo, Op, Problem, Request, Submitted};
-use marbledeck_submission::template::Forwarded;
-use marbledeck_submission::{JobState, Template};
+use marbledeck_submission::message::{Op, Request};
+use next_step::{next_step, NextStep, WAIT_MS};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,8 +25,6 @@
 pub const MAX_CONNECTIONS: usize = 16;
 /// How long a site may take to answer a submission, and how much longer than asked for it may wait for a job's end.
 const ANSWER_TIMEOUT: Micros = millis(2000);
-/// How many milliseconds a site is asked to wait for a job's end: so long after it falls silent it is asked anew.
-const WAIT_MS: u64 = 2000;
 /// The pause before a site is asked again that could not be asked, or all sites that had put a job off.
 const RETRY_INTERVAL: Micros = millis(250);
 /// The longest line of a site, in bytes.
@@ -36,23 +36,6 @@
 /// Jobs looked at in one turn.
 const JOBS_PER_TURN: usize = 64;
 
-/// What was asked about a job.
-#[derive(Clone, Copy, PartialEq)]
-enum Question {
-    /// Whether the site takes it.
-    Submit,
-    /// How it ends.
-    Wait,
-}
-
-/// A question that is not answered yet.
-struct OpenQuestion {
-    job: RequestId,
-    question: Question,
-    /// From then on the site counts as silent.
-    deadline: Micros,
-}
-
 /// A connection to a site.
 struct Connection {
     address: SocketAddr,
@@ -60,20 +43,6 @@
     open: HashMap<u64, OpenQuestion>,
 }
 
-/// What is to be done next about a job.
-enum NextStep {
-    /// A site is to be asked; its address may not be known now.
-    Ask {
-        address: Option<SocketAddr>,
-        op: Box<Op>,
-        question: Question,
-    },
-    /// Nothing.
-    Nothing,
-    /// No site takes it.
-    Reject(String),
-}
-
 /// The service for federation.
 pub struct Federation {
     peer: Peer,
@@ -225,176 +194,6 @@
     }
 }
 
-/// The job's next step, with what is known of the sites now.
-fn next_step(job: &mut ForwardedJob, sites: &Sites, own_site: &str) -> NextStep {
-    let step = job.errand.next(&candidates(job, sites, own_site));
-    let site = match &step {
-        Step::Ask { site, .. } => Some(site.as_str()),
-        _ => job.errand.taken_by(),
-    };
-    // Where the site was when it was asked first may be known no more; then it is asked again once it is.
-    let address = site
-        .and_then(|site| sites.find(site))
-        .map(|site| site.address);
-    match (step, &job.remote_id) {
-        (Step::Ask { version, .. }, _) => NextStep::Ask {
-            address,
-            op: Box::new(submission(&job.template, own_site, version)),
-            question: Question::Submit,
-        },
-        (Step::Wait, Some(remote_id)) => NextStep::Ask {
-            address,
-            op: Box::new(Op::WaitTerminated {
-                job_id: remote_id.clone(),
-                timeout_ms: Some(WAIT_MS),
-            }),
-            question: Question::Wait,
-        },
-        (Step::Wait, None) => NextStep::Nothing,
-        (Step::Refused(reason), _) => NextStep::Reject(reason),
-    }
-}
-
-/// All other sites, and whether the job fits there.
-fn candidates(job: &ForwardedJob, sites: &Sites, own_site: &str) -> Vec<Known> {
-    let manifest = job.template.manifest.clone().unwrap_or_default();
-    let known = sites.known.iter().map(|site| Known {
-        name: site.name.to_owned(),
-        version: site.catalog.version,
-        fit: check(&manifest, Some(site.catalog)),
-    });
-    let unknown = sites.unknown.iter().map(|name| Known {
-        name: (*name).to_owned(),
-        version: u64::MAX,
-        fit: Fit::Unknown,
-    });
-    known
-        .chain(unknown)
-        .filter(|site| site.name != own_site)
-        .collect()
-}
-
-/// The submission of a job to a site whose catalog has this version.
-fn submission(template: &Template, own_site: &str, catalog: u64) -> Op {
-    let forwarded = Forwarded {
-        from: own_site.to_owned(),
-        catalog,
-    };
-    Op::RunJob {
-        template: Template {
-            forwarded: Some(forwarded),
-            ..template.clone()
-        },
-        notify: false,
-        session: None,
-    }
-}
-
-/// Closes a question: the job that it was about, which may be asked about again after a pause.
-fn close_question<'a>(
-    now: Micros,
-    open: &OpenQuestion,
-    jobs: &'a mut ForwardedJobs,
-) -> Option<&'a mut ForwardedJob> {
-    jobs.schedule(open.job, now + RETRY_INTERVAL);
-    let job = jobs.get_mut(open.job)?;
-    job.open_question = None;
-    Some(job)
-}
-
-/// A question will not be answered.
-fn handle_lost_question(now: Micros, open: &OpenQuestion, context: &mut Context) {
-    let Some(jobs) = &mut context.forwarded_jobs else {
-        return;
-    };
-    if let Some(job) = close_question(now, open, jobs) {
-        if open.question == Question::Submit {
-            job.errand.heard(Heard::Lost);
-        }
-    }
-}
-
-/// A site has answered a question.
-fn handle_answer(now: Micros, open: &OpenQuestion, answer: Value, context: &mut Context) {
-    let Some(jobs) = &mut context.forwarded_jobs else {
-        return;
-    };
-    let Some(job) = close_question(now, open, jobs) else {
-        return;
-    };
-    match open.question {
-        Question::Submit => {
-            let outcome = submission_outcome(job, answer);
-            let is_lost = outcome == Heard::Lost;
-            job.errand.heard(outcome);
-            // After one that put it off, all have been asked before there is a pause.
-            if !is_lost {
-                jobs.schedule(open.job, now);
-            }
-        }
-        Question::Wait => handle_wait_answer(now, open.job, answer, context),
-    }
-}
-
-/// What a site's answer to a submission means.
-fn submission_outcome(job: &mut ForwardedJob, answer: Value) -> Heard {
-    match serde_json::from_value::<Submitted>(answer) {
-        Ok(Submitted::Accepted(accepted)) => {
-            job.remote_id = Some(accepted.job_id);
-            Heard::Accepted
-        }
-        Ok(Submitted::Not(problem)) => match (problem.error, problem.catalog_version) {
-            (ErrorId::TryLater, _) => Heard::Later,
-            (_, Some(version)) => Heard::Outdated(version),
-            _ => Heard::Denied(problem.message),
-        },
-        // What makes no sense may be the answer of one that has the job.
-        Err(_) => Heard::Lost,
-    }
-}
-
-/// A site has said how a job is, or why it cannot.
-fn handle_wait_answer(now: Micros, id: RequestId, answer: Value, context: &mut Context) {
-    match serde_json::from_value::<JobInfo>(answer["jobInfo"].clone()) {
-        Ok(info) if info.job_state.is_final() => {
-            let verdict = match (info.job_state, info.result_bytes()) {
-                (JobState::Done, Some(result)) => Verdict::Served(result),
-                (JobState::Done, None) => Verdict::Served(Vec::new()),
-                _ => Verdict::Failed,
-            };
-            finish(id, verdict, context);
-        }
-        Ok(_) => ask_at_once(now, id, context),
-        Err(_) => match serde_json::from_value::<Problem>(answer) {
-            Ok(problem) if problem.error == ErrorId::Timeout => ask_at_once(now, id, context),
-            Ok(problem) if problem.error == ErrorId::InvalidArgument => {
-                // It had the job and knows nothing of it: it may have run.
-                log::warn!(
-                    "sites: a job that was taken is not known there: {}",
-                    problem.message
-                );
-                finish(id, Verdict::Failed, context);
-            }
-            _ => {}
-        },
-    }
-}
-
-fn ask_at_once(now: Micros, id: RequestId, context: &mut Context) {
-    if let Some(jobs) = &mut context.forwarded_jobs {
-        jobs.schedule(id, now);
-    }
-}
-
-/// A job has ended: its final answer goes to whoever waits for it.
-fn finish(id: RequestId, verdict: Verdict, context: &mut Context) {
-    let jobs = context.forwarded_jobs.as_mut();
-    let job = jobs.and_then(|jobs| jobs.remove(id));
-    if job.is_some_and(|job| !job.is_abandoned) {
-        context.core.answer_for(id, verdict);
-    }
-}
-
 impl Service for Federation {
     fn name(&self) -> &'static str {
         "sites"
