--- a/crates/node/src/admin/figures.rs
+++ b/crates/node/src/admin/figures.rs
@@ -11,8 +11,8 @@
 const MAX_MEMBERS_TEXT: usize = 120 * 1024;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Each worker in a line: in or out, where it is, why, and what each source reports and how many seconds ago it did. The
-/// last line has how many there are.
+/// Each worker in a line: in or out, where it is, why, and what each source reports and how many seconds ago it did.
+/// The last line has how many there are.
 pub fn describe_members(views: &[WorkerView]) -> String {
     let (mut text, mut shown) = (String::new(), 0);
     for view in views {
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -5,8 +5,8 @@
 
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// Counts from the Unix time at the start, and from then on as the monotonic clock does. A step of the system's clock so
-/// moves no deadline.
+/// Counts from the Unix time at the start, and from then on as the monotonic clock does. A step of the system's clock
+/// so moves no deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
--- a/crates/node/src/consensus/applied.rs
+++ b/crates/node/src/consensus/applied.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The workers that are out of service. Where the list may have changed, nobody goes back in before the new one is in
-    /// force.
+    /// The workers that are out of service. Where the list may have changed, nobody goes back in before the new one is
+    /// in force.
     fn out_of_service_by_records(&self, now: Micros, reader: &Reader) -> BTreeSet<String> {
         match reader.acting(now, OUT_OF_SERVICE_RECORD) {
             Acting::On(record) => out_of_service_in(record).cloned().unwrap_or_default(),
--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -1,5 +1,5 @@
-//! Consensus: a service that carries the frames of `marbledeck-consensus` between this node and the voters, has the disk's
-//! thread write what is to be durable, and tells the node which records the fleet has agreed on.
+//! Consensus: a service that carries the frames of `marbledeck-consensus` between this node and the voters, has the
+//! disk's thread write what is to be durable, and tells the node which records the fleet has agreed on.
 //!
 //! This module is the service. `connections` has its sockets, `frames` what is done with what comes over them,
 //! `polling` how a node learns of the records, `operators` what operators call for, `applied` what the records mean
--- a/crates/node/src/consensus/polling.rs
+++ b/crates/node/src/consensus/polling.rs
@@ -1,5 +1,5 @@
-//! How a node learns what is agreed on: it asks one voter after another for a reading, and hands in its commands with the
-//! question. A voter asks itself.
+//! How a node learns what is agreed on: it asks one voter after another for a reading, and hands in its commands with
+//! the question. A voter asks itself.
 
 use super::connections::RECONNECT_INTERVAL;
 use super::voting::{Question, Voting};
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! The client of discovery: watches the endpoint list, one call after the other, and passes its changes on to the fleet.
+//! The client of discovery: watches the endpoint list, one call after the other, and passes its changes on to the
+//! fleet.
 
 mod endpoint_list;
 mod staleness;
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Moves to another discovery service at once: the old one may be about to end. The list stays until the new one has
-    /// sent its own, complete, since its revisions may be others.
+    /// Moves to another discovery service at once: the old one may be about to end. The list stays until the new one
+    /// has sent its own, complete, since its revisions may be others.
     pub fn move_to(&mut self, now: Micros, address: SocketAddr, net: &mut Net) {
         if address == self.address {
             return;
--- a/crates/node/src/discovery/staleness.rs
+++ b/crates/node/src/discovery/staleness.rs
@@ -1,9 +1,9 @@
-//! When discovery is called, and until when its endpoint list may be trusted. No input or output: the client in the module
-//! above calls when this module says so, and reports what has become of each call.
+//! When discovery is called, and until when its endpoint list may be trusted. No input or output: the client in the
+//! module above calls when this module says so, and reports what has become of each call.
 //!
 //! The platform's rule: whatever becomes of a call, a change counts as notified [`NOTIFICATION_DELAY`] after discovery
-//! had it and could be reached. So after each call that was not answered there is a moment since when something may have
-//! been missed, and the list is trusted for no longer than that, the rule's delay and the drain's grace.
+//! had it and could be reached. So after each call that was not answered there is a moment since when something may
+//! have been missed, and the list is trusted for no longer than that, the rule's delay and the drain's grace.
 //! `docs/fleet.md` has the table.
 
 use marbledeck_dispatcher::Micros;
@@ -19,16 +19,16 @@
 const QUEUE_TIME: Micros = Micros(1_200_000);
 /// How long a call that is to end a doubt may wait for its turn: longer than discovery lets any wait.
 const DOUBT_TIMEOUT: Micros = Micros(2 * QUEUE_TIME.0);
-/// The longest wait of a watch. One that is silent from its first moment is given up [`QUEUE_TIME`] later, and there is a
-/// whole call's time until the rule's delay is over, with the drain's grace to spare.
+/// The longest wait of a watch. One that is silent from its first moment is given up [`QUEUE_TIME`] later, and there is
+/// a whole call's time until the rule's delay is over, with the drain's grace to spare.
 const MAX_WAIT: Micros = Micros(NOTIFICATION_DELAY.0 - 2 * QUEUE_TIME.0);
-/// The shortest wait of a watch is this part of the longest: where all nodes have been answered in one moment, their next
-/// calls are spread over the rest.
+/// The shortest wait of a watch is this part of the longest: where all nodes have been answered in one moment, their
+/// next calls are spread over the rest.
 const MIN_WAIT_PART: f64 = 0.5;
 /// How long the complete list may take once the node has moved: two tries fit into [`MOVE_DELAY`].
 const COMPLETE_LIST_TIMEOUT: Micros = Micros(2_000_000);
-/// The longest pause before a retry, drawn at random; it doubles once. There is none after a silent watch, whose wait was
-/// drawn.
+/// The longest pause before a retry, drawn at random; it doubles once. There is none after a silent watch, whose wait
+/// was drawn.
 const MAX_PAUSE: Micros = Micros(300_000);
 /// After so many failures the pause grows no more.
 const MAX_BACKOFF_STEPS: u32 = 2;
@@ -104,8 +104,8 @@
 /// What the failures since the latest answer prove.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outage {
-    /// At most a watch broke that discovery had held, and it could not be reached after that: it went down, and had sent
-    /// all changes until then.
+    /// At most a watch broke that discovery had held, and it could not be reached after that: it went down, and had
+    /// sent all changes until then.
     NothingMissed,
     /// A change may have been missed.
     MayHaveMissed,
@@ -224,8 +224,8 @@
         if !proves_outage {
             self.outage = Outage::MayHaveMissed;
         }
-        // Since when something may have been missed: a call may have waited for its turn, or been silent, from its first
-        // moment. Not one that discovery held, and ended with an answer of its own.
+        // Since when something may have been missed: a call may have waited for its turn, or been silent, from its
+        // first moment. Not one that discovery held, and ended with an answer of its own.
         let missed_since = match fault {
             Fault::Refused if is_held => now,
             _ => sent_at,
--- a/crates/node/src/federation/mod.rs
+++ b/crates/node/src/federation/mod.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The connection to an address; made where there is none. None while it is too soon after the last try, or when all
-    /// connections are in use.
+    /// The connection to an address; made where there is none. None while it is too soon after the last try, or when
+    /// all connections are in use.
     fn connect(&mut self, now: Micros, address: SocketAddr, net: &mut Net) -> Option<Token> {
         let mut connections = self.connections.iter();
         if let Some((token, _)) = connections.find(|(_, known)| known.address == address) {
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -12,8 +12,8 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long a probe's result waits for the answer of the worker's owner: twice what datagrams take on the platform, and a
-/// little.
+/// How long a probe's result waits for the answer of the worker's owner: twice what datagrams take on the platform, and
+/// a little.
 const ANSWER_TIMEOUT: Micros = millis(30);
 /// Datagrams read in one turn.
 const DATAGRAMS_PER_TURN: usize = 64;
--- a/crates/node/src/placement.rs
+++ b/crates/node/src/placement.rs
@@ -1,4 +1,5 @@
-//! Where jobs run: here, or at another site whose catalog fits their manifest; and the jobs that other sites are to run.
+//! Where jobs run: here, or at another site whose catalog fits their manifest; and the jobs that other sites are to
+//! run.
 //!
 //! The rules are those of `marbledeck-federation`; the catalogs are records that the nodes have agreed on.
 
--- a/crates/node/src/records.rs
+++ b/crates/node/src/records.rs
@@ -1,5 +1,5 @@
-//! The records that the nodes have agreed on, as far as this node knows them. The service for consensus keeps them up to
-//! date; others read them.
+//! The records that the nodes have agreed on, as far as this node knows them. The service for consensus keeps them up
+//! to date; others read them.
 
 use marbledeck_consensus::wire::Answer;
 use marbledeck_consensus::Reader;
--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -162,11 +162,11 @@
                 }
                 match call.stage {
                     Stage::Queued if down && day.down.is_some_and(|d| call.at < secs(d.0)) => {
-                        fault = Some(Fault::Broken)
+                        fault = Some(Fault::Broken);
                     }
                     Stage::Queued if down => fault = Some(Fault::Unreachable),
                     Stage::Queued if refuses || now - call.at > PATIENCE => {
-                        fault = Some(Fault::Refused)
+                        fault = Some(Fault::Refused);
                     }
                     Stage::Held if down => fault = Some(Fault::Broken),
                     Stage::Held if refuses => fault = Some(Fault::Refused),
--- a/crates/node/tests/golden/node_file.rs
+++ b/crates/node/tests/golden/node_file.rs
@@ -3,6 +3,7 @@
 use crate::assert_golden;
 use crate::support::Folder;
 use crate::text::{without_numbers_after, without_type_names};
+use marbledeck_dispatcher::Settings;
 use marbledeck_node::config::NodeConfig;
 use serde_json::{json, Value};
 use std::fmt::Write as _;
@@ -293,6 +294,11 @@
         "the list is asked for: {}",
         settings.polls_worker_list
     );
+    describe_limits_and_rules(settings, text);
+    describe_names(config, text);
+}
+
+fn describe_limits_and_rules(settings: &Settings, text: &mut String) {
     let (limits, rules) = (&settings.limits, &settings.rules);
     let _ = writeln!(text, "try-limit: {}", limits.max_attempts);
     let _ = writeln!(text, "second-copies: {}", limits.hedging);
@@ -309,6 +315,10 @@
     let _ = writeln!(text, "overload-factor: {}", rules.overload_factor);
     let _ = writeln!(text, "tip-after-us: {}", rules.overload_window.0);
     let _ = writeln!(text, "must-ask-in-us: {}", rules.poll_interval.0);
+}
+
+fn describe_names(config: &NodeConfig, text: &mut String) {
+    let settings = &config.settings;
     for (name, class) in config.catalogue.names().zip(&settings.classes) {
         let kind = class
             .kind
--- a/crates/node/tests/golden/operator_file.rs
+++ b/crates/node/tests/golden/operator_file.rs
@@ -184,9 +184,12 @@
 
 /// The text with another value.
 fn with(section: &str, key: &str, value: &str) -> String {
-    changed(section, |line| match is_key(line, key) {
-        true => Some(format!("{key} = {value}")),
-        false => Some(line.to_owned()),
+    changed(section, |line| {
+        if is_key(line, key) {
+            Some(format!("{key} = {value}"))
+        } else {
+            Some(line.to_owned())
+        }
     })
 }
 
@@ -198,9 +201,10 @@
 
 /// A value of another type.
 fn of_another_type(value: &str) -> &'static str {
-    match value.starts_with(|c: char| c.is_ascii_digit()) {
-        true => "\"word\"",
-        false => "5",
+    if value.starts_with(|c: char| c.is_ascii_digit()) {
+        "\"word\""
+    } else {
+        "5"
     }
 }
 
