--- a/crates/node/tests/golden/node_file.rs
+++ b/crates/node/tests/golden/node_file.rs
@@ -319,7 +319,7 @@
 
 fn describe_names(config: &NodeConfig, text: &mut String) {
     let settings = &config.settings;
-    for (name, class) in config.names.names().zip(&settings.classes) {
+    for (name, class) in config.names.class_names().zip(&settings.classes) {
         let kind = class
             .kind
             .map_or("any".to_owned(), |kind| kind.0.to_string());
