--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -291,8 +291,8 @@
     let known = marbledeck_submission_client::JobState::ALL;
     let found = known
         .into_iter()
-        .find(|s| s.word().eq_ignore_ascii_case(text));
-    let words = known.map(|s| s.word()).join(", ");
+        .find(|s| s.as_str().eq_ignore_ascii_case(text));
+    let words = known.map(|s| s.as_str()).join(", ");
     found.ok_or_else(|| format!("'{text}' is no state: want one of {words}"))
 }
 
--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -4,8 +4,8 @@
 use crate::{print, settings, Cli, Failure, Status};
 use indicatif::{ProgressBar, ProgressStyle};
 use marbledeck_submission_client::{
-    Accepted, Bulk, Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Op, Problem, Targets,
-    Template,
+    Accepted, Bulk, Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Operation, Problem,
+    Targets, Template,
 };
 use std::collections::HashSet;
 use std::io::Read;
@@ -68,18 +68,18 @@
                 .list(session.as_deref(), &filter, |info| cli.show(&info))?;
             Ok(Status::Ok)
         }
-        JobCommand::Hold { which, common } => {
-            control(&Cli::new(&common), which, |of| Op::Hold { of })
-        }
-        JobCommand::Release { which, common } => {
-            control(&Cli::new(&common), which, |of| Op::Release { of })
-        }
-        JobCommand::Terminate { which, common } => {
-            control(&Cli::new(&common), which, |of| Op::Terminate { of })
-        }
-        JobCommand::Reap { which, common } => {
-            control(&Cli::new(&common), which, |of| Op::Reap { of })
-        }
+        JobCommand::Hold { which, common } => control(&Cli::new(&common), which, |targets| {
+            Operation::Hold { targets }
+        }),
+        JobCommand::Release { which, common } => control(&Cli::new(&common), which, |targets| {
+            Operation::Release { targets }
+        }),
+        JobCommand::Terminate { which, common } => control(&Cli::new(&common), which, |targets| {
+            Operation::Terminate { targets }
+        }),
+        JobCommand::Reap { which, common } => control(&Cli::new(&common), which, |targets| {
+            Operation::Reap { targets }
+        }),
         JobCommand::Watch {
             session,
             since,
@@ -336,7 +336,7 @@
     Ok(worst)
 }
 
-fn control(cli: &Cli, which: Which, op: impl Fn(Targets) -> Op) -> Result<Status, Failure> {
+fn control(cli: &Cli, which: Which, op: impl Fn(Targets) -> Operation) -> Result<Status, Failure> {
     let (changed, refused) = cli.client.control(op(targets(which)))?;
     if cli.json {
         print::json(&serde_json::json!({"changed": changed, "refused": refused}));
--- a/crates/cli/src/sessions.rs
+++ b/crates/cli/src/sessions.rs
@@ -2,7 +2,7 @@
 
 use crate::args::{NodeCommand, SessionCommand};
 use crate::{print, Cli, Failure, Status};
-use marbledeck_submission_client::{Filter, Op};
+use marbledeck_submission_client::{Filter, Operation};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -10,7 +10,8 @@
     match command {
         SessionCommand::Create { name, common } => {
             let cli = Cli::new(&common);
-            cli.client.raw(Op::CreateSession { name: name.clone() })?;
+            cli.client
+                .raw(Operation::CreateSession { name: name.clone() })?;
             match cli.json {
                 true => print::json(&serde_json::json!({ "session": name })),
                 false => print::line(&name),
@@ -33,15 +34,17 @@
                 *states.entry(info.job_state).or_default() += 1;
             })?;
             if cli.json {
-                let states: BTreeMap<&str, usize> =
-                    states.iter().map(|(state, n)| (state.word(), *n)).collect();
+                let states: BTreeMap<&str, usize> = states
+                    .iter()
+                    .map(|(state, n)| (state.as_str(), *n))
+                    .collect();
                 print::json(
                     &serde_json::json!({"session": name, "lastEvent": last, "jobs": states}),
                 );
             } else {
                 print::line(&format!("last event {last}"));
                 for (state, count) in states {
-                    print::line(&format!("{:<16} {count}", state.word()));
+                    print::line(&format!("{:<16} {count}", state.as_str()));
                 }
             }
         }
@@ -84,7 +87,7 @@
             });
         }
         NodeCommand::Capabilities(common) => {
-            print::json(&Cli::new(&common).client.raw(Op::GetCapabilities)?);
+            print::json(&Cli::new(&common).client.raw(Operation::GetCapabilities)?);
         }
     }
     Ok(Status::Ok)
--- a/crates/conformance/src/v2.rs
+++ b/crates/conformance/src/v2.rs
@@ -2,7 +2,8 @@
 
 use crate::{Clause, Test, World, PATIENCE};
 use marbledeck_submission_client::{
-    Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Op, Settings, Targets, Template,
+    Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Operation, Settings, Targets,
+    Template,
 };
 use serde_json::Value;
 use std::sync::mpsc::channel;
@@ -32,7 +33,7 @@
 
 /// Whether the node declares this capability.
 fn has(world: &World, capability: &str) -> bool {
-    let told = world.client.raw(Op::GetCapabilities).expect("told");
+    let told = world.client.raw(Operation::GetCapabilities).expect("told");
     told["capabilities"][capability]
         .as_bool()
         .expect("declared")
@@ -56,34 +57,38 @@
     false
 }
 
-fn control(world: &World, op: fn(Targets) -> Op, job: &str) -> Result<(usize, usize), Error> {
+fn control(
+    world: &World,
+    op: fn(Targets) -> Operation,
+    job: &str,
+) -> Result<(usize, usize), Error> {
     world.client.control(op(Targets::job(job)))
 }
 
-fn hold(of: Targets) -> Op {
-    Op::Hold { of }
+fn hold(targets: Targets) -> Operation {
+    Operation::Hold { targets }
 }
-fn release(of: Targets) -> Op {
-    Op::Release { of }
+fn release(targets: Targets) -> Operation {
+    Operation::Release { targets }
 }
-fn terminate(of: Targets) -> Op {
-    Op::Terminate { of }
+fn terminate(targets: Targets) -> Operation {
+    Operation::Terminate { targets }
 }
-fn suspend(of: Targets) -> Op {
-    Op::Suspend { of }
+fn suspend(targets: Targets) -> Operation {
+    Operation::Suspend { targets }
 }
-fn resume(of: Targets) -> Op {
-    Op::Resume { of }
+fn resume(targets: Targets) -> Operation {
+    Operation::Resume { targets }
 }
-fn reap(of: Targets) -> Op {
-    Op::Reap { of }
+fn reap(targets: Targets) -> Operation {
+    Operation::Reap { targets }
 }
 
 fn session(world: &World, name: &str) {
     let name = name.to_owned();
     world
         .client
-        .raw(Op::CreateSession { name })
+        .raw(Operation::CreateSession { name })
         .expect("created");
 }
 
@@ -461,7 +466,7 @@
             "GFD.231, 5.9",
             "The attributes that are supported, and those that are not, can be asked for",
             |w| {
-                let told = w.client.raw(Op::GetCapabilities).unwrap();
+                let told = w.client.raw(Operation::GetCapabilities).unwrap();
                 let list = |name: &str| told[name].as_array().unwrap().clone();
                 assert!(list("jobTemplateAttributes").contains(&"remoteCommand".into()));
                 assert!(list("unsupportedAttributes").contains(&"email".into()));
@@ -484,7 +489,7 @@
         clause("GFD.231, 6", "What cannot be done now is TRY_LATER", |w| {
             // As many sessions as one submitter may have open, and one more.
             let create = |n: usize| {
-                w.client.raw(Op::CreateSession {
+                w.client.raw(Operation::CreateSession {
                     name: format!("many-{n}"),
                 })
             };
@@ -519,7 +524,7 @@
             "A session is created by name; the same name again is INVALID_ARGUMENT",
             |w| {
                 session(w, "c1");
-                let again = w.client.raw(Op::CreateSession {
+                let again = w.client.raw(Operation::CreateSession {
                     name: "c1".to_owned(),
                 });
                 assert_eq!(error(again), ErrorId::InvalidArgument);
@@ -532,13 +537,13 @@
             |w| {
                 let first = Client::new(Settings::at(w.lab.submitters.clone()));
                 first
-                    .raw(Op::CreateSession {
+                    .raw(Operation::CreateSession {
                         name: "c2".to_owned(),
                     })
                     .unwrap();
                 first.close();
                 w.client
-                    .raw(Op::OpenSession {
+                    .raw(Operation::OpenSession {
                         name: "c2".to_owned(),
                         since: None,
                     })
@@ -550,7 +555,7 @@
             "GFD.231, 7.1",
             "A session that does not exist cannot be opened",
             |w| {
-                let told = w.client.raw(Op::OpenSession {
+                let told = w.client.raw(Operation::OpenSession {
                     name: "none".to_owned(),
                     since: None,
                 });
@@ -564,13 +569,15 @@
             |w| {
                 session(w, "c3");
                 let name = || "c3".to_owned();
-                w.client.raw(Op::CloseSession { name: name() }).unwrap();
+                w.client
+                    .raw(Operation::CloseSession { name: name() })
+                    .unwrap();
                 assert_eq!(
-                    error(w.client.raw(Op::CloseSession { name: name() })),
+                    error(w.client.raw(Operation::CloseSession { name: name() })),
                     ErrorId::InvalidSession
                 );
                 w.client
-                    .raw(Op::OpenSession {
+                    .raw(Operation::OpenSession {
                         name: name(),
                         since: None,
                     })
@@ -607,7 +614,7 @@
             "GFD.231, 7.1",
             "The system tells its name and version",
             |w| {
-                let info = w.client.raw(Op::GetDrmsInfo).unwrap();
+                let info = w.client.raw(Operation::GetDrmsInfo).unwrap();
                 assert_eq!(info["drmsName"], "marbledeck");
                 assert!(info["drmsVersion"].is_string());
                 true
@@ -616,7 +623,7 @@
         clause("GFD.231, 7.1", "Sessions for reservations", |w| {
             assert!(!has(w, "ADVANCE_RESERVATION"));
             assert_eq!(
-                error(w.client.raw(Op::GetAllReservations)),
+                error(w.client.raw(Operation::GetAllReservations)),
                 ErrorId::UnsupportedOperation
             );
             false
@@ -793,12 +800,12 @@
             |w| {
                 let held = w.held("/x", None);
                 let running = w.running();
-                let of = Targets {
+                let targets = Targets {
                     job_ids: Some(vec![held, running.clone()]),
                     ..Targets::default()
                 };
                 assert_eq!(
-                    w.client.wait_any(&of, true, PATIENCE).unwrap().job_id,
+                    w.client.wait_any(&targets, true, PATIENCE).unwrap().job_id,
                     running
                 );
                 true
@@ -809,12 +816,12 @@
             "waitAnyTerminated gives a job of the list that has ended",
             |w| {
                 let (held, ended) = (w.held("/x", None), w.ended("/x"));
-                let of = Targets {
+                let targets = Targets {
                     job_ids: Some(vec![held, ended.clone()]),
                     ..Targets::default()
                 };
                 assert_eq!(
-                    w.client.wait_any(&of, false, PATIENCE).unwrap().job_id,
+                    w.client.wait_any(&targets, false, PATIENCE).unwrap().job_id,
                     ended
                 );
                 true
@@ -825,12 +832,12 @@
             "A wait for any of a list with an unknown job, or none, is INVALID_ARGUMENT",
             |w| {
                 for ids in [vec!["none".to_owned()], vec![]] {
-                    let of = Targets {
+                    let targets = Targets {
                         job_ids: Some(ids),
                         ..Targets::default()
                     };
                     assert_eq!(
-                        error(w.client.wait_any(&of, false, PATIENCE)),
+                        error(w.client.wait_any(&targets, false, PATIENCE)),
                         ErrorId::InvalidArgument
                     );
                 }
@@ -1073,9 +1080,12 @@
                     ..w.preview("/x")
                 };
                 let told = w.client.run_bulk(template, (1, 5, 1), None, None).unwrap();
-                let of = || Targets::array(told.arrays[0].clone());
-                assert_eq!(error(w.client.control(hold(of()))), ErrorId::InvalidState);
-                assert_eq!(w.client.control(release(of())).unwrap(), (5, 0));
+                let targets = || Targets::array(told.arrays[0].clone());
+                assert_eq!(
+                    error(w.client.control(hold(targets()))),
+                    ErrorId::InvalidState
+                );
+                assert_eq!(w.client.control(release(targets())).unwrap(), (5, 0));
                 true
             },
         ),
@@ -1140,7 +1150,7 @@
             "Monitoring shows all queues, or those that are named",
             |w| {
                 let names = Some(vec!["preview".to_owned(), "none".to_owned()]);
-                let told = w.client.raw(Op::GetAllQueues { names }).unwrap();
+                let told = w.client.raw(Operation::GetAllQueues { names }).unwrap();
                 assert_eq!(told["queues"].as_array().unwrap().len(), 1);
                 true
             },
@@ -1150,7 +1160,7 @@
             "Monitoring shows all machines, or those that are named, and which take no jobs",
             |w| {
                 let names = Some(vec!["w2".to_owned()]);
-                let told = w.client.raw(Op::GetAllMachines { names }).unwrap();
+                let told = w.client.raw(Operation::GetAllMachines { names }).unwrap();
                 assert_eq!(told["machines"].as_array().unwrap().len(), 1);
                 assert_eq!(w.lab.operate("set-down w3").as_deref(), Some("ACK w3 out"));
                 let out = w
@@ -1168,7 +1178,7 @@
         clause("GFD.231, 10.1", "Monitoring shows reservations", |w| {
             assert!(!has(w, "ADVANCE_RESERVATION"));
             assert_eq!(
-                error(w.client.raw(Op::GetAllReservations)),
+                error(w.client.raw(Operation::GetAllReservations)),
                 ErrorId::UnsupportedOperation
             );
             false
--- a/crates/drmaa/src/session.rs
+++ b/crates/drmaa/src/session.rs
@@ -10,7 +10,7 @@
 use crate::native::{self, Native};
 use crate::template::{Template, INCR};
 use marbledeck_submission_client::{
-    Client, ErrorId, Event, Filter, JobInfo, JobState, Op, Problem, Settings, Targets,
+    Client, ErrorId, Event, Filter, JobInfo, JobState, Operation, Problem, Settings, Targets,
 };
 use rand::Rng;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -195,9 +195,11 @@
         }
         if let Some(problem) = refused {
             for (_, job_id) in ids {
-                let of = Targets::job(job_id);
-                let _ = self.client.control(Op::Terminate { of: of.clone() });
-                let _ = self.client.control(Op::Reap { of });
+                let targets = Targets::job(job_id);
+                let _ = self.client.control(Operation::Terminate {
+                    targets: targets.clone(),
+                });
+                let _ = self.client.control(Operation::Reap { targets });
             }
             return Err(marbledeck_submission_client::Error::Problem(problem).into());
         }
@@ -277,9 +279,12 @@
     /// A job that is not of this session, as far as the node knows it.
     fn wait_foreign(&self, id: &str, timeout: Timeout) -> Result<JobInfo> {
         let info = self.client.wait_terminated(id, timeout).map_err(of_job)?;
-        let of = Targets::job(id);
+        let targets = Targets::job(id);
         // Who else waits for it may have been quicker.
-        let reaped = self.client.control(Op::Reap { of }).map_err(of_job);
+        let reaped = self
+            .client
+            .control(Operation::Reap { targets })
+            .map_err(of_job);
         reaped.map(|_| info)
     }
 
@@ -306,8 +311,8 @@
             let left = until.map(|until| until.saturating_duration_since(Instant::now()));
             self.client.wait_terminated(id, left).map_err(of_job)?;
             if dispose {
-                let of = Targets::job(id.as_str());
-                let _ = self.client.control(Op::Reap { of });
+                let targets = Targets::job(id.as_str());
+                let _ = self.client.control(Operation::Reap { targets });
             }
         }
         let mut jobs = locked(&self.jobs.0);
@@ -366,13 +371,22 @@
         if locked(&self.jobs.0).known.get(id).is_some_and(ended) {
             return Err(Failure::new(Errno::InvalidJob, "the job has ended"));
         }
-        let of = Targets::job(id);
+        let targets = Targets::job(id);
         let (op, errno) = match action {
-            Action::Suspend => (Op::Suspend { of }, Errno::SuspendInconsistentState),
-            Action::Resume => (Op::Resume { of }, Errno::ResumeInconsistentState),
-            Action::Hold => (Op::Hold { of }, Errno::HoldInconsistentState),
-            Action::Release => (Op::Release { of }, Errno::ReleaseInconsistentState),
-            Action::Terminate => (Op::Terminate { of }, Errno::InvalidJob),
+            Action::Suspend => (
+                Operation::Suspend { targets },
+                Errno::SuspendInconsistentState,
+            ),
+            Action::Resume => (
+                Operation::Resume { targets },
+                Errno::ResumeInconsistentState,
+            ),
+            Action::Hold => (Operation::Hold { targets }, Errno::HoldInconsistentState),
+            Action::Release => (
+                Operation::Release { targets },
+                Errno::ReleaseInconsistentState,
+            ),
+            Action::Terminate => (Operation::Terminate { targets }, Errno::InvalidJob),
         };
         let told = self.client.control(op);
         told.map(drop).map_err(|error| {
@@ -477,8 +491,8 @@
     }
     match client.info(id) {
         Ok(info) if info.job_state.is_final() => {
-            let _ = client.control(Op::Reap {
-                of: Targets::job(id),
+            let _ = client.control(Operation::Reap {
+                targets: Targets::job(id),
             });
             ended(jobs, info);
         }
--- a/crates/node/src/federation.rs
+++ b/crates/node/src/federation.rs
@@ -9,9 +9,9 @@
 use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_federation::{check, Catalog, Errand, Fit, Heard, Known, Manifest, Step};
 use marbledeck_submission::frame;
-use marbledeck_submission::message::{ErrorId, JobInfo, Op, Problem, Request, Submitted};
+use marbledeck_submission::message::{ErrorId, JobInfo, Operation, Problem, Request, Submitted};
 use marbledeck_submission::template::Forwarded;
-use marbledeck_submission::{JobState, Order, Template};
+use marbledeck_submission::{JobRequest, JobState, Template};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -154,7 +154,7 @@
             .map(|site| (site.name, check(manifest, Some(site.catalog))))
             .collect();
         if others.iter().any(|(_, fit)| *fit == Fit::Fits) {
-            let room = self.jobs.len() < MOST && self.bytes + template.size() <= MOST_BYTES;
+            let room = self.jobs.len() < MOST && self.bytes + template.memory_bytes() <= MOST_BYTES;
             return match room {
                 true => Ok(Where::Elsewhere),
                 false => Err(Problem::later("too many jobs are at other sites", 1000)),
@@ -178,7 +178,7 @@
     }
 
     /// Takes a job over. It gets one final answer.
-    pub fn take_in(&mut self, now: Micros, order: &Order) -> RequestId {
+    pub fn take_in(&mut self, now: Micros, order: &JobRequest) -> RequestId {
         let id = RequestId(FIRST + self.next);
         self.next += 1;
         let index = order.index;
@@ -194,7 +194,7 @@
             submission_key: order
                 .key
                 .clone()
-                .or_else(|| Some(format!("{}/{}", self.own, order.txn))),
+                .or_else(|| Some(format!("{}/{}", self.own, order.job_id))),
             deadline_ms: Some(order.time_left.0 / 1000),
             deadline_time: None,
             start_time: None,
@@ -203,7 +203,7 @@
             ..order.template.clone()
         };
         template.set_input(order.body.clone());
-        self.bytes += template.size();
+        self.bytes += template.memory_bytes();
         let job = Job {
             errand: Errand::default(),
             template,
@@ -235,7 +235,7 @@
     fn remove(&mut self, id: RequestId) -> Option<Job> {
         let job = self.jobs.remove(&id)?;
         self.due.remove(&(job.due, id));
-        self.bytes -= job.template.size();
+        self.bytes -= job.template.memory_bytes();
         Some(job)
     }
 
@@ -364,11 +364,13 @@
                         job.there = Some(accepted.job_id);
                         Heard::Accepted
                     }
-                    Ok(Submitted::Not(problem)) => match (problem.error, problem.catalog_version) {
-                        (ErrorId::TryLater, _) => Heard::Later,
-                        (_, Some(version)) => Heard::Outdated(version),
-                        _ => Heard::Denied(problem.message),
-                    },
+                    Ok(Submitted::Rejected(problem)) => {
+                        match (problem.error, problem.catalog_version) {
+                            (ErrorId::TryLater, _) => Heard::Later,
+                            (_, Some(version)) => Heard::Outdated(version),
+                            _ => Heard::Denied(problem.message),
+                        }
+                    }
                     // What makes no sense may be the answer of one that has the job.
                     Err(_) => Heard::Lost,
                 };
@@ -470,7 +472,7 @@
                     ..job.template.clone()
                 };
                 (
-                    Op::RunJob {
+                    Operation::RunJob {
                         template,
                         notify: false,
                         session: None,
@@ -481,7 +483,7 @@
             (Step::Wait, Some(there)) => {
                 let job_id = there.clone();
                 (
-                    Op::WaitTerminated {
+                    Operation::WaitTerminated {
                         job_id,
                         timeout_ms: Some(WAIT_MS),
                     },
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -1,7 +1,7 @@
 //! Batch submission in DRMAA terms, as `docs/submission.md` describes it: carries lines between submitters'
 //! connections and the protocol's server, which `marbledeck-submission` has without sockets.
 
-mod desk;
+mod scheduler;
 
 use crate::clock::millis;
 use crate::config::SubmissionConfig;
@@ -9,12 +9,12 @@
 use crate::handover;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
-use desk::NodeDesk;
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use marbledeck_submission::frame::{self, TooLong};
 use marbledeck_submission::message::Problem;
-use marbledeck_submission::{Limits, Server, Side, Transfer};
+use marbledeck_submission::{Limits, Partner, Server, Transfer};
 use rustix::fd::OwnedFd;
+use scheduler::NodeScheduler;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io;
@@ -68,10 +68,10 @@
             max_bytes: config.max_bytes,
             max_bulk: config.max_bulk,
             max_sessions: config.max_sessions,
-            history: config.history,
-            retain: secs(config.retain_s),
-            longest_hold: secs(config.hold_s),
-            keep_session: secs(config.session_s),
+            max_session_events: config.history,
+            retention: secs(config.retain_s),
+            max_hold: secs(config.hold_s),
+            session_idle_timeout: secs(config.session_s),
         };
         Ok(Submissions {
             server: Server::new(limits, prefix),
@@ -94,7 +94,7 @@
                 Ok(Some(token)) if self.links.len() < self.max_submitters => {
                     let link = Link { token, more: false };
                     self.links.insert(token.number(), link);
-                    self.server.connect(token.number());
+                    self.server.handle_connect(token.number());
                 }
                 Ok(Some(token)) => {
                     let problem = Problem::later("too many submitters", 1000);
@@ -113,7 +113,7 @@
     }
 
     fn forget(&mut self, now: Micros, peer: u64) -> Option<Link> {
-        self.server.disconnect(now, peer);
+        self.server.handle_disconnect(now, peer);
         self.links.remove(&peer)
     }
 
@@ -127,7 +127,7 @@
             let Some(conn) = context.net.get(link.token) else {
                 return;
             };
-            if !self.server.wants_line(peer) {
+            if !self.server.accepts_line(peer) {
                 // Goes on once it has been answered, or has read.
                 link.more = !conn.input.is_empty();
                 return;
@@ -148,7 +148,8 @@
                     conn.input.consume(length + 1);
                     context.net.touch(link.token);
                     if !line.is_empty() {
-                        self.server.line(now, peer, &line, &mut NodeDesk(context));
+                        self.server
+                            .handle_line(now, peer, &line, &mut NodeScheduler(context));
                     }
                 }
                 Err(TooLong) => {
@@ -173,7 +174,7 @@
             return;
         };
         while context.net.has_room(token, BACKLOG) {
-            let Some(line) = self.server.pull(peer) else {
+            let Some(line) = self.server.next_line(peer) else {
                 return;
             };
             if !context.net.write(token, &line) {
@@ -202,9 +203,9 @@
 
     /// Writes to all who have something to read, and goes on with their lines.
     fn speak(&mut self, now: Micros, context: &mut Context) {
-        for peer in self.server.take_talkative() {
+        for peer in self.server.take_readable_clients() {
             self.flush(now, peer, context);
-            if !self.server.wants_line(peer) {
+            if !self.server.accepts_line(peer) {
                 continue;
             }
             let link = self.links.get_mut(&peer);
@@ -218,10 +219,10 @@
 }
 
 /// The other process, in the server's words.
-fn partner(side: handover::Side) -> Side {
+fn partner(side: handover::Side) -> Partner {
     match side {
-        handover::Side::Predecessor => Side::Elder,
-        handover::Side::Successor => Side::Heir,
+        handover::Side::Predecessor => Partner::Predecessor,
+        handover::Side::Successor => Partner::Successor,
     }
 }
 
@@ -261,9 +262,9 @@
             self.resting = None;
             context.net.listening(self.listener, !self.succeeded);
         }
-        let was_deaf = self.server.is_deaf();
-        self.server.wake(now, &mut NodeDesk(context));
-        if was_deaf && !self.server.is_deaf() {
+        let was_deaf = self.server.is_paused();
+        self.server.wake(now, &mut NodeScheduler(context));
+        if was_deaf && !self.server.is_paused() {
             self.waiting.extend(self.links.keys());
         }
         for peer in std::mem::take(&mut self.waiting) {
@@ -272,7 +273,7 @@
     }
 
     fn settled(&mut self, now: Micros, context: &mut Context) {
-        self.server.admitted(now);
+        self.server.answer_submissions(now);
         self.speak(now, context);
     }
 
@@ -285,20 +286,22 @@
     ) -> bool {
         let verdict = match verdict {
             Verdict::Served(result) => marbledeck_submission::Verdict::Served(result.clone()),
-            Verdict::Rejected(wait) => marbledeck_submission::Verdict::Rejected(*wait),
+            Verdict::Rejected(wait) => {
+                marbledeck_submission::Verdict::Rejected { retry_after: *wait }
+            }
             Verdict::Failed => marbledeck_submission::Verdict::Failed,
         };
-        self.server.answer(now, id, verdict, sent)
+        self.server.handle_verdict(now, id, verdict, sent)
     }
 
     fn running(&mut self, now: Micros, id: RequestId, worker: WorkerId, context: &Context) {
         let place = context.fleet.place(worker);
         let name = place.map(|place| Rc::from(place.name.as_str()));
-        self.server.running(now, id, name);
+        self.server.handle_started(now, id, name);
     }
 
     fn requeued(&mut self, now: Micros, id: RequestId) {
-        self.server.requeued(now, id);
+        self.server.handle_requeued(now, id);
     }
 
     fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
@@ -309,26 +312,26 @@
     }
 
     fn end(&mut self, _now: Micros) {
-        self.server.end();
+        self.server.begin_shutdown();
     }
 
     fn abandon(&mut self, now: Micros) {
-        if !self.server.is_giving() {
-            self.server.refuse_waiting(now);
+        if !self.server.is_sending_handover() {
+            self.server.reject_waiting(now);
         }
     }
 
     fn met(&mut self, now: Micros) {
-        self.server.expect_transfer(now);
+        self.server.expect_predecessor(now);
     }
 
     fn hand_over(&mut self, now: Micros, context: &mut Context) {
-        if self.server.is_giving() {
+        if self.server.is_sending_handover() {
             return;
         }
         log::info!("submissions: handed over to the other process");
         self.speak(now, context);
-        self.server.begin_transfer();
+        self.server.begin_handover();
         // Their jobs go on there: what they hear next is that they are to connect anew.
         for peer in self.links.keys().copied().collect::<Vec<_>>() {
             self.flush(now, peer, context);
@@ -339,21 +342,22 @@
     }
 
     fn is_handed_over(&self) -> bool {
-        self.server.is_handed_over()
+        self.server.is_handover_complete()
     }
 
     fn next_word(&mut self, side: handover::Side) -> Option<Value> {
-        let told = self.server.pull_transfer(partner(side))?;
+        let told = self.server.next_transfer(partner(side))?;
         serde_json::to_value(told).ok()
     }
 
     fn told(&mut self, now: Micros, side: handover::Side, word: Value, context: &mut Context) {
         match serde_json::from_value::<Transfer>(word) {
             Ok(told) => {
-                let was_deaf = self.server.is_deaf();
-                let desk = &mut NodeDesk(context);
-                self.server.take_transfer(now, partner(side), told, desk);
-                if was_deaf && !self.server.is_deaf() {
+                let was_deaf = self.server.is_paused();
+                let scheduler = &mut NodeScheduler(context);
+                self.server
+                    .handle_transfer(now, partner(side), told, scheduler);
+                if was_deaf && !self.server.is_paused() {
                     self.waiting.extend(self.links.keys());
                 }
             }
@@ -362,7 +366,7 @@
     }
 
     fn lost(&mut self, now: Micros, side: handover::Side) {
-        self.server.partner_lost(now, partner(side));
+        self.server.handle_partner_lost(now, partner(side));
         self.waiting.extend(self.links.keys());
     }
 }
--- a/crates/node/src/submission/desk.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -6,10 +6,10 @@
 use marbledeck_dispatcher::{Idempotency, Micros, RequestId, WorkerState};
 use marbledeck_platform_settings::worker_id;
 use marbledeck_submission::message::{ErrorId, Machine, Problem, Queue};
-use marbledeck_submission::{ClassFacts, Desk, Order, Template, Whereabouts};
+use marbledeck_submission::{ClassProperties, JobRequest, Placement, Scheduler, Template};
 
 /// Lends the node's parts to the server for one step.
-pub struct NodeDesk<'a>(pub &'a mut Context);
+pub struct NodeScheduler<'a>(pub &'a mut Context);
 
 fn refused(why: Malformed) -> Problem {
     match why {
@@ -18,17 +18,17 @@
     }
 }
 
-impl Desk for NodeDesk<'_> {
-    fn class(&self, name: &str) -> Option<ClassFacts> {
+impl Scheduler for NodeScheduler<'_> {
+    fn class_properties(&self, name: &str) -> Option<ClassProperties> {
         let (_, class) = self.0.core.catalogue().class(name)?;
         let window = match class.idempotency {
             Idempotency::Keyed { window, .. } => window,
             _ => Micros(0),
         };
-        Some(ClassFacts {
+        Some(ClassProperties {
             deadline: class.deadline,
-            window,
-            reruns: class.idempotency != Idempotency::NotIdempotent,
+            dedup_window: window,
+            allows_retries: class.idempotency != Idempotency::NotIdempotent,
         })
     }
 
@@ -37,7 +37,7 @@
         checked.map(drop).map_err(refused)
     }
 
-    fn place(&self, template: &Template) -> Result<Whereabouts, Problem> {
+    fn place(&self, template: &Template) -> Result<Placement, Problem> {
         let Context {
             outbox,
             agreed,
@@ -49,23 +49,23 @@
                 let words = "`manifest` is not supported: this node has no part [sites]";
                 Err(Problem::new(ErrorId::UnsupportedAttribute, words))
             }
-            None => Ok(Whereabouts::Here),
+            None => Ok(Placement::Local),
             Some(outbox) => match outbox.place(*now, template, agreed)? {
-                Where::Here => Ok(Whereabouts::Here),
-                Where::Elsewhere => Ok(Whereabouts::Elsewhere),
+                Where::Here => Ok(Placement::Local),
+                Where::Elsewhere => Ok(Placement::Remote),
             },
         }
     }
 
-    fn take_in(&mut self, now: Micros, order: Order) -> Result<RequestId, Problem> {
-        if let (Whereabouts::Elsewhere, Some(outbox)) = (order.place, &mut self.0.outbox) {
+    fn submit(&mut self, now: Micros, order: JobRequest) -> Result<RequestId, Problem> {
+        if let (Placement::Remote, Some(outbox)) = (order.placement, &mut self.0.outbox) {
             return Ok(outbox.take_in(now, &order));
         }
         let manifest = order.template.manifest.as_ref();
         let needs = manifest.into_iter().flat_map(|manifest| &manifest.licences);
         let licences = needs.map(String::as_str).collect();
         let work = Work {
-            txn: order.txn,
+            txn: order.job_id,
             key: order.key,
             method: "POST".to_owned(),
             target: order.target,
@@ -91,7 +91,7 @@
         self.0.core.recall(now, id)
     }
 
-    fn gone(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
+    fn abandon(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
         if let Some(outbox) = self.0.outbox.as_mut().filter(|outbox| outbox.has(id)) {
             outbox.gone(id);
             return Some(now);
--- a/crates/submission-client/src/client.rs
+++ b/crates/submission-client/src/client.rs
@@ -145,7 +145,7 @@
             let since = Some(seen.load(Ordering::SeqCst));
             let reopened = self.ask_over::<Opened>(
                 &link,
-                Op::OpenSession {
+                Operation::OpenSession {
                     name: name.clone(),
                     since,
                 },
@@ -153,11 +153,11 @@
             if let Err(Error::Problem(_)) = &reopened {
                 // Another life of the node: the session is made anew, and its events are counted anew.
                 seen.store(0, Ordering::SeqCst);
-                let op = Op::CreateSession { name: name.clone() };
+                let op = Operation::CreateSession { name: name.clone() };
                 if self.ask_over::<Value>(&link, op).is_err() {
                     let _ = self.ask_over::<Value>(
                         &link,
-                        Op::OpenSession {
+                        Operation::OpenSession {
                             name,
                             since: Some(0),
                         },
@@ -169,7 +169,7 @@
         Ok(link)
     }
 
-    fn ask_over<T: DeserializeOwned>(&self, link: &Link, op: Op) -> Result<T, Error> {
+    fn ask_over<T: DeserializeOwned>(&self, link: &Link, op: Operation) -> Result<T, Error> {
         let answer = link.send(op).map_err(Error::Lost)?;
         match answer.recv_timeout(self.settings.answer) {
             Ok(value) => read(value),
@@ -184,7 +184,7 @@
 
     /// Asks until there is an answer, over as many connections as it takes. What is asked twice must come to the
     /// same as if it were asked once.
-    fn ask<T: DeserializeOwned>(&self, op: Op) -> Result<T, Error> {
+    fn ask<T: DeserializeOwned>(&self, op: Operation) -> Result<T, Error> {
         self.lines(op, None)
             .and_then(|mut lines| match lines.pop() {
                 Some(line) if lines.is_empty() => read(line),
@@ -193,7 +193,7 @@
     }
 
     /// All lines of an answer. A wait may take until then; anything else as long as the settings say.
-    fn lines(&self, op: Op, until: Option<Option<Instant>>) -> Result<Vec<Value>, Error> {
+    fn lines(&self, op: Operation, until: Option<Option<Instant>>) -> Result<Vec<Value>, Error> {
         let mut backoff = Backoff::new(Duration::from_millis(50), Duration::from_secs(2));
         let mut since = Instant::now();
         loop {
@@ -225,7 +225,7 @@
     fn lines_over(
         &self,
         link: &Link,
-        op: Op,
+        op: Operation,
         until: Option<Option<Instant>>,
     ) -> Result<Vec<Value>, Error> {
         let answer = link.send(op).map_err(Error::Lost)?;
@@ -262,7 +262,7 @@
     /// # Errors
     /// A refusal that lasted for longer than the settings are patient, or one that another try does not change.
     pub fn run(&self, template: Template, session: Option<&str>) -> Result<Accepted, Error> {
-        let op = Op::RunJob {
+        let op = Operation::RunJob {
             template: keyed(template, false),
             notify: false,
             session: session.map(str::to_owned),
@@ -305,7 +305,7 @@
         while !left.is_empty() {
             let (mut again, mut asked) = (Vec::new(), Duration::ZERO);
             for (begin, end) in std::mem::take(&mut left) {
-                let op = Op::RunBulkJobs {
+                let op = Operation::RunBulkJobs {
                     template: template.clone(),
                     begin_index: begin,
                     end_index: end,
@@ -319,14 +319,14 @@
                     if bulk.arrays.last() != Some(&answer.job_array_id) {
                         bulk.arrays.push(answer.job_array_id);
                     }
-                    for OfBulk { index, submitted } in answer.jobs {
+                    for BulkJobAnswer { index, submitted } in answer.jobs {
                         match submitted {
-                            Submitted::Not(p) if p.error == ErrorId::TryLater => {
+                            Submitted::Rejected(p) if p.error == ErrorId::TryLater => {
                                 asked =
                                     asked.max(Duration::from_millis(p.retry_after_ms.unwrap_or(0)));
                                 again.push((index, p));
                             }
-                            Submitted::Not(p) => bulk.jobs.push((index, Err(p))),
+                            Submitted::Rejected(p) => bulk.jobs.push((index, Err(p))),
                             Submitted::Accepted(job) => bulk.jobs.push((index, Ok(job))),
                         }
                     }
@@ -357,8 +357,8 @@
     /// `INVALID_ARGUMENT` where it is not known.
     pub fn info(&self, job: &str) -> Result<JobInfo, Error> {
         let job_id = job.to_owned();
-        self.ask(Op::GetJobInfo { job_id })
-            .map(|one: OneJob| one.job_info)
+        self.ask(Operation::GetJobInfo { job_id })
+            .map(|one: JobInfoAnswer| one.job_info)
     }
 
     /// What is known of an array.
@@ -372,14 +372,14 @@
             job_array: ArrayInfo,
         }
         let job_array_id = id.to_owned();
-        self.ask(Op::GetJobArray { job_array_id })
+        self.ask(Operation::GetJobArray { job_array_id })
             .map(|one: One| one.job_array)
     }
 
     fn wait(
         &self,
         timeout: Option<Duration>,
-        op: impl Fn(Option<u64>) -> Op,
+        op: impl Fn(Option<u64>) -> Operation,
     ) -> Result<JobInfo, Error> {
         let until = timeout.map(|timeout| Instant::now() + timeout);
         let mut backoff = Backoff::new(Duration::from_millis(50), Duration::from_secs(2));
@@ -393,7 +393,7 @@
                 Ok(link) => match self.lines_over(&link, op(ms), Some(until)) {
                     Ok(mut lines) => {
                         let line = lines.pop().unwrap_or_default();
-                        match read::<OneJob>(line) {
+                        match read::<JobInfoAnswer>(line) {
                             // Too many waits at once: asked again.
                             Err(e) if e.is(ErrorId::TryLater) => io::ErrorKind::WouldBlock.into(),
                             told => return told.map(|one| one.job_info),
@@ -430,7 +430,7 @@
     /// # Errors
     /// `TIMEOUT` where that took longer; the job goes on.
     pub fn wait_terminated(&self, job: &str, timeout: Option<Duration>) -> Result<JobInfo, Error> {
-        self.wait(timeout, |timeout_ms| Op::WaitTerminated {
+        self.wait(timeout, |timeout_ms| Operation::WaitTerminated {
             job_id: job.to_owned(),
             timeout_ms,
         })
@@ -441,7 +441,7 @@
     /// # Errors
     /// `TIMEOUT` where that took longer; the job goes on.
     pub fn wait_started(&self, job: &str, timeout: Option<Duration>) -> Result<JobInfo, Error> {
-        self.wait(timeout, |timeout_ms| Op::WaitStarted {
+        self.wait(timeout, |timeout_ms| Operation::WaitStarted {
             job_id: job.to_owned(),
             timeout_ms,
         })
@@ -460,8 +460,14 @@
         self.wait(timeout, |timeout_ms| {
             let of = of.clone();
             match started {
-                true => Op::WaitAnyStarted { of, timeout_ms },
-                false => Op::WaitAnyTerminated { of, timeout_ms },
+                true => Operation::WaitAnyStarted {
+                    targets: of,
+                    timeout_ms,
+                },
+                false => Operation::WaitAnyTerminated {
+                    targets: of,
+                    timeout_ms,
+                },
             }
         })
     }
@@ -470,7 +476,7 @@
     ///
     /// # Errors
     /// What the node says where none of them would.
-    pub fn control(&self, op: Op) -> Result<(usize, usize), Error> {
+    pub fn control(&self, op: Operation) -> Result<(usize, usize), Error> {
         #[derive(Deserialize)]
         struct Many {
             changed: Option<usize>,
@@ -492,13 +498,13 @@
     ) -> Result<(), Error> {
         let mut after = None;
         loop {
-            let op = Op::ListJobs {
+            let op = Operation::ListJobs {
                 session: session.map(str::to_owned),
                 filter: filter.clone(),
                 limit: Some(256),
                 after,
             };
-            let page: Page = self.ask(op)?;
+            let page: JobPage = self.ask(op)?;
             page.jobs.into_iter().for_each(&mut each);
             after = page.next;
             if after.is_none() {
@@ -515,15 +521,15 @@
     pub fn open_session(&self, name: &str, create: bool, since: Option<u64>) -> Result<u64, Error> {
         let name = name.to_owned();
         let opened = match create {
-            true => match self.ask::<Opened>(Op::CreateSession { name: name.clone() }) {
+            true => match self.ask::<Opened>(Operation::CreateSession { name: name.clone() }) {
                 // It is there, perhaps because the answer to an earlier try was lost.
-                Err(e) if e.is(ErrorId::InvalidArgument) => self.ask(Op::OpenSession {
+                Err(e) if e.is(ErrorId::InvalidArgument) => self.ask(Operation::OpenSession {
                     name: name.clone(),
                     since,
                 }),
                 told => told,
             },
-            false => self.ask(Op::OpenSession {
+            false => self.ask(Operation::OpenSession {
                 name: name.clone(),
                 since,
             }),
@@ -538,7 +544,7 @@
             if let Some(link) = locked(&self.link).take() {
                 link.close();
             }
-            self.ask::<Value>(Op::ListSessions)?;
+            self.ask::<Value>(Operation::ListSessions)?;
         }
         Ok(opened.last_event)
     }
@@ -551,7 +557,7 @@
         let open = locked(&self.session).take();
         match open {
             Some(open) => self
-                .ask::<Value>(Op::CloseSession { name: open.name })
+                .ask::<Value>(Operation::CloseSession { name: open.name })
                 .map(drop),
             None => Ok(()),
         }
@@ -568,7 +574,8 @@
         }
         drop(open);
         let name = name.to_owned();
-        self.ask::<Value>(Op::DestroySession { name }).map(drop)
+        self.ask::<Value>(Operation::DestroySession { name })
+            .map(drop)
     }
 
     /// The names of all sessions.
@@ -580,7 +587,7 @@
         struct Names {
             sessions: Vec<String>,
         }
-        self.ask(Op::ListSessions)
+        self.ask(Operation::ListSessions)
             .map(|names: Names| names.sessions)
     }
 
@@ -593,7 +600,7 @@
         struct Queues {
             queues: Vec<Queue>,
         }
-        self.ask(Op::GetAllQueues { names: None })
+        self.ask(Operation::GetAllQueues { names: None })
             .map(|all: Queues| all.queues)
     }
 
@@ -607,7 +614,7 @@
             machines: Vec<Machine>,
         }
         let mut all = Vec::new();
-        for line in self.lines(Op::GetAllMachines { names: None }, None)? {
+        for line in self.lines(Operation::GetAllMachines { names: None }, None)? {
             all.extend(read::<Machines>(line)?.machines);
         }
         Ok(all)
@@ -617,7 +624,7 @@
     ///
     /// # Errors
     /// What the node says.
-    pub fn raw(&self, op: Op) -> Result<Value, Error> {
+    pub fn raw(&self, op: Operation) -> Result<Value, Error> {
         self.ask(op)
     }
 }
--- a/crates/submission-client/src/lib.rs
+++ b/crates/submission-client/src/lib.rs
@@ -26,8 +26,8 @@
 pub use client::{Bulk, Client, Settings};
 pub use link::OnEvent;
 pub use marbledeck_submission::message::{
-    Accepted, ArrayInfo, ErrorId, Event, Filter, JobInfo, Machine, OfBulk, Op, Problem, Queue,
-    Submitted, Targets,
+    Accepted, ArrayInfo, BulkJobAnswer, ErrorId, Event, Filter, JobInfo, Machine, Operation,
+    Problem, Queue, Submitted, Targets,
 };
 pub use marbledeck_submission::{JobState, Template};
 pub use retry::Backoff;
--- a/crates/submission-client/src/link.rs
+++ b/crates/submission-client/src/link.rs
@@ -2,7 +2,7 @@
 //! and each answer finds the request that it belongs to.
 
 use marbledeck_submission::frame;
-use marbledeck_submission::message::{Event, Op, Problem, Request};
+use marbledeck_submission::message::{Event, Operation, Problem, Request};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// The connection is lost. Whether the request has arrived is not known.
-    pub fn send(&self, op: Op) -> io::Result<Receiver<Value>> {
+    pub fn send(&self, op: Operation) -> io::Result<Receiver<Value>> {
         let seq = self.next.fetch_add(1, Ordering::SeqCst);
         let (sender, receiver) = channel();
         locked(&self.waiting).insert(seq, sender);
--- a/crates/submission-client/tests/golden.rs
+++ b/crates/submission-client/tests/golden.rs
@@ -3,8 +3,8 @@
 
 use insta::assert_snapshot;
 use marbledeck_submission_client::{
-    Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Op, Problem, Settings, Targets,
-    Template,
+    Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Operation, Problem, Settings,
+    Targets, Template,
 };
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -243,21 +243,21 @@
 #[test]
 fn controls_and_lists() {
     let mut t = Transcript::new();
-    let of = || Targets::array("n0-1-1");
+    let targets = || Targets::array("n0-1-1");
     let many = r#"{"seq":SEQ,"changed":3,"refused":1}"#;
     let one = r#"{"seq":SEQ,"jobId":"n0-1-0","jobState":"QUEUED_HELD"}"#;
     for (op, answer) in [
-        (Op::Terminate { of: of() }, many),
+        (Operation::Terminate { targets: targets() }, many),
         (
-            Op::Hold {
-                of: Targets::job("n0-1-0"),
+            Operation::Hold {
+                targets: Targets::job("n0-1-0"),
             },
             one,
         ),
-        (Op::Release { of: of() }, many),
-        (Op::Suspend { of: of() }, many),
-        (Op::Resume { of: of() }, many),
-        (Op::Reap { of: of() }, many),
+        (Operation::Release { targets: targets() }, many),
+        (Operation::Suspend { targets: targets() }, many),
+        (Operation::Resume { targets: targets() }, many),
+        (Operation::Reap { targets: targets() }, many),
     ] {
         t.ask(
             &[answer],
@@ -308,15 +308,15 @@
     );
     for (op, answer) in [
         (
-            Op::GetDrmsInfo,
+            Operation::GetDrmsInfo,
             r#"{"seq":SEQ,"drmsName":"marbledeck","drmsVersion":"1"}"#,
         ),
         (
-            Op::GetCapabilities,
+            Operation::GetCapabilities,
             r#"{"seq":SEQ,"capabilities":{"CALLBACK":true}}"#,
         ),
         (
-            Op::GetAllReservations,
+            Operation::GetAllReservations,
             r#"{"seq":SEQ,"error":"UNSUPPORTED_OPERATION","message":""}"#,
         ),
     ] {
--- a/crates/submission-client/tests/losses.rs
+++ b/crates/submission-client/tests/losses.rs
@@ -1,7 +1,7 @@
 //! The client against a node between stand-ins, while answers are lost, nodes die and others take over.
 
 use marbledeck_submission_client::{
-    Client, ErrorId, Event, Filter, JobState, Op, Settings, Targets, Template,
+    Client, ErrorId, Event, Filter, JobState, Operation, Settings, Targets, Template,
 };
 use marbledeck_test_support::{Act, Lab, Options, Proxy};
 use std::collections::{HashMap, HashSet};
@@ -50,8 +50,8 @@
             Some(format!("made {target}").as_str())
         );
         client
-            .control(Op::Reap {
-                of: Targets::job(&job.job_id),
+            .control(Operation::Reap {
+                targets: Targets::job(&job.job_id),
             })
             .ok();
         assert_eq!(runs(&lab).get(&target), Some(&1), "line {lines}");
@@ -235,8 +235,11 @@
         );
         std::thread::sleep(Duration::from_millis(2));
     }
-    let of = Targets::array(bulk.arrays[0].clone());
-    assert_eq!(client.control(Op::Release { of }).unwrap(), (30, 0));
+    let targets = Targets::array(bulk.arrays[0].clone());
+    assert_eq!(
+        client.control(Operation::Release { targets }).unwrap(),
+        (30, 0)
+    );
     for (_, job) in &bulk.jobs {
         let info = client
             .wait_terminated(&job.as_ref().unwrap().job_id, PATIENCE)
--- a/crates/submission/src/frame.rs
+++ b/crates/submission/src/frame.rs
@@ -1,44 +1,30 @@
-//! Frames of the protocol: one JSON object a line.
+//! Framing of the protocol: one JSON object per line.
 
 use serde::Serialize;
 
-/// A line longer than is taken.
+/// A line is longer than the receiver accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Looks for a whole line at the beginning of what has come: tells its length without the end. `full` says that no more
-/// can come before some of it is taken.
+/// Looks for a complete line at the beginning of `buffer` and returns its length without the line end. `full` says
+/// that the buffer cannot take more bytes before some are removed.
 ///
 /// # Errors
-/// [`TooLong`] where the line is longer than `longest` bytes, or cannot become whole.
-pub fn next(held: &[u8], longest: usize, full: bool) -> Result<Option<usize>, TooLong> {
-    // No byte beyond the longest line need be looked at.
-    let seen = &held[..held.len().min(longest + 1)];
-    match seen.iter().position(|b| *b == b'\n') {
-        Some(end) => Ok(Some(end)),
-        None if held.len() > longest || full => Err(TooLong),
+/// [`TooLong`] if the line is longer than `max_length` bytes, or can never become complete.
+pub fn next(buffer: &[u8], max_length: usize, full: bool) -> Result<Option<usize>, TooLong> {
+    // The line end can only be within the longest line and the byte after it.
+    let searched = &buffer[..buffer.len().min(max_length + 1)];
+    match searched.iter().position(|byte| *byte == b'\n') {
+        Some(length) => Ok(Some(length)),
+        None if buffer.len() > max_length || full => Err(TooLong),
         None => Ok(None),
     }
 }
 
-/// A message as a line with its end.
+/// Encodes a message as a line, with its line end.
 pub fn line(message: &impl Serialize) -> Vec<u8> {
-    // The messages are made of strings, numbers and lists: writing them to memory cannot fail.
+    // The messages consist of strings, numbers and lists: writing them to memory cannot fail.
     let mut bytes = serde_json::to_vec(message).unwrap_or_default();
     bytes.push(b'\n');
     bytes
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_longest_line() {
-        assert_eq!(next(b"abc\nd", 3, false), Ok(Some(3)));
-        assert_eq!(next(b"abcd\n", 3, false), Err(TooLong));
-        assert_eq!(next(b"abc", 3, false), Ok(None));
-        assert_eq!(next(b"ab", 3, true), Err(TooLong));
-        assert_eq!(next(b"", 3, false), Ok(None));
-    }
-}
--- a/crates/submission/src/ids.rs
+++ b/crates/submission/src/ids.rs
@@ -1,116 +1,102 @@
-//! Ids of jobs and arrays: short numbers within, words without. The words of two starts of a node never meet, since
-//! each start has a prefix of its own; what is taken over from another process keeps its words.
+//! Ids of jobs and arrays: compact keys inside the server, text such as `n0-7-12` on the wire.
+//!
+//! Every start of a node has a prefix of its own, so ids of two starts never collide. Jobs that are taken over from
+//! another process keep the id with that process's prefix.
+
+#[cfg(test)]
+mod tests;
 
 use std::fmt;
 
-/// Bits of a key that count jobs; those above them say whose prefix it has.
-const COUNT: u32 = 40;
+/// Low bits of a key that count jobs; the bits above are the index of the prefix.
+const COUNTER_BITS: u32 = 40;
 
-/// A job or an array.
+/// Identifies a job or an array within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key(u64);
+pub struct JobKey(u64);
+
+/// Identifies an array of jobs; arrays and jobs are numbered together.
+pub type ArrayKey = JobKey;
 
-/// The prefixes in use, this process's own first.
+/// Allocates keys and converts between keys and ids.
 #[derive(Debug, Default)]
-pub struct Ids {
+pub struct IdRegistry {
+    /// The known prefixes; the first is this process's own.
     prefixes: Vec<String>,
-    next: u64,
+    next_counter: u64,
 }
 
-impl Ids {
+impl IdRegistry {
+    /// A registry that allocates ids with this prefix.
     pub fn new(prefix: String) -> Self {
-        Ids {
+        IdRegistry {
             prefixes: vec![prefix],
-            next: 0,
+            next_counter: 0,
         }
     }
 
-    /// An id that was never used.
-    pub fn fresh(&mut self) -> Key {
-        let key = Key(self.next);
-        self.next += 1;
+    /// Allocates a key that was never used.
+    pub fn allocate(&mut self) -> JobKey {
+        let key = JobKey(self.next_counter);
+        self.next_counter += 1;
         key
     }
 
-    /// Takes the last id back, which nobody has heard of.
-    pub fn take_back(&mut self, key: Key) {
-        if key.0 + 1 == self.next {
-            self.next = key.0;
+    /// Returns the most recently allocated key, whose id was not sent to anybody.
+    pub fn release(&mut self, key: JobKey) {
+        if key.0 + 1 == self.next_counter {
+            self.next_counter = key.0;
         }
     }
 
-    /// The word for a key.
-    pub fn word(&self, key: Key) -> Word<'_> {
-        let prefix = self.prefixes.get((key.0 >> COUNT) as usize);
-        Word {
+    /// The id of a key, for display.
+    pub fn id(&self, key: JobKey) -> JobId<'_> {
+        let prefix = self.prefixes.get((key.0 >> COUNTER_BITS) as usize);
+        JobId {
             prefix: prefix.map_or("", String::as_str),
-            count: key.0 & ((1 << COUNT) - 1),
+            counter: key.0 & ((1 << COUNTER_BITS) - 1),
         }
     }
 
-    /// The key of a word, if its prefix is in use.
-    pub fn key(&self, word: &str) -> Option<Key> {
-        let (prefix, count) = word.rsplit_once('-')?;
-        let origin = self.prefixes.iter().position(|known| known == prefix)?;
-        // Only the one way in which it is written: a job has one id.
-        let plain = count == "0" || !count.starts_with('0') && !count.starts_with('+');
-        let count: u64 = count.parse().ok().filter(|n| plain && *n < 1 << COUNT)?;
-        Some(Key((origin as u64) << COUNT | count))
+    /// The key of an id, if its prefix is known and it is in canonical form.
+    pub fn parse(&self, id: &str) -> Option<JobKey> {
+        let (prefix, counter) = id.rsplit_once('-')?;
+        let prefix_index = self.prefixes.iter().position(|known| known == prefix)?;
+        // Only the canonical form: a job has exactly one id.
+        let canonical = counter == "0" || !counter.starts_with('0') && !counter.starts_with('+');
+        let counter: u64 = counter
+            .parse()
+            .ok()
+            .filter(|number| canonical && *number < 1 << COUNTER_BITS)?;
+        Some(JobKey((prefix_index as u64) << COUNTER_BITS | counter))
     }
 
-    /// The same, where the prefix may be one that another process has given out.
-    pub fn learn(&mut self, word: &str) -> Option<Key> {
-        let (prefix, _) = word.rsplit_once('-')?;
+    /// Like [`IdRegistry::parse`], but also registers a prefix that another process has used.
+    pub fn parse_or_register(&mut self, id: &str) -> Option<JobKey> {
+        let (prefix, _) = id.rsplit_once('-')?;
         if !self.prefixes.iter().any(|known| known == prefix) {
-            if self.prefixes.len() >> (64 - COUNT) > 0 {
+            if self.prefixes.len() >> (64 - COUNTER_BITS) > 0 {
                 return None;
             }
             self.prefixes.push(prefix.to_owned());
         }
-        let key = self.key(word)?;
-        // A process that was started with the same seed has the same prefix: what it gave out is not given out again.
-        if key.0 >> COUNT == 0 {
-            self.next = self.next.max(key.0 + 1);
+        let key = self.parse(id)?;
+        // A process that was started with the same seed has the same prefix: its ids must not be allocated again.
+        if key.0 >> COUNTER_BITS == 0 {
+            self.next_counter = self.next_counter.max(key.0 + 1);
         }
         Some(key)
     }
 }
 
-/// A key as it is written.
-pub struct Word<'a> {
+/// The id of a job or an array as it is written.
+pub struct JobId<'a> {
     prefix: &'a str,
-    count: u64,
+    counter: u64,
 }
 
-impl fmt::Display for Word<'_> {
+impl fmt::Display for JobId<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}-{}", self.prefix, self.count)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn words_and_keys() {
-        let mut ids = Ids::new("n0-7".to_owned());
-        let key = ids.fresh();
-        assert_eq!(ids.word(key).to_string(), "n0-7-0");
-        assert_eq!(ids.key("n0-7-0"), Some(key));
-        let other = ids.learn("n0-6-3").unwrap();
-        assert_eq!(ids.word(other).to_string(), "n0-6-3");
-        assert_eq!(ids.learn("n0-7-5").map(|_| ids.fresh()), ids.key("n0-7-6"));
-        for wrong in [
-            "",
-            "-",
-            "n0-7-",
-            "n0-7-00",
-            "n0-7-+0",
-            "n0-8-0",
-            "n0-7-1099511627776",
-        ] {
-            assert_eq!(ids.key(wrong), None, "{wrong}");
-        }
+        write!(f, "{}-{}", self.prefix, self.counter)
     }
 }
--- a/crates/submission/src/lib.rs
+++ b/crates/submission/src/lib.rs
@@ -1,19 +1,26 @@
-//! Batch submission in DRMAA's terms (GFD.231), as a protocol of one JSON object a line: the messages, the states of a
-//! job, and the protocol's server without sockets. `docs/submission.md` is the page on the protocol,
-//! `docs/design/submission.md` tells why it is as it is.
+//! Batch submission in DRMAA terms (GFD.231), as a protocol of one JSON object per line: the messages, the states of a
+//! job, and the protocol's server without sockets. `docs/submission.md` describes the protocol,
+//! `docs/design/submission.md` the reasons for it.
 #![forbid(unsafe_code)]
 
+mod error;
 pub mod frame;
 mod ids;
 mod jobs;
+mod limits;
 pub mod message;
+mod partner;
+mod scheduler;
 pub mod server;
 mod sessions;
 mod state;
 pub mod template;
 mod transfer;
 
-pub use server::{ClassFacts, Desk, Holds, Limits, Order, Server, Verdict, Whereabouts};
+pub use limits::{Limits, Usage};
+pub use partner::Partner;
+pub use scheduler::{ClassProperties, JobRequest, Placement, Scheduler, Verdict};
+pub use server::Server;
 pub use state::{Change, JobState};
 pub use template::Template;
-pub use transfer::{Side, Transfer};
+pub use transfer::{JobRecord, Transfer};
--- /dev/null
+++ b/crates/submission/src/limits.rs
@@ -0,0 +1,39 @@
+//! What the server may hold, and what it holds.
+
+use marbledeck_dispatcher::Micros;
+
+/// The server's limits.
+#[derive(Clone, Debug)]
+pub struct Limits {
+    /// The maximum number of jobs, whether they wait, run or have ended.
+    pub max_jobs: usize,
+    /// The maximum memory of templates and results, in bytes.
+    pub max_bytes: usize,
+    /// The maximum number of jobs of one `runBulkJobs`.
+    pub max_bulk: usize,
+    /// The maximum number of job sessions.
+    pub max_sessions: usize,
+    /// The number of events that each session keeps.
+    pub max_session_events: usize,
+    /// How long an ended job stays visible.
+    pub retention: Micros,
+    /// How long a job may wait before it is passed to the scheduler.
+    pub max_hold: Micros,
+    /// How long a session is kept that has neither jobs nor readers.
+    pub session_idle_timeout: Micros,
+}
+
+/// What the server holds at the moment.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Usage {
+    /// The number of jobs, including those of which only the submission key counts.
+    pub jobs: usize,
+    /// The approximate memory of the jobs, in bytes.
+    pub bytes: usize,
+    /// The number of sessions.
+    pub sessions: usize,
+    /// The number of arrays.
+    pub arrays: usize,
+    /// The number of open waits.
+    pub waits: usize,
+}
--- /dev/null
+++ b/crates/submission/src/server/arrays.rs
@@ -0,0 +1,177 @@
+//! Arrays of jobs: their members, and the limit on members that run at the same time.
+
+use super::Server;
+use crate::error::Problem;
+use crate::ids::{ArrayKey, JobKey};
+use crate::message::ArrayInfo;
+use crate::sessions::SessionKey;
+use crate::state::JobState;
+use crate::template::Template;
+use marbledeck_dispatcher::Micros;
+use std::collections::{BTreeSet, VecDeque};
+use std::rc::Rc;
+
+/// An array of jobs from one template.
+pub(super) struct JobArray {
+    pub(super) template: Rc<Template>,
+    pub(super) session: Option<SessionKey>,
+    /// How many members may be active at the same time.
+    pub(super) max_parallel: Option<u32>,
+    /// The visible members.
+    pub(super) members: BTreeSet<JobKey>,
+    /// The members that are with the scheduler, of this process or the partner's.
+    pub(super) active: BTreeSet<JobKey>,
+    /// The members that wait for their turn, and some that no longer do.
+    pub(super) waiting: VecDeque<JobKey>,
+    pub(super) running: BTreeSet<JobKey>,
+    pub(super) ended: BTreeSet<JobKey>,
+    /// The scheduler has rejected a member: none is passed to it before this time.
+    pub(super) paused_until: Option<Micros>,
+    /// All members are being terminated: none is passed to the scheduler.
+    pub(super) is_stopped: bool,
+    /// Members are still being added.
+    pub(super) is_growing: bool,
+}
+
+impl JobArray {
+    pub(super) fn new(
+        template: Rc<Template>,
+        session: Option<SessionKey>,
+        max_parallel: Option<u32>,
+    ) -> Self {
+        JobArray {
+            template,
+            session,
+            max_parallel,
+            members: BTreeSet::new(),
+            active: BTreeSet::new(),
+            waiting: VecDeque::new(),
+            running: BTreeSet::new(),
+            ended: BTreeSet::new(),
+            paused_until: None,
+            is_stopped: false,
+            is_growing: false,
+        }
+    }
+
+    /// Updates the sets of running and ended members.
+    pub(super) fn update_member(&mut self, job: JobKey, state: JobState) {
+        self.running.remove(&job);
+        if state.is_final() {
+            self.ended.insert(job);
+        } else if state.has_started() {
+            self.running.insert(job);
+        }
+    }
+
+    /// Whether another member may be passed to the scheduler.
+    pub(super) fn can_start_member(&self, now: Micros) -> bool {
+        let has_capacity = self
+            .max_parallel
+            .is_none_or(|max| self.active.len() < max as usize);
+        let is_paused = self.paused_until.is_some_and(|time| time > now);
+        has_capacity && !self.is_stopped && !is_paused
+    }
+
+    /// Removes a member that is no longer visible.
+    fn remove_member(&mut self, job: JobKey) {
+        self.members.remove(&job);
+        self.running.remove(&job);
+        self.ended.remove(&job);
+        self.active.remove(&job);
+    }
+}
+
+impl Server {
+    /// The array that a job may be a member of, with its key.
+    pub(super) fn array_mut(
+        &mut self,
+        array: Option<ArrayKey>,
+    ) -> Option<(ArrayKey, &mut JobArray)> {
+        let key = array?;
+        Some((key, self.arrays.get_mut(&key)?))
+    }
+
+    /// The array with this id.
+    pub(super) fn find_array(&self, id: &str) -> Result<ArrayKey, Problem> {
+        let key = self.ids.parse(id);
+        key.filter(|key| self.arrays.contains_key(key))
+            .ok_or_else(|| Problem::invalid("no such job array"))
+    }
+
+    /// No member is passed to the scheduler before this time.
+    pub(super) fn pause_array(&mut self, array: Option<ArrayKey>, until: Micros) {
+        let Some((key, array)) = self.array_mut(array) else {
+            return;
+        };
+        if array.max_parallel.is_none() && array.waiting.is_empty() {
+            return;
+        }
+        if let Some(previous) = array.paused_until.replace(until) {
+            self.paused_arrays.remove(&(previous, key));
+        }
+        self.paused_arrays.insert((until, key));
+    }
+
+    /// Makes the arrays ready whose pause is over.
+    pub(super) fn resume_paused_arrays(&mut self, now: Micros) {
+        while let Some((time, array)) = self.paused_arrays.first().copied() {
+            if time > now {
+                return;
+            }
+            self.paused_arrays.pop_first();
+            self.ready_arrays.insert(array);
+        }
+    }
+
+    /// No more members are added to an array.
+    pub(super) fn finish_growing(&mut self, key: ArrayKey) {
+        if let Some(array) = self.arrays.get_mut(&key) {
+            array.is_growing = false;
+            if array.members.is_empty() {
+                self.arrays.remove(&key);
+            }
+        }
+    }
+
+    /// A job is no longer with the scheduler: its array may start another member.
+    pub(super) fn deactivate_member(&mut self, job: JobKey, array: Option<ArrayKey>) {
+        let Some((key, array)) = self.array_mut(array) else {
+            return;
+        };
+        if array.active.remove(&job) {
+            self.ready_arrays.insert(key);
+        }
+    }
+
+    /// Removes a member that is no longer visible, and an array without members.
+    pub(super) fn remove_member(&mut self, job: JobKey, array: Option<ArrayKey>) {
+        let Some((key, array)) = self.array_mut(array) else {
+            return;
+        };
+        array.remove_member(job);
+        if array.members.is_empty() && !array.is_growing {
+            if let Some(time) = array.paused_until {
+                self.paused_arrays.remove(&(time, key));
+            }
+            self.arrays.remove(&key);
+        }
+    }
+
+    /// What clients learn about an array.
+    pub(super) fn array_info(&self, key: ArrayKey) -> ArrayInfo {
+        let Some(array) = self.arrays.get(&key) else {
+            return ArrayInfo::default();
+        };
+        let session = array.session.and_then(|session| self.sessions.get(session));
+        ArrayInfo {
+            job_array_id: self.ids.id(key).to_string(),
+            session: session.map(|session| session.name.clone()),
+            max_parallel: array.max_parallel,
+            jobs: array.members.len(),
+            active: array.active.len(),
+            waiting: array.members.len() - array.active.len() - array.ended.len(),
+            ended: array.ended.len(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/submission/src/server/client.rs
@@ -0,0 +1,76 @@
+//! The state of one client connection.
+
+use super::bulk::BulkTask;
+use super::control::ControlTask;
+use crate::ids::JobKey;
+use crate::sessions::SessionKey;
+use serde_json::Value;
+use std::collections::{BTreeSet, HashSet, VecDeque};
+
+/// A client's connection, as the caller numbers it; never reused.
+pub type ClientId = u64;
+
+/// The key of an open wait.
+pub(super) type WaitId = u64;
+
+/// A message that waits to be read by a client.
+pub(super) enum Output {
+    /// A complete line.
+    Line(Vec<u8>),
+    /// An answer with the state that the job has when it is read.
+    JobInfo {
+        /// The `seq` of the request.
+        seq: Value,
+        /// The job.
+        job: JobKey,
+    },
+    /// A notification with the state that the job has when it is read.
+    Notification(JobKey),
+}
+
+/// An operation that takes several turns.
+pub(super) enum Task {
+    /// `runBulkJobs`.
+    Bulk(Box<BulkTask>),
+    /// A control operation on several jobs.
+    Control(Box<ControlTask>),
+}
+
+/// A session that a client has opened.
+pub(super) struct OpenSession {
+    /// The session.
+    pub(super) session: SessionKey,
+    /// The number of the last event that was sent.
+    pub(super) last_sent: u64,
+}
+
+/// One client connection.
+#[derive(Default)]
+pub(super) struct Client {
+    /// What it has not read yet.
+    pub(super) outbox: VecDeque<Output>,
+    /// Its open waits.
+    pub(super) waits: BTreeSet<WaitId>,
+    /// The number of jobs, arrays and sessions that its waits name.
+    pub(super) wait_subjects: usize,
+    /// Its open sessions.
+    pub(super) open_sessions: Vec<OpenSession>,
+    /// The jobs whose state changes it receives because of `notify`.
+    pub(super) watched_jobs: HashSet<JobKey>,
+    /// Its operation that takes several turns.
+    pub(super) task: Option<Task>,
+    /// Whether a submission of this turn was not answered yet.
+    pub(super) is_submitting: bool,
+}
+
+impl Client {
+    /// Whether all its requests were answered and the answers were read.
+    pub(super) fn is_free(&self) -> bool {
+        self.is_ready_for_task() && self.task.is_none()
+    }
+
+    /// Whether its task may continue: everything that it has caused was decided and read.
+    pub(super) fn is_ready_for_task(&self) -> bool {
+        self.outbox.is_empty() && !self.is_submitting
+    }
+}
--- /dev/null
+++ b/crates/submission/src/server/lifecycle.rs
@@ -0,0 +1,112 @@
+//! What the scheduler reports about jobs, and how jobs end and disappear.
+
+use super::{Server, RETRY_AFTER_MS};
+use crate::ids::JobKey;
+use crate::jobs::JobOutcome;
+use crate::scheduler::Verdict;
+use crate::state::{Change, SubState};
+use marbledeck_dispatcher::{Micros, RequestId};
+use std::rc::Rc;
+
+impl Server {
+    /// A worker has begun to run a job.
+    pub fn handle_started(&mut self, now: Micros, id: RequestId, machine: Option<Rc<str>>) {
+        let Some(key) = self.jobs.key_of_request(id) else {
+            return;
+        };
+        if let Some(job) = self.jobs.get_mut(key) {
+            job.machine = machine.or(job.machine.take());
+        }
+        if self.jobs.apply(key, Change::Start, now) {
+            self.publish_change(key);
+        }
+    }
+
+    /// A job that ran was returned by its worker and is to be retried.
+    pub fn handle_requeued(&mut self, now: Micros, id: RequestId) {
+        let Some(key) = self.jobs.key_of_request(id) else {
+            return;
+        };
+        if self.jobs.apply(key, Change::Return, now) {
+            self.publish_change(key);
+        }
+    }
+
+    /// The scheduler has ended a request; `last_sent` is when it was last sent to a worker that may have run it.
+    /// Returns whether the request was a job of this server.
+    pub fn handle_verdict(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        verdict: Verdict,
+        last_sent: Option<Micros>,
+    ) -> bool {
+        let Some(key) = self.jobs.key_of_request(id) else {
+            return false;
+        };
+        let job = self.jobs.get_any(key);
+        let is_overdue = job.is_some_and(|job| now >= job.deadline);
+        let array = job.and_then(|job| job.array);
+        match verdict {
+            Verdict::Served(result) => {
+                let outcome = JobOutcome {
+                    result: Some(result),
+                    last_sent,
+                    problem: None,
+                };
+                self.end_job(now, key, Change::Serve, None, outcome);
+            }
+            Verdict::Rejected { retry_after } => {
+                // Before the job's end lets another member start, which would be rejected as well.
+                let pause = retry_after.unwrap_or(Micros(1000 * RETRY_AFTER_MS));
+                self.pause_array(array, now + pause);
+                let outcome = JobOutcome::rejected(retry_after);
+                self.end_job(now, key, Change::Fail, Some(SubState::Rejected), outcome);
+            }
+            Verdict::Failed => {
+                let sub_state = if is_overdue {
+                    SubState::Overdue
+                } else {
+                    SubState::Failed
+                };
+                let outcome = JobOutcome::failed(sub_state, last_sent);
+                self.end_job(now, key, Change::Fail, Some(sub_state), outcome);
+            }
+        }
+        true
+    }
+
+    /// Gives a job its final state, once.
+    pub(super) fn end_job(
+        &mut self,
+        now: Micros,
+        key: JobKey,
+        change: Change,
+        sub_state: Option<SubState>,
+        outcome: JobOutcome,
+    ) {
+        let array = self.jobs.get_any(key).and_then(|job| job.array);
+        if self.jobs.end(key, change, now, sub_state, outcome) {
+            self.deactivate_member(key, array);
+            self.publish_change(key);
+        }
+    }
+
+    /// Removes a job that is no longer visible from its session and array.
+    pub(super) fn hide_job(&mut self, now: Micros, key: JobKey) {
+        let Some(job) = self.jobs.get(key) else {
+            return;
+        };
+        let (session, array) = (job.session, job.array);
+        if let Some(session) = session {
+            self.sessions.remove_job(now, session, key);
+        }
+        self.remove_member(key, array);
+    }
+
+    /// Removes a job altogether.
+    pub(super) fn remove_job(&mut self, now: Micros, key: JobKey) {
+        self.hide_job(now, key);
+        self.jobs.remove(key);
+    }
+}
--- a/crates/submission/src/sessions.rs
+++ b/crates/submission/src/sessions.rs
@@ -1,65 +1,69 @@
-//! Job sessions: named, outliving every connection, each with a bounded history of numbered events.
+//! Job sessions: named, independent of connections, each with a bounded history of numbered events.
 
-use crate::ids::Key;
-use crate::message::Problem;
-use crate::state::JobState;
+#[cfg(test)]
+mod tests;
+
+use crate::error::Problem;
+use crate::ids::JobKey;
+use crate::state::{JobState, SubState};
 use marbledeck_dispatcher::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// The longest name of a session, in bytes.
-const MAX_NAME: usize = 256;
+/// The maximum length of a session's name, in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// A session, also after it was destroyed and another took its name.
+/// Identifies a session; never reused, unlike its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionKey(pub u32);
 
-/// A job's new state, as it was then.
+/// An event: the state that a job had entered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Record {
-    pub job: Key,
+pub struct SessionEvent {
+    pub job: JobKey,
     pub state: JobState,
-    pub sub_state: Option<&'static str>,
+    pub sub_state: Option<SubState>,
 }
 
-/// What a reader that has seen the events up to a number is to be told next.
+/// What a reader receives next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// This event, of this number.
-    Event(u64, Record),
-    /// The events of these numbers are no longer known.
-    Gap(u64, u64),
+pub enum NextEvent {
+    /// The event with this number.
+    Event { number: u64, event: SessionEvent },
+    /// The events of these numbers were dropped from the history.
+    Gap { from: u64, to: u64 },
 }
 
 /// One session.
 #[derive(Debug)]
 pub struct Session {
     pub name: String,
-    /// The last events; the last of them has the number `last`.
-    events: VecDeque<Record>,
-    /// The number of the last event; the first one had 1.
-    pub last: u64,
-    /// Its jobs that are shown.
-    pub jobs: BTreeSet<Key>,
-    /// Those of them that run, and those that have ended.
-    pub running: BTreeSet<Key>,
-    pub ended: BTreeSet<Key>,
-    /// Who is told of its events.
+    /// The latest events; the newest has the number `last_event`.
+    events: VecDeque<SessionEvent>,
+    /// The number of the newest event; the first one had 1.
+    pub last_event: u64,
+    /// Its visible jobs.
+    pub jobs: BTreeSet<JobKey>,
+    /// The jobs that run.
+    pub running: BTreeSet<JobKey>,
+    /// The jobs that have ended.
+    pub ended: BTreeSet<JobKey>,
+    /// The client connections that receive its events.
     pub readers: Vec<u64>,
     /// Since when it has had neither jobs nor readers.
-    pub idle: Option<Micros>,
+    pub idle_since: Option<Micros>,
 }
 
 impl Session {
-    fn push(&mut self, record: Record, history: usize) {
-        self.last += 1;
-        self.events.push_back(record);
-        if self.events.len() > history {
+    fn push(&mut self, event: SessionEvent, max_events: usize) {
+        self.last_event += 1;
+        self.events.push_back(event);
+        if self.events.len() > max_events {
             self.events.pop_front();
         }
     }
 
-    /// Notes whether a job runs or has ended.
-    pub fn place(&mut self, job: Key, state: JobState) {
+    /// Updates the sets of running and ended jobs.
+    pub fn update_job(&mut self, job: JobKey, state: JobState) {
         self.running.remove(&job);
         if state.is_final() {
             self.ended.insert(job);
@@ -68,62 +72,67 @@
         }
     }
 
-    /// What comes after the event of this number.
-    pub fn next(&self, seen: u64) -> Option<Next> {
-        if seen >= self.last {
+    /// What a reader receives that has seen the events up to this number.
+    pub fn next_after(&self, last_seen: u64) -> Option<NextEvent> {
+        if last_seen >= self.last_event {
             return None;
         }
-        let first = self.last + 1 - self.events.len() as u64;
-        if seen + 1 < first {
-            return Some(Next::Gap(seen + 1, first - 1));
+        let number = last_seen + 1;
+        let oldest = self.last_event + 1 - self.events.len() as u64;
+        if number < oldest {
+            return Some(NextEvent::Gap {
+                from: number,
+                to: oldest - 1,
+            });
         }
-        let record = self.events.get((seen + 1 - first) as usize)?;
-        Some(Next::Event(seen + 1, *record))
+        let event = *self.events.get((number - oldest) as usize)?;
+        Some(NextEvent::Event { number, event })
     }
 
-    /// The history, with the number of its first event.
-    pub fn history(&self) -> (u64, impl Iterator<Item = &Record>) {
-        (self.last + 1 - self.events.len() as u64, self.events.iter())
+    /// The events that are still known, the oldest first.
+    pub fn history(&self) -> &VecDeque<SessionEvent> {
+        &self.events
     }
 }
 
 /// All sessions.
 #[derive(Debug)]
 pub struct Sessions {
-    most: usize,
-    history: usize,
-    /// How long one is kept without jobs and readers.
-    keep: Micros,
-    map: BTreeMap<SessionKey, Session>,
+    max_sessions: usize,
+    /// How many events each session keeps.
+    max_events: usize,
+    /// How long a session is kept without jobs and readers.
+    idle_timeout: Micros,
+    sessions: BTreeMap<SessionKey, Session>,
     by_name: HashMap<String, SessionKey>,
-    next: u32,
-    /// When the idle ones are looked at.
-    due: Option<Micros>,
+    next_key: u32,
+    /// When idle sessions may have to be removed.
+    next_expiry: Option<Micros>,
 }
 
 impl Sessions {
-    pub fn new(most: usize, history: usize, keep: Micros) -> Self {
+    pub fn new(max_sessions: usize, max_events: usize, idle_timeout: Micros) -> Self {
         Sessions {
-            most,
-            history,
-            keep,
-            map: BTreeMap::new(),
+            max_sessions,
+            max_events,
+            idle_timeout,
+            sessions: BTreeMap::new(),
             by_name: HashMap::new(),
-            next: 0,
-            due: None,
+            next_key: 0,
+            next_expiry: None,
         }
     }
 
     pub fn len(&self) -> usize {
-        self.map.len()
+        self.sessions.len()
     }
 
     pub fn get(&self, key: SessionKey) -> Option<&Session> {
-        self.map.get(&key)
+        self.sessions.get(&key)
     }
 
     pub fn get_mut(&mut self, key: SessionKey) -> Option<&mut Session> {
-        self.map.get_mut(&key)
+        self.sessions.get_mut(&key)
     }
 
     pub fn find(&self, name: &str) -> Option<SessionKey> {
@@ -131,195 +140,153 @@
     }
 
     pub fn names(&self) -> Vec<&str> {
-        self.map.values().map(|session| &*session.name).collect()
+        self.sessions
+            .values()
+            .map(|session| &*session.name)
+            .collect()
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (SessionKey, &Session)> {
-        self.map.iter().map(|(key, session)| (*key, session))
+        self.sessions.iter().map(|(key, session)| (*key, session))
     }
 
     /// Creates a session.
     ///
     /// # Errors
-    /// A name that is taken or makes no sense, or one session too many.
+    /// If the name is taken or malformed, or there are too many sessions.
     pub fn create(&mut self, now: Micros, name: &str) -> Result<SessionKey, Problem> {
-        if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
             return Err(Problem::invalid(format!(
-                "name wants 1 to {MAX_NAME} bytes of visible text"
+                "name wants 1 to {MAX_NAME_BYTES} bytes of visible text"
             )));
         }
         if self.by_name.contains_key(name) {
             return Err(Problem::invalid(format!("session `{name}` exists")));
         }
-        if self.map.len() >= self.most {
-            // Programs that died leave theirs behind: the one that has been idle for longest makes room.
+        if self.sessions.len() >= self.max_sessions {
+            // Programs that died leave sessions behind: the one that has been idle for longest makes room.
             let idle = self
                 .iter()
-                .filter_map(|(key, session)| Some((session.idle?, key)));
+                .filter_map(|(key, session)| Some((session.idle_since?, key)));
             if let Some((_, oldest)) = idle.min() {
                 self.destroy(oldest);
             }
         }
-        if self.map.len() >= self.most {
+        if self.sessions.len() >= self.max_sessions {
             return Err(Problem::later("too many sessions", 60_000));
         }
-        let key = SessionKey(self.next);
-        self.next += 1;
+        let key = SessionKey(self.next_key);
+        self.next_key += 1;
         let session = Session {
             name: name.to_owned(),
             events: VecDeque::new(),
-            last: 0,
+            last_event: 0,
             jobs: BTreeSet::new(),
             running: BTreeSet::new(),
             ended: BTreeSet::new(),
             readers: Vec::new(),
-            idle: Some(now),
+            idle_since: Some(now),
         };
-        self.map.insert(key, session);
+        self.sessions.insert(key, session);
         self.by_name.insert(name.to_owned(), key);
-        self.look_by(now + self.keep);
+        self.schedule_expiry(now + self.idle_timeout);
         Ok(key)
     }
 
-    /// Starts a session from what another process knew of it.
+    /// Creates or completes a session from the state that another process had.
     pub fn restore(
         &mut self,
         now: Micros,
         name: &str,
-        last: u64,
-        events: Vec<Record>,
+        last_event: u64,
+        events: Vec<SessionEvent>,
     ) -> Option<SessionKey> {
         let key = match self.find(name) {
             Some(key) => key,
             None => self.create(now, name).ok()?,
         };
-        let session = self.map.get_mut(&key)?;
-        // Events of before come before those that were numbered here meanwhile: there are none, since no line was
-        // read; if there are, the later numbers stay the higher.
-        if session.last == 0 {
-            session.last = last;
+        let session = self.sessions.get_mut(&key)?;
+        // No line is read before the handover ends, so no event was numbered here yet; if there was one, its number
+        // must not be used again.
+        if session.last_event == 0 {
+            session.last_event = last_event;
             session.events = events.into();
         }
         Some(key)
     }
 
-    /// Forgets a session; its readers are to be told nothing more.
+    /// Removes a session.
     pub fn destroy(&mut self, key: SessionKey) -> Option<Session> {
-        let session = self.map.remove(&key)?;
+        let session = self.sessions.remove(&key)?;
         self.by_name.remove(&session.name);
         Some(session)
     }
 
-    /// Notes a job's new state.
-    pub fn record(&mut self, key: SessionKey, record: Record) {
-        let history = self.history;
-        let Some(session) = self.map.get_mut(&key) else {
+    /// Appends an event to a session's history.
+    pub fn record(&mut self, key: SessionKey, event: SessionEvent) {
+        let max_events = self.max_events;
+        let Some(session) = self.sessions.get_mut(&key) else {
             return;
         };
-        session.push(record, history);
-        session.place(record.job, record.state);
+        session.push(event, max_events);
+        session.update_job(event.job, event.state);
     }
 
-    /// A job of it is shown no longer.
-    pub fn drop_job(&mut self, now: Micros, key: SessionKey, job: Key) {
-        if let Some(session) = self.map.get_mut(&key) {
+    /// Removes a job that is no longer visible.
+    pub fn remove_job(&mut self, now: Micros, key: SessionKey, job: JobKey) {
+        if let Some(session) = self.sessions.get_mut(&key) {
             session.jobs.remove(&job);
             session.running.remove(&job);
             session.ended.remove(&job);
         }
-        self.settle(now, key);
+        self.update_idle(now, key);
     }
 
-    /// Notes whether a session is idle.
-    pub fn settle(&mut self, now: Micros, key: SessionKey) {
-        let Some(session) = self.map.get_mut(&key) else {
+    /// Updates since when a session has been idle.
+    pub fn update_idle(&mut self, now: Micros, key: SessionKey) {
+        let Some(session) = self.sessions.get_mut(&key) else {
             return;
         };
         let idle = session.jobs.is_empty() && session.readers.is_empty();
-        session.idle = idle.then(|| session.idle.unwrap_or(now));
+        session.idle_since = idle.then(|| session.idle_since.unwrap_or(now));
         if idle {
-            self.look_by(now + self.keep);
+            self.schedule_expiry(now + self.idle_timeout);
         }
     }
 
-    fn look_by(&mut self, at: Micros) {
-        self.due = Some(self.due.map_or(at, |due| due.min(at)));
+    fn schedule_expiry(&mut self, time: Micros) {
+        self.next_expiry = Some(self.next_expiry.map_or(time, |next| next.min(time)));
     }
 
-    pub fn next_due(&self) -> Option<Micros> {
-        self.due
+    /// When [`Sessions::expire`] must be called next.
+    pub fn next_expiry(&self) -> Option<Micros> {
+        self.next_expiry
     }
 
-    /// Forgets the sessions that have been idle for too long.
+    /// Removes the sessions that have been idle for too long.
     pub fn expire(&mut self, now: Micros) {
-        if self.due.is_none_or(|due| due > now) {
+        if self.next_expiry.is_none_or(|time| time > now) {
             return;
         }
-        let keep = self.keep;
-        let over = |s: &Session| s.idle.is_some_and(|since| since + keep <= now);
-        let old: Vec<SessionKey> = self
+        let idle_timeout = self.idle_timeout;
+        let is_expired = |session: &Session| {
+            session
+                .idle_since
+                .is_some_and(|since| since + idle_timeout <= now)
+        };
+        let expired: Vec<SessionKey> = self
             .iter()
-            .filter(|(_, s)| over(s))
-            .map(|(k, _)| k)
+            .filter(|(_, session)| is_expired(session))
+            .map(|(key, _)| key)
             .collect();
-        for key in old {
+        for key in expired {
             self.destroy(key);
         }
-        self.due = self
-            .map
+        let oldest_idle = self
+            .sessions
             .values()
-            .filter_map(|s| s.idle)
-            .min()
-            .map(|since| since + keep);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A reader that comes back is told what it has missed, and plainly what nobody knows any more.
-    #[test]
-    fn a_bounded_history() {
-        let mut sessions = Sessions::new(2, 3, Micros(10));
-        let key = sessions.create(Micros(0), "s").unwrap();
-        let mut ids = crate::ids::Ids::new("n".to_owned());
-        for _ in 0..5 {
-            let job = ids.fresh();
-            let record = Record {
-                job,
-                state: JobState::Queued,
-                sub_state: None,
-            };
-            sessions.record(key, record);
-        }
-        let session = sessions.get(key).unwrap();
-        assert_eq!(session.next(0), Some(Next::Gap(1, 2)));
-        assert!(matches!(session.next(2), Some(Next::Event(3, _))));
-        assert!(matches!(session.next(4), Some(Next::Event(5, _))));
-        assert_eq!(session.next(5), None);
-        assert_eq!(session.next(u64::MAX), None);
-    }
-
-    #[test]
-    fn idle_sessions_go() {
-        let mut sessions = Sessions::new(1, 3, Micros(10));
-        let key = sessions.create(Micros(0), "s").unwrap();
-        assert!(sessions.create(Micros(0), "s").is_err());
-        sessions.get_mut(key).unwrap().readers.push(1);
-        sessions.settle(Micros(5), key);
-        assert!(sessions.create(Micros(5), "t").is_err());
-        sessions.expire(Micros(20));
-        assert_eq!(sessions.len(), 1);
-        sessions.get_mut(key).unwrap().readers.clear();
-        sessions.settle(Micros(30), key);
-        sessions.expire(Micros(39));
-        assert_eq!(sessions.len(), 1);
-        sessions.expire(Micros(40));
-        assert_eq!(sessions.len(), 0);
-        assert!(sessions.create(Micros(41), "t").is_ok());
-        // At the limit, an idle one makes room.
-        assert!(sessions.create(Micros(42), "u").is_ok());
-        assert_eq!(sessions.names(), ["u"]);
+            .filter_map(|session| session.idle_since)
+            .min();
+        self.next_expiry = oldest_idle.map(|since| since + idle_timeout);
     }
 }
--- a/crates/submission/src/state.rs
+++ b/crates/submission/src/state.rs
@@ -9,29 +9,29 @@
 )]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum JobState {
-    /// Nobody can tell. The node always can; a client may not.
+    /// Not known. The node never sends it; a client may use it.
     Undetermined,
-    /// To be run as soon as the decisions find a worker.
+    /// Waits until the scheduler finds a worker.
     #[default]
     Queued,
-    /// Not to be run before it is released, or its start time has come.
+    /// Held until it is released or its start time has come.
     QueuedHeld,
     /// A worker runs it.
     Running,
-    /// A worker has stopped it for a while. No worker here can.
+    /// Paused by a worker. Never entered: workers cannot suspend jobs.
     Suspended,
-    /// It ran, came back, and is to be run once more.
+    /// It ran, was returned by its worker, and waits for a retry.
     Requeued,
-    /// The same, but held. Never entered here: what has been sent is not held.
+    /// Like `Requeued`, but held. Never entered: a job that was sent cannot be held.
     RequeuedHeld,
-    /// Served: final.
+    /// Finished with a result: final.
     Done,
-    /// Refused, failed or terminated: final.
+    /// Rejected, failed or terminated: final.
     Failed,
 }
 
 impl JobState {
-    /// All of them, in the specification's order.
+    /// All states, in the specification's order.
     pub const ALL: [JobState; 9] = [
         JobState::Undetermined,
         JobState::Queued,
@@ -44,18 +44,17 @@
         JobState::Failed,
     ];
 
-    /// Whether it is never left.
+    /// Whether no transition leaves this state.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Done | JobState::Failed)
     }
 
-    /// Whether a wait for the start is over: the job runs or has ended (GFD.231, section 8.4).
+    /// Whether a wait for the start is satisfied: the job runs or has ended (GFD.231, section 8.4).
     pub fn has_started(self) -> bool {
         self.is_final() || matches!(self, JobState::Running | JobState::Suspended)
     }
 
-    /// The state that a change leads to; none where it is not legal. This is the whole table: nothing else changes a
-    /// job's state.
+    /// The state that a change leads to; `None` if the transition is illegal. No other code decides on transitions.
     pub fn after(self, change: Change) -> Option<JobState> {
         use Change::*;
         use JobState::*;
@@ -63,20 +62,20 @@
             (Queued, Hold) => Some(QueuedHeld),
             (QueuedHeld, Release) => Some(Queued),
             (Queued | Requeued, Start) => Some(Running),
-            // A second copy has started: no news.
+            // A hedged attempt has started.
             (Running, Start) => Some(Running),
             (Running, Return) => Some(Requeued),
             (Queued | QueuedHeld | Running | Requeued, Terminate) => Some(Failed),
-            // A held job may end without having been released: its time is up, or the node ends.
+            // A held job may end without a release: its deadline has passed, or the node shuts down.
             (Queued | QueuedHeld | Running | Requeued, Fail) => Some(Failed),
-            // Workers need not tell of a start.
+            // Workers need not report the start of a job.
             (Queued | Running | Requeued, Serve) => Some(Done),
             _ => None,
         }
     }
 
-    /// The word on the wire.
-    pub fn word(self) -> &'static str {
+    /// The state's name on the wire.
+    pub fn as_str(self) -> &'static str {
         match self {
             JobState::Undetermined => "UNDETERMINED",
             JobState::Queued => "QUEUED",
@@ -93,31 +92,31 @@
 
 impl fmt::Display for JobState {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
 
-/// What happens to a job.
+/// An event that changes the state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Its submitter holds it.
+    /// Its client holds it.
     Hold,
-    /// Its submitter releases it, or its start time has come.
+    /// Its client releases it, or its start time has come.
     Release,
     /// A worker runs it.
     Start,
-    /// It came back from a worker and waits for another.
+    /// A worker returned it, and it waits for another.
     Return,
-    /// Its submitter ends it.
+    /// Its client terminates it.
     Terminate,
-    /// It is refused, has failed, or its time is up.
+    /// It is rejected, has failed, or its deadline has passed.
     Fail,
-    /// A worker has made its result.
+    /// A worker has sent its result.
     Serve,
 }
 
 impl Change {
-    /// All of them.
+    /// All changes.
     pub const ALL: [Change; 7] = [
         Change::Hold,
         Change::Release,
@@ -129,39 +128,53 @@
     ];
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// Details of a state: how a job has ended, or why it is held.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum SubState {
+    /// The scheduler rejected it: a retry is harmless.
+    Rejected,
+    /// It may have run, but there is no result.
+    Failed,
+    /// Its deadline has passed.
+    Overdue,
+    /// A client terminated it.
+    Terminated,
+    /// It was held for too long.
+    Expired,
+    /// The process that had passed it to its scheduler is gone.
+    Lost,
+    /// It is held until its start time.
+    Scheduled,
+}
 
-    /// A final state is never left, by whatever change; and every state that is entered can still end.
-    #[test]
-    fn final_is_final() {
-        for state in JobState::ALL {
-            for change in Change::ALL {
-                let next = state.after(change);
-                assert!(!state.is_final() || next.is_none(), "{state} {change:?}");
-                if let Some(next) = next.filter(|next| !next.is_final()) {
-                    assert_eq!(next.after(Change::Fail), Some(JobState::Failed));
-                }
-            }
+impl SubState {
+    const ALL: [SubState; 7] = [
+        SubState::Rejected,
+        SubState::Failed,
+        SubState::Overdue,
+        SubState::Terminated,
+        SubState::Expired,
+        SubState::Lost,
+        SubState::Scheduled,
+    ];
+
+    /// The name on the wire.
+    pub(crate) fn as_str(self) -> &'static str {
+        match self {
+            SubState::Rejected => "refused",
+            SubState::Failed => "failed",
+            SubState::Overdue => "overdue",
+            SubState::Terminated => "terminated",
+            SubState::Expired => "expired",
+            SubState::Lost => "lost",
+            SubState::Scheduled => "scheduled",
         }
     }
 
-    /// The operators' table is this one.
-    #[test]
-    fn the_documented_table() {
-        let page = include_str!("../../../docs/submission.md");
-        for state in JobState::ALL {
-            for change in Change::ALL {
-                let Some(next) = state.after(change) else {
-                    continue;
-                };
-                let row = format!(
-                    "| `{state}` | {} | `{next}` |",
-                    format!("{change:?}").to_lowercase()
-                );
-                assert!(page.contains(&row), "docs/submission.md lacks: {row}");
-            }
-        }
+    /// The sub-state of a name on the wire.
+    pub(crate) fn parse(name: &str) -> Option<SubState> {
+        SubState::ALL
+            .into_iter()
+            .find(|sub_state| sub_state.as_str() == name)
     }
 }
--- a/crates/submission/tests/cases.rs
+++ b/crates/submission/tests/cases.rs
@@ -1,10 +1,10 @@
-//! The hard cases, one by one, in virtual time.
+//! Races, limits and losses, one by one, in virtual time.
 
 mod common;
 
 use common::{limits, Bench};
 use marbledeck_dispatcher::Micros;
-use marbledeck_submission::{Limits, Side, Verdict};
+use marbledeck_submission::{Limits, Partner, Verdict};
 use serde_json::{json, Value};
 
 fn served() -> Verdict {
@@ -19,14 +19,14 @@
     value[name].as_str().unwrap_or("").to_owned()
 }
 
-/// Terminate and done, in both orders: the first to come ends the job.
+/// Terminate and done, in both orders.
 #[test]
-fn terminate_against_done() {
+fn the_first_of_terminate_and_done_ends_the_job() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let first = b.run(1, json!({}))["jobId"].clone();
     let second = b.run(1, json!({}))["jobId"].clone();
-    let (one, two) = (b.order(&first), b.order(&second));
+    let (one, two) = (b.request(&first), b.request(&second));
     b.send(one, true);
     b.send(two, true);
     b.answer(one, served());
@@ -35,36 +35,39 @@
     assert_eq!(b.state(1, &first), "DONE");
     let done = b.ask(1, json!({"op": "terminate", "jobId": second}));
     assert_eq!(words(&done, "jobState"), "FAILED");
-    assert!(b.desk.open.is_empty());
-    assert!(!b.server.answer(b.now, two, served(), None));
+    assert!(b.scheduler.open.is_empty());
+    assert!(!b.server.handle_verdict(b.now, two, served(), None));
     assert_eq!(b.state(1, &second), "FAILED");
 }
 
 /// Hold and send, in both orders.
 #[test]
-fn hold_against_send() {
+fn a_job_can_be_held_only_before_it_is_sent() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let held = b.run(1, json!({}))["jobId"].clone();
     let answer = b.ask(1, json!({"op": "hold", "jobId": held}));
     assert_eq!(words(&answer, "jobState"), "QUEUED_HELD");
-    assert!(b.desk.open.is_empty(), "the decisions no longer have it");
+    assert!(
+        b.scheduler.open.is_empty(),
+        "the decisions no longer have it"
+    );
     let sent = b.run(1, json!({}))["jobId"].clone();
-    let order = b.order(&sent);
+    let order = b.request(&sent);
     b.send(order, false);
     let answer = b.ask(1, json!({"op": "hold", "jobId": sent}));
     assert_eq!(words(&answer, "error"), "INVALID_STATE");
     assert_eq!(b.state(1, &sent), "QUEUED");
     let answer = b.ask(1, json!({"op": "release", "jobId": held}));
     assert_eq!(words(&answer, "jobState"), "QUEUED");
-    let order = b.order(&held);
+    let order = b.request(&held);
     b.answer(order, served());
     assert_eq!(b.state(1, &held), "DONE");
 }
 
 /// Release and the end of the longest hold, in both orders.
 #[test]
-fn release_against_expiry() {
+fn a_job_that_is_not_released_in_time_expires() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let early = b.run(1, json!({"submitAsHold": true}))["jobId"].clone();
@@ -77,12 +80,12 @@
     let info = b.ask(1, json!({"op": "getJobInfo", "jobId": late}));
     assert_eq!(words(&info["jobInfo"], "jobSubState"), "expired");
     assert_eq!(b.state(1, &early), "QUEUED");
-    assert_eq!(b.desk.open.len(), 1);
+    assert_eq!(b.scheduler.open.len(), 1);
 }
 
-/// A start time holds a job until then, and a deadline that passes meanwhile ends it.
+/// The deadline passes before or after the start time.
 #[test]
-fn start_and_deadline_times() {
+fn a_start_time_holds_a_job_and_a_deadline_ends_it() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let ms = b.now.0 / 1000;
@@ -95,23 +98,23 @@
     );
     assert_eq!(words(&wrong, "error"), "INVALID_ARGUMENT");
     b.pass(secs(4));
-    assert!(b.desk.open.is_empty());
+    assert!(b.scheduler.open.is_empty());
     b.pass(secs(1));
-    assert_eq!(b.desk.open.len(), 1);
+    assert_eq!(b.scheduler.open.len(), 1);
     b.pass(secs(2));
     let info = b.ask(1, json!({"op": "getJobInfo", "jobId": never}));
     assert_eq!(words(&info["jobInfo"], "error"), "TIMEOUT");
     assert_eq!(words(&info["jobInfo"], "jobSubState"), "overdue");
 }
 
-/// A resubmission after a lost reply joins, also when the job was reaped, for as long as workers drop repeats.
+/// A resubmission after a lost answer joins as long as workers drop repeats.
 #[test]
-fn keys_outlive_reaping() {
+fn a_resubmission_joins_a_reaped_job_within_the_dedup_window() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let sheet = json!({"jobCategory": "sheet", "submissionKey": "k"});
     let job = b.run(1, sheet.clone())["jobId"].clone();
-    let order = b.order(&job);
+    let order = b.request(&job);
     b.send(order, true);
     let early = b.ask(1, json!({"op": "reap", "jobId": job}));
     assert_eq!(words(&early, "error"), "INVALID_STATE");
@@ -132,12 +135,12 @@
     assert_eq!(words(&other, "error"), "INVALID_ARGUMENT");
     b.pass(secs(41));
     assert_eq!(b.run(1, sheet)["duplicate"], json!(false));
-    assert_eq!(b.desk.taken, 2);
+    assert_eq!(b.scheduler.submitted, 2);
 }
 
-/// `maxParallel` holds at every instant, whatever becomes of the members; a refused one makes the others rest.
+/// A rejected member pauses the others.
 #[test]
-fn an_array_at_its_bound() {
+fn max_parallel_holds_whatever_becomes_of_the_members() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let bulk = json!({"op": "runBulkJobs", "beginIndex": 1, "endIndex": 200, "maxParallel": 3,
@@ -147,8 +150,8 @@
     b.pass(secs(0));
     let array = answer["jobArrayId"].clone();
     for round in 0..40 {
-        assert_eq!(b.desk.open.len(), 3, "round {round}");
-        let id = *b.desk.open.keys().next().unwrap();
+        assert_eq!(b.scheduler.open.len(), 3, "round {round}");
+        let id = *b.scheduler.open.keys().next().unwrap();
         b.send(id, round % 2 == 0);
         match round % 4 {
             0 => b.answer(id, served()),
@@ -158,14 +161,19 @@
                 b.answer(id, served());
             }
             _ => {
-                b.answer(id, Verdict::Rejected(Some(secs(2))));
+                b.answer(
+                    id,
+                    Verdict::Rejected {
+                        retry_after: Some(secs(2)),
+                    },
+                );
                 assert_eq!(
-                    b.desk.open.len(),
+                    b.scheduler.open.len(),
                     2,
                     "no other is handed on into the refusal"
                 );
                 b.pass(secs(1));
-                assert_eq!(b.desk.open.len(), 2);
+                assert_eq!(b.scheduler.open.len(), 2);
                 b.pass(secs(1));
             }
         }
@@ -175,35 +183,35 @@
     assert_eq!(info["jobArray"]["ended"], 40);
     assert_eq!(info["jobArray"]["active"], 3);
     // All is ended, and none is started by that.
-    let taken = b.desk.taken;
+    let taken = b.scheduler.submitted;
     let all = b.ask(1, json!({"op": "terminate", "jobArrayId": array}));
     assert_eq!(
         (&all["changed"], &all["refused"]),
         (&json!(160), &json!(40))
     );
     b.pass(secs(3));
-    assert_eq!((b.desk.open.len(), b.desk.taken), (0, taken));
+    assert_eq!((b.scheduler.open.len(), b.scheduler.submitted), (0, taken));
 }
 
-/// The core cannot take one more just now: the member keeps its place.
+/// The scheduler cannot accept another job for a while.
 #[test]
-fn an_array_against_a_full_core() {
+fn a_member_keeps_its_place_while_the_scheduler_is_full() {
     let mut b = Bench::new(limits());
     b.connect(1);
-    b.desk.full = true;
+    b.scheduler.full = true;
     let bulk = json!({"op": "runBulkJobs", "beginIndex": 1, "endIndex": 3, "maxParallel": 2,
         "template": {"remoteCommand": "/x", "jobCategory": "preview"}});
     b.ask(1, bulk);
     b.pass(secs(3));
-    assert!(b.desk.open.is_empty());
-    b.desk.full = false;
+    assert!(b.scheduler.open.is_empty());
+    b.scheduler.full = false;
     b.pass(secs(1));
-    assert_eq!(b.desk.open.len(), 2);
+    assert_eq!(b.scheduler.open.len(), 2);
 }
 
-/// A bulk into the limits: each index is answered, part of them taken.
+/// A part of the bulk is accepted.
 #[test]
-fn limits_in_the_middle_of_a_bulk() {
+fn a_bulk_beyond_the_limits_answers_every_index() {
     let mut b = Bench::new(Limits {
         max_jobs: 100,
         ..limits()
@@ -233,32 +241,31 @@
     assert_eq!((taken, later), (100, 200));
 }
 
-/// A submitter that dies in the middle of a bulk: what was taken goes on, the rest is not taken, and coming back with
-/// the same keys runs nothing twice.
+/// Accepted jobs go on, the rest is dropped, and a resubmission with the same keys runs nothing twice.
 #[test]
-fn a_submitter_dies_in_a_bulk() {
+fn a_client_lost_in_a_bulk_can_resubmit_without_repeats() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let bulk = json!({"op": "runBulkJobs", "beginIndex": 1, "endIndex": 400, "seq": 7,
         "template": {"remoteCommand": "/x", "jobCategory": "sheet", "submissionKey": "k-${PARAMETRIC_INDEX}"}});
     b.say(1, bulk.clone());
-    let before = b.desk.open.len();
+    let before = b.scheduler.open.len();
     assert!((64..400).contains(&before));
-    b.server.disconnect(b.now, 1);
+    b.server.handle_disconnect(b.now, 1);
     b.pass(secs(1));
-    assert_eq!(b.desk.open.len(), before);
+    assert_eq!(b.scheduler.open.len(), before);
     b.connect(2);
     b.say(2, bulk);
     for _ in 0..10 {
         b.turn();
     }
-    assert_eq!(b.desk.taken, 400);
-    assert_eq!(b.desk.duplicates as usize, before);
+    assert_eq!(b.scheduler.submitted, 400);
+    assert_eq!(b.scheduler.duplicates as usize, before);
 }
 
-/// A reader that does not read costs a cursor, hears of a gap, and misses nothing else.
+/// A reader that does not read costs only its position.
 #[test]
-fn a_reader_that_lags() {
+fn a_lagging_reader_gets_a_gap_and_misses_nothing_else() {
     let mut b = Bench::new(limits());
     b.connect(1);
     b.connect(2);
@@ -270,8 +277,8 @@
         let line = json!({"op": "runJob", "seq": n, "session": "s",
             "template": {"remoteCommand": "/x", "jobCategory": "preview"}});
         let bytes = serde_json::to_vec(&line).unwrap();
-        b.server.line(b.now, 2, &bytes, &mut b.desk);
-        b.server.admitted(b.now);
+        b.server.handle_line(b.now, 2, &bytes, &mut b.scheduler);
+        b.server.answer_submissions(b.now);
         b.read_all(2);
     }
     let events = |lines: Vec<Value>| -> Vec<Value> {
@@ -293,7 +300,7 @@
     assert_eq!((to, first.len()), (36, 65));
     assert_eq!(first[1]["number"], to + 1);
     // Come back, it names what it has seen.
-    b.server.disconnect(b.now, 1);
+    b.server.handle_disconnect(b.now, 1);
     b.connect(3);
     let line = b.ask(3, json!({"op": "openSession", "name": "s", "since": 98}));
     assert_eq!(line["lastEvent"], 100);
@@ -302,9 +309,9 @@
     assert_eq!(words(&ahead, "error"), "INVALID_ARGUMENT");
 }
 
-/// 64 submitters with 1,024 waits each come back at once, and all waits are answered by one end.
+/// 64 clients with 1,024 waits each.
 #[test]
-fn a_mass_of_waits() {
+fn one_end_answers_all_waits_of_many_clients() {
     let mut b = Bench::new(limits());
     b.connect(0);
     let job = b.run(0, json!({}))["jobId"].clone();
@@ -313,17 +320,17 @@
         for seq in 0..1024 {
             let line = json!({"op": "waitTerminated", "seq": seq, "jobId": job});
             let bytes = serde_json::to_vec(&line).unwrap();
-            b.server.line(b.now, peer, &bytes, &mut b.desk);
+            b.server.handle_line(b.now, peer, &bytes, &mut b.scheduler);
         }
         let more = b.ask(peer, json!({"op": "waitTerminated", "jobId": job}));
         assert_eq!(words(&more, "error"), "TRY_LATER");
     }
-    assert_eq!(b.server.holds().waits, 64 * 1024);
-    b.server.disconnect(b.now, 64);
-    assert_eq!(b.server.holds().waits, 63 * 1024);
-    let order = b.order(&job);
+    assert_eq!(b.server.usage().waits, 64 * 1024);
+    b.server.handle_disconnect(b.now, 64);
+    assert_eq!(b.server.usage().waits, 63 * 1024);
+    let order = b.request(&job);
     b.answer(order, served());
-    assert_eq!(b.server.holds().waits, 0);
+    assert_eq!(b.server.usage().waits, 0);
     for peer in 1..64 {
         let told = b.take(peer);
         let seqs: Vec<u64> = told.iter().filter_map(|v| v["seq"].as_u64()).collect();
@@ -331,9 +338,9 @@
     }
 }
 
-/// Waits for any: of a list, an array, a session; at once where one is met, with a time-out, and at a session's end.
+/// Waits for a list, an array and a session: met at once, timed out, and ended with the session.
 #[test]
-fn waits_for_any() {
+fn a_wait_for_any_ends_with_the_first_match() {
     let mut b = Bench::new(limits());
     b.connect(1);
     b.ask(1, json!({"op": "createSession", "name": "s"}));
@@ -353,7 +360,7 @@
         1,
         json!({"op": "waitAnyTerminated", "seq": "c", "jobIds": [jobs[0]], "timeoutMs": 1000}),
     );
-    let one = b.order(&jobs[1]);
+    let one = b.request(&jobs[1]);
     b.send(one, true);
     let told = |b: &mut Bench, seq: &str| b.take(1).into_iter().find(|v| v["seq"] == seq);
     let first = told(&mut b, "a").expect("it runs");
@@ -378,9 +385,9 @@
     assert_eq!(b.state(1, &jobs[0]), "QUEUED");
 }
 
-/// Lists are paged, filtered, and never look at more than a bounded number of jobs.
+/// A page examines a bounded number of jobs.
 #[test]
-fn lists_in_pages() {
+fn lists_are_filtered_and_paged() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let bulk = json!({"op": "runBulkJobs", "beginIndex": 1, "endIndex": 250, "maxParallel": 1,
@@ -414,9 +421,9 @@
     assert!(words(&wrong, "message").contains("jobNmae"), "{wrong}");
 }
 
-/// What is not supported is refused by name, and announced.
+/// By attribute and operation.
 #[test]
-fn what_is_not_there() {
+fn unsupported_features_are_rejected_and_announced() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let caps = b.ask(1, json!({"op": "getCapabilities"}));
@@ -433,7 +440,7 @@
     let job = b.run(1, json!({"rerunnable": true}))["jobId"].clone();
     let waits = b.ask(1, json!({"op": "suspend", "jobId": job}));
     assert_eq!(words(&waits, "error"), "INVALID_STATE");
-    let order = b.order(&job);
+    let order = b.request(&job);
     b.send(order, true);
     let runs = b.ask(1, json!({"op": "suspend", "jobId": job}));
     assert_eq!(words(&runs, "error"), "UNSUPPORTED_OPERATION");
@@ -443,27 +450,27 @@
     assert_eq!(words(&reservations, "error"), "UNSUPPORTED_OPERATION");
 }
 
-/// Carries what is to be told from one process to the other, as far as `most` messages go.
-fn carry(old: &mut Bench, new: &mut Bench, most: usize) -> usize {
+/// Exchanges at most `max_messages` messages between predecessor and successor.
+fn carry(old: &mut Bench, new: &mut Bench, max_messages: usize) -> usize {
     let mut carried = 0;
     loop {
         let before = carried;
-        while carried < most {
-            let Some(told) = old.server.pull_transfer(Side::Heir) else {
+        while carried < max_messages {
+            let Some(message) = old.server.next_transfer(Partner::Successor) else {
                 break;
             };
-            let told = serde_json::from_value(serde_json::to_value(told).unwrap()).unwrap();
+            let message = serde_json::from_value(serde_json::to_value(message).unwrap()).unwrap();
             new.server
-                .take_transfer(new.now, Side::Elder, told, &mut new.desk);
+                .handle_transfer(new.now, Partner::Predecessor, message, &mut new.scheduler);
             carried += 1;
         }
-        while carried < most {
-            let Some(told) = new.server.pull_transfer(Side::Elder) else {
+        while carried < max_messages {
+            let Some(message) = new.server.next_transfer(Partner::Predecessor) else {
                 break;
             };
-            let told = serde_json::from_value(serde_json::to_value(told).unwrap()).unwrap();
+            let message = serde_json::from_value(serde_json::to_value(message).unwrap()).unwrap();
             old.server
-                .take_transfer(old.now, Side::Heir, told, &mut old.desk);
+                .handle_transfer(old.now, Partner::Successor, message, &mut old.scheduler);
             carried += 1;
         }
         if carried == before {
@@ -472,10 +479,11 @@
     }
 }
 
-/// An upgrade that is cut after any number of messages, by the loss of either process: each job ends once, no key is
-/// handed on twice, and the survivor has all that was acknowledged.
+/// The loss of either process after any number of messages: no key is submitted twice, and the survivor has all
+/// acknowledged jobs.
 #[test]
-fn an_upgrade_cut_anywhere() {
+#[expect(clippy::too_many_lines, reason = "one handover, from both sides")]
+fn a_handover_cut_anywhere_ends_every_job_once() {
     for most in 0..40 {
         for old_dies in [false, true] {
             let mut old = Bench::named(limits(), "n0-1");
@@ -484,10 +492,10 @@
             let sheet =
                 |key: &str| json!({"jobCategory": "sheet", "submissionKey": key, "session": "s"});
             let out = old.run(1, sheet("out"))["jobId"].clone();
-            let order = old.order(&out);
+            let order = old.request(&out);
             old.send(order, true);
             let done = old.run(1, sheet("done"))["jobId"].clone();
-            let finished = old.order(&done);
+            let finished = old.request(&done);
             old.send(finished, true);
             old.answer(finished, served());
             let mut held = sheet("held");
@@ -497,19 +505,20 @@
                 "template": {"remoteCommand": "/x", "jobCategory": "sheet", "submissionKey": "b${PARAMETRIC_INDEX}"}});
             let array = old.ask(1, bulk.clone())["jobArrayId"].clone();
             old.pass(secs(0));
-            assert_eq!(old.desk.open.len(), 3);
+            assert_eq!(old.scheduler.open.len(), 3);
             let mut new = Bench::named(limits(), "n0-2");
             new.now = old.now;
-            new.server.expect_transfer(new.now);
-            old.server.begin_transfer();
-            old.server.disconnect(old.now, 1);
+            new.server.expect_predecessor(new.now);
+            old.server.begin_handover();
+            old.server.handle_disconnect(old.now, 1);
             let carried = carry(&mut old, &mut new, most);
             let whole = carried < most;
             let mut survivor = if old_dies {
-                new.server.partner_lost(new.now, Side::Elder);
+                new.server
+                    .handle_partner_lost(new.now, Partner::Predecessor);
                 new
             } else {
-                old.server.partner_lost(old.now, Side::Heir);
+                old.server.handle_partner_lost(old.now, Partner::Successor);
                 old
             };
             survivor.connect(5);
@@ -540,7 +549,7 @@
             // All that still waits runs, each key once.
             for _ in 0..40 {
                 survivor.pass(secs(0));
-                for id in survivor.desk.open.keys().copied().collect::<Vec<_>>() {
+                for id in survivor.scheduler.open.keys().copied().collect::<Vec<_>>() {
                     survivor.send(id, true);
                     survivor.answer(id, served());
                 }
@@ -558,10 +567,9 @@
     }
 }
 
-/// Over a whole upgrade: what is out ends with the old process and is told by the new one, and the array's bound
-/// holds over both.
+/// Jobs in flight end with the predecessor, the successor reports them, and `maxParallel` holds over both.
 #[test]
-fn an_upgrade() {
+fn jobs_in_flight_end_across_a_handover() {
     let mut old = Bench::named(limits(), "n0-1");
     old.connect(1);
     old.ask(1, json!({"op": "createSession", "name": "s"}));
@@ -572,26 +580,26 @@
     old.pass(secs(0));
     let mut new = Bench::named(limits(), "n0-2");
     new.now = old.now;
-    new.server.expect_transfer(new.now);
+    new.server.expect_predecessor(new.now);
     new.connect(9);
-    assert!(!new.server.wants_line(9), "not before all is known");
-    old.server.begin_transfer();
+    assert!(!new.server.accepts_line(9), "not before all is known");
+    old.server.begin_handover();
     carry(&mut old, &mut new, usize::MAX);
-    assert!(new.server.wants_line(9) && old.server.is_handed_over());
+    assert!(new.server.accepts_line(9) && old.server.is_handover_complete());
     new.pass(secs(1));
     old.pass(secs(1));
-    assert_eq!((old.desk.open.len(), new.desk.open.len()), (2, 0));
+    assert_eq!((old.scheduler.open.len(), new.scheduler.open.len()), (2, 0));
     new.ask(9, json!({"op": "openSession", "name": "s", "since": 5}));
     new.say(
         9,
         json!({"op": "waitTerminated", "seq": "w", "jobId": first}),
     );
-    let order = old.order(&first);
+    let order = old.request(&first);
     old.send(order, true);
     old.answer(order, served());
     carry(&mut old, &mut new, usize::MAX);
     new.pass(secs(0));
-    assert_eq!((old.desk.open.len(), new.desk.open.len()), (1, 1));
+    assert_eq!((old.scheduler.open.len(), new.scheduler.open.len()), (1, 1));
     let read = new.take(9);
     let waited = read
         .iter()
@@ -608,22 +616,22 @@
     let ended = new.ask(9, json!({"op": "terminate", "jobId": second}));
     assert_eq!(words(&ended, "jobState"), "FAILED");
     carry(&mut old, &mut new, usize::MAX);
-    assert!(old.desk.open.is_empty());
+    assert!(old.scheduler.open.is_empty());
     new.pass(secs(0));
-    assert_eq!(new.desk.open.len(), 2);
+    assert_eq!(new.scheduler.open.len(), 2);
 }
 
-/// A process that ends and is not replaced refuses what only waits, with a time to come back.
+/// With a retry hint.
 #[test]
-fn an_end_without_an_heir() {
+fn a_shutdown_without_successor_rejects_waiting_jobs() {
     let mut b = Bench::new(limits());
     b.connect(1);
     let held = b.run(1, json!({"submitAsHold": true}))["jobId"].clone();
     let out = b.run(1, json!({}))["jobId"].clone();
-    b.server.end();
+    b.server.begin_shutdown();
     let more = b.run(1, json!({}));
     assert_eq!(words(&more, "error"), "TRY_LATER");
-    b.server.refuse_waiting(b.now);
+    b.server.reject_waiting(b.now);
     b.turn();
     let info = b.ask(1, json!({"op": "getJobInfo", "jobId": held}))["jobInfo"].clone();
     assert_eq!(words(&info, "jobSubState"), "refused");
@@ -644,26 +652,26 @@
     }
 }
 
-/// A submitter dies, or the node is told to end, or another process takes over, after any number of turns of a bulk of
-/// 10,000: whoever resubmits it gets each index taken once.
+/// A client, the node, or its process ends after any number of turns of a bulk of 10,000: a resubmission gets each
+/// index accepted once.
 #[test]
-fn a_bulk_cut_at_every_step() {
+fn a_bulk_cut_at_every_turn_can_be_resubmitted() {
     for turns in (0..170).step_by(33) {
         for how in ["dies", "ends", "upgrade"] {
             let mut b = Bench::named(roomy(), "n0-1");
             b.connect(1);
             b.say(1, keyed_bulk(7));
             (0..turns).for_each(|_| b.turn());
-            let before = b.desk.taken;
+            let before = b.scheduler.submitted;
             let mut heir = None;
             match how {
-                "dies" => b.server.disconnect(b.now, 1),
-                "ends" => b.server.end(),
+                "dies" => b.server.handle_disconnect(b.now, 1),
+                "ends" => b.server.begin_shutdown(),
                 _ => {
                     let mut new = Bench::named(roomy(), "n0-2");
-                    new.server.expect_transfer(new.now);
-                    b.server.begin_transfer();
-                    b.server.disconnect(b.now, 1);
+                    new.server.expect_predecessor(new.now);
+                    b.server.begin_handover();
+                    b.server.handle_disconnect(b.now, 1);
                     carry(&mut b, &mut new, usize::MAX);
                     heir = Some(new);
                 }
@@ -678,27 +686,38 @@
                     .collect();
                 assert_eq!(answered.len(), 10_000, "{turns}");
                 let taken = answered.iter().filter(|j| j["jobId"].is_string()).count();
-                assert_eq!((taken as u64, b.desk.taken), (before, before), "{turns}");
+                assert_eq!(
+                    (taken as u64, b.scheduler.submitted),
+                    (before, before),
+                    "{turns}"
+                );
                 continue;
             }
-            assert_eq!(b.desk.taken, before, "{how} {turns}: nothing more is taken");
+            assert_eq!(
+                b.scheduler.submitted, before,
+                "{how} {turns}: nothing more is taken"
+            );
             let elders = if heir.is_some() { before } else { 0 };
             let mut survivor = heir.unwrap_or(b);
             survivor.connect(2);
             survivor.say(2, keyed_bulk(8));
             (0..200).for_each(|_| survivor.turn());
-            assert_eq!(survivor.desk.taken + elders, 10_000, "{how} {turns}");
-            assert_eq!(survivor.desk.duplicates, before, "{how} {turns}");
+            assert_eq!(
+                survivor.scheduler.submitted + elders,
+                10_000,
+                "{how} {turns}"
+            );
+            assert_eq!(survivor.scheduler.duplicates, before, "{how} {turns}");
         }
     }
 }
 
-/// A fleet of 10,000 is told in lines that each fit a connection's buffer.
+/// 10,000 machines; each line fits the buffer of a connection.
 #[test]
-fn a_large_fleet_in_parts() {
+fn a_large_fleet_is_answered_in_short_lines() {
     let mut b = Bench::new(limits());
     b.connect(1);
-    b.desk.machines = 9_999;
+    b.scheduler.machines = 9_999;
     b.say(1, json!({"op": "getAllMachines", "seq": 1}));
     let lines = b.take(1);
     assert_eq!(lines.len(), 50);
@@ -709,7 +728,7 @@
         .map(|line| line["machines"].as_array().unwrap().len())
         .sum();
     assert_eq!((more, told), (49, 10_000));
-    b.desk.machines = 0;
+    b.scheduler.machines = 0;
     let one = b.ask(1, json!({"op": "getAllMachines", "names": ["none"]}));
     assert_eq!((&one["machines"], &one["more"]), (&json!([]), &Value::Null));
 }
--- a/crates/submission/tests/common/mod.rs
+++ b/crates/submission/tests/common/mod.rs
@@ -1,51 +1,51 @@
-//! A server with a scripted desk, in virtual time.
-#![allow(dead_code)]
+//! A server with a scripted scheduler, in virtual time.
+#![allow(dead_code, reason = "each test program uses a part of this module")]
 
 pub mod transcript;
 
 use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_submission::message::{Machine, Problem, Queue};
-use marbledeck_submission::server::Peer;
-use marbledeck_submission::{ClassFacts, Desk, Limits, Order, Server, Verdict};
+use marbledeck_submission::server::ClientId;
+use marbledeck_submission::{ClassProperties, JobRequest, Limits, Scheduler, Server, Verdict};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// How long the stand-in for the workers drops repeats of a key.
+/// How long the simulated workers drop repeats of a key.
 pub const WINDOW: Micros = Micros(40_000_000);
 
-/// An order that the desk has taken.
+/// A job that the scheduler has accepted.
 #[derive(Clone, Debug)]
-pub struct Taken {
-    pub txn: String,
+pub struct AcceptedJob {
+    pub job_id: String,
     pub key: Option<String>,
     pub tenant: Option<String>,
     /// When it was last sent to a worker.
     pub sent: Option<Micros>,
 }
 
-/// A desk whose decisions the test takes.
+/// A scheduler whose decisions the test makes.
 #[derive(Debug, Default)]
 pub struct Script {
-    pub open: BTreeMap<RequestId, Taken>,
-    pub taken: u64,
+    pub open: BTreeMap<RequestId, AcceptedJob>,
+    pub submitted: u64,
     pub duplicates: u64,
-    /// No order is taken, for so long.
+    /// Every job is rejected while this is set.
     pub full: bool,
     /// How many machines there are besides one.
     pub machines: usize,
 }
 
-impl Desk for Script {
-    fn class(&self, name: &str) -> Option<ClassFacts> {
+impl Scheduler for Script {
+    fn class_properties(&self, name: &str) -> Option<ClassProperties> {
         let window = match name {
             "preview" => Micros(0),
             "sheet" => WINDOW,
             _ => return None,
         };
-        Some(ClassFacts {
+        Some(ClassProperties {
             deadline: Micros(10_000_000),
-            window,
-            reruns: true,
+            dedup_window: window,
+            allows_retries: true,
         })
     }
 
@@ -58,30 +58,36 @@
         }
     }
 
-    fn take_in(&mut self, _: Micros, order: Order) -> Result<RequestId, Problem> {
-        self.check(order.class, order.tenant, order.key.is_some())?;
+    fn submit(&mut self, _: Micros, request: JobRequest) -> Result<RequestId, Problem> {
+        self.check(request.class, request.tenant, request.key.is_some())?;
         if self.full {
             return Err(Problem::later("too many invocations are open", 500));
         }
-        let id = RequestId(self.taken);
-        self.taken += 1;
-        let taken = Taken {
-            txn: order.txn,
-            key: order.key,
-            tenant: order.tenant.map(str::to_owned),
+        let id = RequestId(self.submitted);
+        self.submitted += 1;
+        let accepted = AcceptedJob {
+            job_id: request.job_id,
+            key: request.key,
+            tenant: request.tenant.map(str::to_owned),
             sent: None,
         };
-        assert!(self.open.values().all(|other| other.txn != taken.txn));
-        self.open.insert(id, taken);
+        assert!(self
+            .open
+            .values()
+            .all(|other| other.job_id != accepted.job_id));
+        self.open.insert(id, accepted);
         Ok(id)
     }
 
     fn recall(&mut self, _: Micros, id: RequestId) -> bool {
-        let unsent = self.open.get(&id).is_some_and(|taken| taken.sent.is_none());
+        let unsent = self
+            .open
+            .get(&id)
+            .is_some_and(|accepted| accepted.sent.is_none());
         unsent && self.open.remove(&id).is_some()
     }
 
-    fn gone(&mut self, _: Micros, id: RequestId) -> Option<Micros> {
+    fn abandon(&mut self, _: Micros, id: RequestId) -> Option<Micros> {
         self.open.remove(&id)?.sent
     }
 
@@ -107,12 +113,12 @@
     }
 }
 
-/// A server, its desk, and what its submitters have read.
+/// A server, its scheduler, and what its clients have read.
 pub struct Bench {
     pub now: Micros,
     pub server: Server,
-    pub desk: Script,
-    pub read: BTreeMap<Peer, Vec<Value>>,
+    pub scheduler: Script,
+    pub read: BTreeMap<ClientId, Vec<Value>>,
 }
 
 pub fn limits() -> Limits {
@@ -121,10 +127,10 @@
         max_bytes: 1 << 24,
         max_bulk: 500,
         max_sessions: 8,
-        history: 64,
-        retain: Micros(60_000_000),
-        longest_hold: Micros(100_000_000),
-        keep_session: Micros(500_000_000),
+        max_session_events: 64,
+        retention: Micros(60_000_000),
+        max_hold: Micros(100_000_000),
+        session_idle_timeout: Micros(500_000_000),
     }
 }
 
@@ -137,26 +143,27 @@
         Bench {
             now: Micros(1_000_000_000),
             server: Server::new(limits, prefix.to_owned()),
-            desk: Script::default(),
+            scheduler: Script::default(),
             read: BTreeMap::new(),
         }
     }
 
-    pub fn connect(&mut self, peer: Peer) {
-        self.server.connect(peer);
+    pub fn connect(&mut self, peer: ClientId) {
+        self.server.handle_connect(peer);
         self.read.insert(peer, Vec::new());
     }
 
-    /// Hands in a line and lets all that follows from it happen.
-    pub fn say(&mut self, peer: Peer, line: Value) {
+    /// Passes in a line and lets everything happen that follows from it.
+    pub fn say(&mut self, peer: ClientId, line: Value) {
         let bytes = serde_json::to_vec(&line).unwrap();
-        assert!(self.server.wants_line(peer), "not read from: {line}");
-        self.server.line(self.now, peer, &bytes, &mut self.desk);
+        assert!(self.server.accepts_line(peer), "not read from: {line}");
+        self.server
+            .handle_line(self.now, peer, &bytes, &mut self.scheduler);
         self.turn();
     }
 
-    /// The same, and the answer to it.
-    pub fn ask(&mut self, peer: Peer, mut line: Value) -> Value {
+    /// Passes in a request and returns its answer.
+    pub fn ask(&mut self, peer: ClientId, mut line: Value) -> Value {
         line["seq"] = "ask".into();
         self.say(peer, line);
         for _ in 0..10_000 {
@@ -169,23 +176,23 @@
         panic!("no answer: {:?}", self.read[&peer]);
     }
 
-    /// Everything that is due by now, and the reading of it.
+    /// Does everything that is due and reads all output.
     pub fn turn(&mut self) {
-        self.server.wake(self.now, &mut self.desk);
-        self.server.admitted(self.now);
-        for peer in self.server.take_talkative() {
+        self.server.wake(self.now, &mut self.scheduler);
+        self.server.answer_submissions(self.now);
+        for peer in self.server.take_readable_clients() {
             self.read_all(peer);
         }
     }
 
-    pub fn read_all(&mut self, peer: Peer) {
-        while let Some(line) = self.server.pull(peer) {
+    pub fn read_all(&mut self, peer: ClientId) {
+        while let Some(line) = self.server.next_line(peer) {
             let value = serde_json::from_slice(&line).expect("a line is an object");
             self.read.entry(peer).or_default().push(value);
         }
     }
 
-    /// Lets time pass, waking the server whenever it wants to be.
+    /// Lets time pass and wakes the server whenever it asks for it.
     pub fn pass(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(at) = self.server.next_wake().filter(|at| *at <= end) {
@@ -196,42 +203,42 @@
         self.turn();
     }
 
-    /// A worker is sent an order, and perhaps runs it.
+    /// A worker is sent a job, and perhaps runs it.
     pub fn send(&mut self, id: RequestId, runs: bool) {
-        if let Some(taken) = self.desk.open.get_mut(&id) {
-            taken.sent = Some(self.now);
+        if let Some(accepted) = self.scheduler.open.get_mut(&id) {
+            accepted.sent = Some(self.now);
             if runs {
-                self.server.running(self.now, id, Some("w1".into()));
+                self.server.handle_started(self.now, id, Some("w1".into()));
             }
             self.turn();
         }
     }
 
     pub fn requeue(&mut self, id: RequestId) {
-        self.server.requeued(self.now, id);
+        self.server.handle_requeued(self.now, id);
         self.turn();
     }
 
     pub fn answer(&mut self, id: RequestId, verdict: Verdict) {
-        let Some(taken) = self.desk.open.remove(&id) else {
+        let Some(accepted) = self.scheduler.open.remove(&id) else {
             return;
         };
         // What was refused has not run.
-        let sent = taken
+        let sent = accepted
             .sent
-            .filter(|_| !matches!(verdict, Verdict::Rejected(_)));
-        assert!(self.server.answer(self.now, id, verdict, sent));
+            .filter(|_| !matches!(verdict, Verdict::Rejected { .. }));
+        assert!(self.server.handle_verdict(self.now, id, verdict, sent));
         self.turn();
     }
 
-    /// The open order of a job.
-    pub fn order(&self, job: &Value) -> RequestId {
-        let found = self.desk.open.iter();
-        let mut found = found.filter(|(_, taken)| taken.txn == job.as_str().unwrap());
-        *found.next().expect("with the decisions").0
+    /// The request as which a job is with the scheduler.
+    pub fn request(&self, job: &Value) -> RequestId {
+        let found = self.scheduler.open.iter();
+        let mut found = found.filter(|(_, accepted)| accepted.job_id == job.as_str().unwrap());
+        *found.next().expect("with the scheduler").0
     }
 
-    pub fn run(&mut self, peer: Peer, more: Value) -> Value {
+    pub fn run(&mut self, peer: ClientId, more: Value) -> Value {
         let mut line =
             json!({"op": "runJob", "template": {"remoteCommand": "/x", "jobCategory": "preview"}});
         for (name, value) in more.as_object().unwrap() {
@@ -245,7 +252,7 @@
         self.ask(peer, line)
     }
 
-    pub fn state(&mut self, peer: Peer, job: &Value) -> String {
+    pub fn state(&mut self, peer: ClientId, job: &Value) -> String {
         let info = self.ask(peer, json!({"op": "getJobInfo", "jobId": job}));
         info["jobInfo"]["jobState"]
             .as_str()
@@ -253,7 +260,7 @@
             .to_owned()
     }
 
-    pub fn take(&mut self, peer: Peer) -> Vec<Value> {
+    pub fn take(&mut self, peer: ClientId) -> Vec<Value> {
         std::mem::take(self.read.get_mut(&peer).unwrap())
     }
 }
--- a/crates/submission/tests/common/transcript.rs
+++ b/crates/submission/tests/common/transcript.rs
@@ -2,18 +2,18 @@
 
 use super::Script;
 use marbledeck_dispatcher::{Micros, RequestId};
-use marbledeck_submission::server::Peer;
-use marbledeck_submission::{Limits, Server, Side, Transfer, Verdict};
+use marbledeck_submission::server::ClientId;
+use marbledeck_submission::{Limits, Partner, Server, Transfer, Verdict};
 use std::fmt::Write;
 
 /// More turns than any step of a test needs.
-const MOST_TURNS: usize = 10_000;
+const MAX_TURNS: usize = 10_000;
 
-/// A server whose lines are written down: `>` marks a line from a submitter, `<` one to it, `#` what happens besides.
+/// A server whose lines are written down: `>` marks a line from a client, `<` one to it, `#` what happens besides.
 pub struct Transcript {
     pub now: Micros,
     pub server: Server,
-    pub desk: Script,
+    pub scheduler: Script,
     text: String,
 }
 
@@ -22,7 +22,7 @@
         Transcript {
             now: Micros(1_000_000_000),
             server: Server::new(limits, prefix.to_owned()),
-            desk: Script::default(),
+            scheduler: Script::default(),
             text: String::new(),
         }
     }
@@ -36,53 +36,54 @@
         let _ = writeln!(self.text, "# {text}");
     }
 
-    pub fn connect(&mut self, peer: Peer) {
+    pub fn connect(&mut self, peer: ClientId) {
         self.note(&format!("{peer} connects"));
-        self.server.connect(peer);
+        self.server.handle_connect(peer);
     }
 
-    pub fn disconnect(&mut self, peer: Peer) {
+    pub fn disconnect(&mut self, peer: ClientId) {
         self.note(&format!("{peer} disconnects"));
-        self.server.disconnect(self.now, peer);
+        self.server.handle_disconnect(self.now, peer);
         self.settle();
     }
 
-    /// Hands in a line, and nothing that follows from it happens yet.
-    pub fn hand_in(&mut self, peer: Peer, line: &[u8]) {
-        assert!(self.server.wants_line(peer), "not read from");
+    /// Passes in a line; nothing that follows from it happens yet.
+    pub fn pass_in(&mut self, peer: ClientId, line: &[u8]) {
+        assert!(self.server.accepts_line(peer), "not read from");
         let shown = match std::str::from_utf8(line) {
             Ok(text) => text.to_owned(),
             Err(_) => line.escape_ascii().to_string(),
         };
         let _ = writeln!(self.text, "{peer}> {shown}");
-        self.server.line(self.now, peer, line, &mut self.desk);
+        self.server
+            .handle_line(self.now, peer, line, &mut self.scheduler);
     }
 
-    /// Hands in a line and lets all that follows from it happen.
-    pub fn say(&mut self, peer: Peer, line: &str) {
-        self.hand_in(peer, line.as_bytes());
+    /// Passes in a line and lets everything happen that follows from it.
+    pub fn say(&mut self, peer: ClientId, line: &str) {
+        self.pass_in(peer, line.as_bytes());
         self.settle();
     }
 
-    /// Everything that is due by now, and the reading of it.
+    /// Does everything that is due and reads all output.
     pub fn settle(&mut self) {
-        for _ in 0..MOST_TURNS {
-            self.server.wake(self.now, &mut self.desk);
-            self.server.admitted(self.now);
-            let talkative = self.server.take_talkative();
-            for peer in &talkative {
+        for _ in 0..MAX_TURNS {
+            self.server.wake(self.now, &mut self.scheduler);
+            self.server.answer_submissions(self.now);
+            let readable = self.server.take_readable_clients();
+            for peer in &readable {
                 self.read_all(*peer);
             }
             let due = self.server.next_wake().is_some_and(|at| at <= self.now);
-            if !due && talkative.is_empty() {
+            if !due && readable.is_empty() {
                 return;
             }
         }
         panic!("the server does not come to rest");
     }
 
-    fn read_all(&mut self, peer: Peer) {
-        while let Some(line) = self.server.pull(peer) {
+    fn read_all(&mut self, peer: ClientId) {
+        while let Some(line) = self.server.next_line(peer) {
             let text = String::from_utf8(line).expect("lines are UTF-8");
             let line = text.strip_suffix('\n').expect("a line has its end");
             assert!(!line.contains('\n'), "one line at a time: {line}");
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Lets time pass, waking the server whenever it wants to be.
+    /// Lets time pass and wakes the server whenever it asks for it.
     pub fn pass_ms(&mut self, ms: u64) {
         self.note(&format!("{ms} ms pass"));
         let end = self.now + Micros(1000 * ms);
@@ -102,57 +103,58 @@
         self.settle();
     }
 
-    /// The order of a job that is with the decisions.
-    pub fn order(&self, job: &str) -> RequestId {
-        let mut orders = self.desk.open.iter();
-        let found = orders.find(|(_, order)| order.txn == job);
-        *found.expect("with the decisions").0
+    /// The request as which a job is with the scheduler.
+    pub fn request(&self, job: &str) -> RequestId {
+        let mut accepted = self.scheduler.open.iter();
+        let found = accepted.find(|(_, job_with_scheduler)| job_with_scheduler.job_id == job);
+        *found.expect("with the scheduler").0
     }
 
     /// A worker is sent a job and begins to run it.
     pub fn run(&mut self, job: &str) {
         self.note(&format!("{job} runs"));
-        let id = self.order(job);
-        if let Some(order) = self.desk.open.get_mut(&id) {
-            order.sent = Some(self.now);
+        let id = self.request(job);
+        if let Some(accepted) = self.scheduler.open.get_mut(&id) {
+            accepted.sent = Some(self.now);
         }
-        self.server.running(self.now, id, Some("w1".into()));
+        self.server.handle_started(self.now, id, Some("w1".into()));
         self.settle();
     }
 
-    /// A job that ran has come back and is to run once more.
+    /// A job that ran was returned and is to be retried.
     pub fn requeue(&mut self, job: &str) {
         self.note(&format!("{job} comes back"));
-        let id = self.order(job);
-        self.server.requeued(self.now, id);
+        let id = self.request(job);
+        self.server.handle_requeued(self.now, id);
         self.settle();
     }
 
-    /// The decisions end a job; `how` says it in the transcript.
+    /// The scheduler ends a job; `how` says it in the transcript.
     pub fn end(&mut self, job: &str, how: &str, verdict: Verdict) {
         self.note(&format!("{job} {how}"));
-        let id = self.order(job);
-        let order = self.desk.open.remove(&id).expect("with the decisions");
-        let refused = matches!(verdict, Verdict::Rejected(_));
-        let sent = order.sent.filter(|_| !refused);
-        assert!(self.server.answer(self.now, id, verdict, sent));
+        let id = self.request(job);
+        let accepted = self.scheduler.open.remove(&id).expect("with the scheduler");
+        let is_rejected = matches!(verdict, Verdict::Rejected { .. });
+        let sent = accepted.sent.filter(|_| !is_rejected);
+        assert!(self.server.handle_verdict(self.now, id, verdict, sent));
         self.settle();
     }
 
-    /// What this process tells its partner now, a line each.
-    pub fn tell_partner(&mut self, side: Side) -> Vec<String> {
+    /// The messages of this process for its partner, one per line.
+    pub fn lines_for_partner(&mut self, partner: Partner) -> Vec<String> {
         let mut lines = Vec::new();
-        while let Some(message) = self.server.pull_transfer(side) {
+        while let Some(message) = self.server.next_transfer(partner) {
             lines.push(serde_json::to_string(&message).expect("messages are written"));
         }
         lines
     }
 
-    /// A partner tells this process a line.
-    pub fn hear_partner(&mut self, side: Side, line: &str) {
+    /// This process receives a message of its partner.
+    pub fn receive_from_partner(&mut self, partner: Partner, line: &str) {
         let message: Transfer = serde_json::from_str(line).expect("messages are read");
-        let (now, desk) = (self.now, &mut self.desk);
-        self.server.take_transfer(now, side, message, desk);
+        let (now, scheduler) = (self.now, &mut self.scheduler);
+        self.server
+            .handle_transfer(now, partner, message, scheduler);
         self.settle();
     }
 }
--- a/crates/submission/tests/golden.rs
+++ b/crates/submission/tests/golden.rs
@@ -9,8 +9,8 @@
 use marbledeck_dispatcher::Micros;
 use marbledeck_submission::frame::{self, TooLong};
 use marbledeck_submission::message::{
-    Accepted, Answer, ArrayInfo, BulkAnswer, ErrorId, Event, Filter, JobInfo, Machine, OfBulk,
-    OneJob, Page, Problem, Queue, Request, Submitted, Targets,
+    Accepted, Answer, ArrayInfo, BulkAnswer, BulkJobAnswer, ErrorId, Event, Filter, JobInfo,
+    JobInfoAnswer, JobPage, Machine, Problem, Queue, Request, Submitted, Targets,
 };
 use marbledeck_submission::{Change, JobState, Limits, Template, Verdict};
 use serde::de::DeserializeOwned;
@@ -181,10 +181,10 @@
     ];
     let mut text = read_and_written::<Accepted>("A job that was accepted", &submitted[..1]);
     text += &read_and_written::<Submitted>("A job that was handed in", &submitted);
-    text += &read_and_written::<OfBulk>("A job of a bulk", &of_bulk);
+    text += &read_and_written::<BulkJobAnswer>("A job of a bulk", &of_bulk);
     text += &read_and_written::<BulkAnswer>("Answers to a bulk", &bulks);
-    text += &read_and_written::<OneJob>("One job", &one_job);
-    text += &read_and_written::<Page>("Pages of jobs", &pages);
+    text += &read_and_written::<JobInfoAnswer>("One job", &one_job);
+    text += &read_and_written::<JobPage>("Pages of jobs", &pages);
     text += "# Answers with the mark of their request\n";
     for seq in [json!(null), json!(7), json!("seven"), json!({"a": [1]})] {
         let body = Problem::invalid("no");
@@ -253,7 +253,7 @@
     ];
     let mut text = String::new();
     for state in JobState::ALL {
-        let word = state.word();
+        let word = state.as_str();
         let parsed: JobState = serde_json::from_value(json!(word)).expect("a state");
         assert_eq!((parsed, state.to_string().as_str()), (state, word));
         let _ = writeln!(text, "{} {word}", written(&state));
@@ -339,7 +339,7 @@
     ] {
         t.say(1, line);
     }
-    t.hand_in(1, b"{\"seq\":1,\"op\":\"\xff\"}");
+    t.pass_in(1, b"{\"seq\":1,\"op\":\"\xff\"}");
     t.settle();
     assert_snapshot!("malformed_lines", t.take_text());
 }
@@ -375,6 +375,7 @@
 
 /// Requests that are well formed and refused.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a list of requests")]
 fn refused_requests() {
     let mut t = Transcript::new(limits(), "n0-1");
     t.connect(1);
@@ -466,7 +467,7 @@
     t.say(1, r#"{"seq":2,"op":"getCapabilities"}"#);
     t.say(1, r#"{"seq":3,"op":"getAllQueues"}"#);
     t.say(1, r#"{"seq":4,"op":"getAllQueues","names":["sheet"]}"#);
-    t.desk.machines = 2;
+    t.scheduler.machines = 2;
     t.say(1, r#"{"seq":5,"op":"getAllMachines"}"#);
     t.say(1, r#"{"seq":6,"op":"getAllMachines","names":["w2","w9"]}"#);
     t.say(1, r#"{"seq":7,"op":"listSessions"}"#);
@@ -478,6 +479,7 @@
     assert_snapshot!("a_session", without_version(&t.take_text()));
 }
 
+#[expect(clippy::too_many_lines, reason = "a list of requests")]
 fn jobs_one_by_one(t: &mut Transcript) {
     t.say(1, r#"{"seq":"run","op":"runJob","notify":true,"session":"film","template":{"remoteCommand":"/frame?n=1","jobCategory":"preview","jobName":"one","accountingId":"au"}}"#);
     t.say(
@@ -529,11 +531,17 @@
         r#"{"seq":"timeout","op":"waitStarted","jobId":"n0-1-2","timeoutMs":100}"#,
     );
     t.pass_ms(10_000);
-    t.end("n0-1-2", "is refused", Verdict::Rejected(None));
+    t.end(
+        "n0-1-2",
+        "is refused",
+        Verdict::Rejected { retry_after: None },
+    );
     t.end(
         "n0-1-3",
         "is refused for a while",
-        Verdict::Rejected(Some(Micros(2_500_000))),
+        Verdict::Rejected {
+            retry_after: Some(Micros(2_500_000)),
+        },
     );
     t.say(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-2"}"#);
     t.say(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-3"}"#);
@@ -565,17 +573,22 @@
     // Refused in the turn in which they come: never accepted.
     for (seq, verdict) in [
         ("denied", Verdict::Failed),
-        ("refused", Verdict::Rejected(Some(Micros(1_500_000)))),
+        (
+            "refused",
+            Verdict::Rejected {
+                retry_after: Some(Micros(1_500_000)),
+            },
+        ),
     ] {
-        t.hand_in(1, run(seq).as_bytes());
-        let id = *t.desk.open.keys().last().expect("an order");
-        t.desk.open.remove(&id);
-        assert!(t.server.answer(t.now, id, verdict, None));
+        t.pass_in(1, run(seq).as_bytes());
+        let id = *t.scheduler.open.keys().last().expect("an order");
+        t.scheduler.open.remove(&id);
+        assert!(t.server.handle_verdict(t.now, id, verdict, None));
         t.settle();
     }
-    t.desk.full = true;
+    t.scheduler.full = true;
     t.say(1, &run("full"));
-    t.desk.full = false;
+    t.scheduler.full = false;
 }
 
 fn an_array(t: &mut Transcript) {
@@ -641,7 +654,7 @@
     t.say(1, r#"{"seq":"list","op":"listSessions"}"#);
     t.disconnect(2);
     t.note("the node ends");
-    t.server.end();
+    t.server.begin_shutdown();
     t.say(
         1,
         r#"{"seq":"end","op":"runJob","template":{"remoteCommand":"/x","jobCategory":"preview"}}"#,
@@ -654,7 +667,7 @@
     let small = Limits {
         max_jobs: 3,
         max_sessions: 1,
-        history: 2,
+        max_session_events: 2,
         ..limits()
     };
     let mut t = Transcript::new(small, "n0-1");
@@ -669,8 +682,8 @@
     t.say(1, r#"{"seq":5,"op":"listJobs"}"#);
     t.note("the node ends, and no process takes over");
     t.say(1, r#"{"seq":6,"op":"runJob","template":{"remoteCommand":"/x","jobCategory":"preview","submitAsHold":true}}"#);
-    t.server.end();
-    t.server.refuse_waiting(t.now);
+    t.server.begin_shutdown();
+    t.server.reject_waiting(t.now);
     t.settle();
     t.say(1, r#"{"seq":7,"op":"listJobs"}"#);
     assert_snapshot!("limits_that_are_reached", t.take_text());
--- a/crates/submission/tests/golden_transfer.rs
+++ b/crates/submission/tests/golden_transfer.rs
@@ -7,7 +7,7 @@
 use common::transcript::Transcript;
 use insta::assert_snapshot;
 use marbledeck_dispatcher::Micros;
-use marbledeck_submission::{Side, Transfer, Verdict};
+use marbledeck_submission::{Partner, Transfer, Verdict};
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::path::Path;
@@ -75,7 +75,9 @@
     t.end(
         "n0-1-6",
         "is refused",
-        Verdict::Rejected(Some(Micros(700_000))),
+        Verdict::Rejected {
+            retry_after: Some(Micros(700_000)),
+        },
     );
     run(t, film, preview("/failed"));
     t.run("n0-1-7");
@@ -92,13 +94,13 @@
     let film = Some("film");
     let full = json!({"remoteCommand": "/held?q=1", "jobCategory": "sheet", "queueName": "sheet", "args": ["a", "b"],
         "accountingId": "au", "jobName": "held", "minSlots": 1.5, "submissionKey": "k-held", "deadlineMs": 9000,
-        "deadlineTime": 1090000, "submitAsHold": true, "rerunnable": true,
+        "deadlineTime": 1_090_000, "submitAsHold": true, "rerunnable": true,
         "manifest": {"class": "sheet", "kinds": ["std"], "slots": 2.0, "codecs": ["av1"], "key_window_ms": 40000,
             "run_ms": 60000},
         "forwarded": {"from": "north", "catalog": 7}});
     run(t, film, full);
     let scheduled =
-        json!({"remoteCommand": "/scheduled", "jobCategory": "preview", "startTime": 1030000});
+        json!({"remoteCommand": "/scheduled", "jobCategory": "preview", "startTime": 1_030_000});
     run(t, film, scheduled);
     let coded = json!({"remoteCommand": "/coded", "jobCategory": "preview", "inputBase64": "AAE=", "submitAsHold": true});
     run(t, None, coded);
@@ -133,25 +135,25 @@
 /// A process that has taken over from the golden lines of another. The transcript begins after that.
 fn successor_of_golden_lines() -> Transcript {
     let mut t = Transcript::new(limits(), "n0-2");
-    t.server.expect_transfer(t.now);
+    t.server.expect_predecessor(t.now);
     t.pass_ms(30);
     for line in golden_lines("told_to_a_successor") {
-        t.hear_partner(Side::Elder, &line);
+        t.receive_from_partner(Partner::Predecessor, &line);
     }
     t.connect(1);
     t.take_text();
     t
 }
 
-fn write_told(t: &mut Transcript, side: Side, to: &str) {
-    for line in t.tell_partner(side) {
+fn write_told(t: &mut Transcript, side: Partner, to: &str) {
+    for line in t.lines_for_partner(side) {
         t.note(&format!("told to the {to}: {line}"));
     }
 }
 
-fn hear(t: &mut Transcript, side: Side, line: &str) {
+fn hear(t: &mut Transcript, side: Partner, line: &str) {
     t.note(&format!("heard: {line}"));
-    t.hear_partner(side, line);
+    t.receive_from_partner(side, line);
 }
 
 fn ask_for_all(t: &mut Transcript) {
@@ -168,7 +170,7 @@
             &format!(r#"{{"seq":"array","op":"getJobArray","jobArrayId":"{array}"}}"#),
         );
     }
-    let orders = t.desk.open.values().map(|order| order.txn.clone());
+    let orders = t.scheduler.open.values().map(|order| order.job_id.clone());
     let orders = orders.collect::<Vec<_>>().join(" ");
     t.note(&format!("with the decisions: {orders}"));
 }
@@ -178,8 +180,8 @@
 fn what_a_successor_is_told() {
     let mut predecessor = predecessor_with_all_kinds();
     assert_snapshot!("a_predecessor_before", predecessor.take_text());
-    predecessor.server.begin_transfer();
-    let lines = predecessor.tell_partner(Side::Heir);
+    predecessor.server.begin_handover();
+    let lines = predecessor.lines_for_partner(Partner::Successor);
     assert_snapshot!("told_to_a_successor", lines.join("\n"));
 }
 
@@ -187,7 +189,7 @@
 #[test]
 fn a_successor_reads_the_golden_lines() {
     let mut t = successor_of_golden_lines();
-    write_told(&mut t, Side::Elder, "predecessor");
+    write_told(&mut t, Partner::Predecessor, "predecessor");
     ask_for_all(&mut t);
     t.say(
         1,
@@ -215,7 +217,7 @@
 #[test]
 fn changes_after_the_transfer() {
     let mut t = successor_of_golden_lines();
-    write_told(&mut t, Side::Elder, "predecessor");
+    write_told(&mut t, Partner::Predecessor, "predecessor");
     t.say(
         1,
         r#"{"seq":"open","op":"openSession","name":"film","since":99}"#,
@@ -230,7 +232,7 @@
         r#"{"job":{"id":"n0-1-3","state":"DONE","reaped":true}}"#,
         r#"{"job":{"id":"n0-9-0","state":"DONE"}}"#,
     ] {
-        hear(&mut t, Side::Elder, line);
+        hear(&mut t, Partner::Predecessor, line);
     }
     t.say(1, r#"{"seq":"release","op":"release","jobId":"n0-1-9"}"#);
     t.say(1, r#"{"seq":"hold","op":"hold","jobId":"n0-1-10"}"#);
@@ -245,11 +247,11 @@
     t.say(1, r#"{"seq":"reap","op":"reap","jobId":"n0-1-4"}"#);
     t.run("n0-1-9");
     t.end("n0-1-9", "is served", Verdict::Served(b"held".to_vec()));
-    write_told(&mut t, Side::Elder, "predecessor");
+    write_told(&mut t, Partner::Predecessor, "predecessor");
     t.pass_ms(2_000);
-    write_told(&mut t, Side::Elder, "predecessor");
+    write_told(&mut t, Partner::Predecessor, "predecessor");
     t.note("the predecessor is gone");
-    t.server.partner_lost(t.now, Side::Elder);
+    t.server.handle_partner_lost(t.now, Partner::Predecessor);
     t.settle();
     ask_for_all(&mut t);
     assert_snapshot!("changes_told_to_a_successor", t.take_text());
@@ -264,14 +266,14 @@
         r#"{"seq":"wait","op":"waitAnyTerminated","jobIds":["n0-1-0","n0-1-9"]}"#,
     );
     t.take_text();
-    t.server.begin_transfer();
+    t.server.begin_handover();
     t.run("n0-1-0");
-    t.tell_partner(Side::Heir);
-    hear(&mut t, Side::Heir, r#""taken""#);
+    t.lines_for_partner(Partner::Successor);
+    hear(&mut t, Partner::Successor, r#""taken""#);
     t.requeue("n0-1-1");
     t.end("n0-1-0", "is served", Verdict::Served(b"queued".to_vec()));
     t.end("n0-1-15", "fails", Verdict::Failed);
-    write_told(&mut t, Side::Heir, "successor");
+    write_told(&mut t, Partner::Successor, "successor");
     for line in [
         r#"{"job":{"id":"n0-1-9","state":"QUEUED","handed":true}}"#,
         r#"{"job":{"id":"n0-1-9","state":"RUNNING","handed":true,"machine":"w4"}}"#,
@@ -279,11 +281,11 @@
         r#"{"job":{"id":"n0-1-1","state":"FAILED","sub_state":"terminated"}}"#,
         r#"{"job":{"id":"n0-2-0","state":"QUEUED"}}"#,
     ] {
-        hear(&mut t, Side::Heir, line);
+        hear(&mut t, Partner::Successor, line);
     }
-    write_told(&mut t, Side::Heir, "successor");
+    write_told(&mut t, Partner::Successor, "successor");
     t.note("the successor is gone");
-    t.server.partner_lost(t.now, Side::Heir);
+    t.server.handle_partner_lost(t.now, Partner::Successor);
     t.settle();
     ask_for_all(&mut t);
     assert_snapshot!("changes_told_to_a_predecessor", t.take_text());
--- a/crates/submission/tests/model.rs
+++ b/crates/submission/tests/model.rs
@@ -4,7 +4,7 @@
 
 use common::{limits, Bench, WINDOW};
 use marbledeck_dispatcher::Micros;
-use marbledeck_submission::{Change, JobState, Side, Verdict};
+use marbledeck_submission::{Change, JobState, Partner, Verdict};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -154,14 +154,22 @@
             for at in 1..self.benches.len() {
                 let (older, newer) = self.benches.split_at_mut(at);
                 let (old, new) = (&mut older[at - 1], &mut newer[0]);
-                while let Some(told) = old.server.pull_transfer(Side::Heir) {
-                    new.server
-                        .take_transfer(new.now, Side::Elder, told, &mut new.desk);
+                while let Some(told) = old.server.next_transfer(Partner::Successor) {
+                    new.server.handle_transfer(
+                        new.now,
+                        Partner::Predecessor,
+                        told,
+                        &mut new.scheduler,
+                    );
                     more = true;
                 }
-                while let Some(told) = new.server.pull_transfer(Side::Elder) {
-                    old.server
-                        .take_transfer(old.now, Side::Heir, told, &mut old.desk);
+                while let Some(told) = new.server.next_transfer(Partner::Predecessor) {
+                    old.server.handle_transfer(
+                        old.now,
+                        Partner::Successor,
+                        told,
+                        &mut old.scheduler,
+                    );
                     more = true;
                 }
             }
@@ -330,9 +338,9 @@
                             (Change::Serve, Verdict::Served(b"r".to_vec()))
                         }
                         1 => (Change::Fail, Verdict::Failed),
-                        _ => (Change::Fail, Verdict::Rejected(None)),
+                        _ => (Change::Fail, Verdict::Rejected { retry_after: None }),
                     };
-                    let ran = !matches!(verdict, Verdict::Rejected(_));
+                    let ran = !matches!(verdict, Verdict::Rejected { .. });
                     assert!(known.end(now, change, ran));
                     self.benches[bench].answer(id, verdict);
                 }
@@ -353,7 +361,7 @@
                 self.peer += 1;
                 let (new, now) = (self.peer, self.now());
                 let bench = self.serving();
-                bench.server.disconnect(now, old);
+                bench.server.handle_disconnect(now, old);
                 bench.connect(new);
                 bench.ask(
                     new,
@@ -366,11 +374,11 @@
                 }
                 let (peer, now) = (self.peer, self.now());
                 let old = self.serving();
-                old.server.begin_transfer();
-                old.server.disconnect(now, peer);
+                old.server.begin_handover();
+                old.server.handle_disconnect(now, peer);
                 let mut new = Bench::named(limits(), &format!("n0-{}", self.benches.len()));
                 new.now = now;
-                new.server.expect_transfer(now);
+                new.server.expect_predecessor(now);
                 self.peer += 1;
                 new.connect(self.peer);
                 self.benches.push(new);
@@ -394,8 +402,9 @@
     fn out(&self, at: usize) -> Option<(usize, usize, marbledeck_dispatcher::RequestId)> {
         let id = self.known[at].id.as_str().unwrap();
         let of = |bench: &Bench| {
-            let mut open = bench.desk.open.iter();
-            open.find(|(_, taken)| taken.txn == id).map(|(id, _)| *id)
+            let mut open = bench.scheduler.open.iter();
+            open.find(|(_, taken)| taken.job_id == id)
+                .map(|(id, _)| *id)
         };
         let mut found = self.benches.iter().enumerate();
         found.find_map(|(bench, b)| Some((at, bench, of(b)?)))
@@ -468,7 +477,7 @@
                 bytes.push(b'{');
             }
         }
-        bench.server.line(bench.now, 1, &bytes, &mut bench.desk);
+        bench.server.handle_line(bench.now, 1, &bytes, &mut bench.scheduler);
         bench.pass(Micros(50_000));
         let answers = bench.take(1);
         prop_assert_eq!(answers.iter().filter(|v| v["event"].is_null()).count(), 1, "{:?}", answers);
