--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -4,8 +4,8 @@
 use crate::{print, settings, Cli, Failure, Status};
 use indicatif::{ProgressBar, ProgressStyle};
 use marbledeck_submission_client::{
-    Accepted, Bulk, Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Operation, Problem,
-    Targets, Template,
+    Accepted, Bulk, Client, Error, ErrorId, Event, Filter, IndexRange, JobInfo, JobState,
+    Operation, Problem, Targets, Template, WaitGoal,
 };
 use std::collections::HashSet;
 use std::io::Read;
@@ -30,7 +30,7 @@
         } => bulk(
             &Cli::new(&common),
             template,
-            (from, to, step),
+            IndexRange::new(from, to, step),
             max_parallel,
             wait,
         ),
@@ -65,7 +65,7 @@
             };
             let cli = Cli::new(&common);
             cli.client
-                .list(session.as_deref(), &filter, |info| cli.show(&info))?;
+                .list_jobs(session.as_deref(), &filter, |info| cli.show(&info))?;
             Ok(Status::Ok)
         }
         JobCommand::Hold { which, common } => control(&Cli::new(&common), which, |targets| {
@@ -143,7 +143,7 @@
 
 fn run(cli: &Cli, args: TemplateArgs, wait: bool) -> Result<Status, Failure> {
     let (template, session) = template(args)?;
-    let job = cli.client.run(template, session.as_deref())?;
+    let job = cli.client.run_job(template, session.as_deref())?;
     if !wait {
         match cli.json {
             true => print::json(&job),
@@ -166,7 +166,7 @@
 fn bulk(
     cli: &Cli,
     args: TemplateArgs,
-    indices: (i64, i64, i64),
+    indices: IndexRange,
     max_parallel: Option<u32>,
     wait: bool,
 ) -> Result<Status, Failure> {
@@ -176,13 +176,13 @@
         .run_bulk(template, indices, max_parallel, session.as_deref())?;
     let mut worst = Status::Ok;
     let mut jobs = Vec::new();
-    for (index, job) in &bulk.jobs {
-        match job {
-            Ok(job) => jobs.push(job.clone()),
+    for job in &bulk.jobs {
+        match &job.result {
+            Ok(accepted) => jobs.push(accepted.clone()),
             Err(problem) => {
                 let status = Status::of(&Error::Problem(problem.clone()));
                 worst = worst.max(status);
-                cli.refused(*index, problem);
+                cli.refused(job.index, problem);
             }
         }
     }
@@ -209,17 +209,17 @@
     if !cli.json {
         cli.note(&format!("array {}", bulk.arrays.join(" ")));
     }
-    for (index, job) in &bulk.jobs {
-        let Ok(job) = job else {
+    for job in &bulk.jobs {
+        let Ok(accepted) = &job.result else {
             continue;
         };
         if cli.json {
-            let mut value = serde_json::to_value(job).unwrap_or_default();
-            value["index"] = (*index).into();
+            let mut value = serde_json::to_value(accepted).unwrap_or_default();
+            value["index"] = job.index.into();
             value["jobArrayId"] = bulk.arrays.last().cloned().into();
             print::json(&value);
         } else {
-            print::line(&job.job_id);
+            print::line(&accepted.job_id);
         }
     }
 }
@@ -254,7 +254,7 @@
 fn info(cli: &Cli, jobs: &[String], result: bool) -> Result<Status, Failure> {
     let mut worst = Status::Ok;
     for job in jobs {
-        let info = cli.client.info(job)?;
+        let info = cli.client.job_info(job)?;
         match (result, info.result_bytes()) {
             (true, Some(result)) => print::bytes(&result),
             (true, None) => {
@@ -297,7 +297,7 @@
         ..Filter::default()
     };
     let mut jobs = Vec::new();
-    client.list(which.session.as_deref(), &filter, |info| {
+    client.list_jobs(which.session.as_deref(), &filter, |info| {
         jobs.push(info.job_id)
     })?;
     Ok(jobs)
@@ -315,7 +315,12 @@
         false => Status::Ok,
     };
     if any {
-        let info = cli.client.wait_any(&targets(which), started, timeout)?;
+        let goal = if started {
+            WaitGoal::Started
+        } else {
+            WaitGoal::Terminated
+        };
+        let info = cli.client.wait_any(&targets(which), goal, timeout)?;
         cli.show(&info);
         return Ok(of(&info));
     }
@@ -337,7 +342,8 @@
 }
 
 fn control(cli: &Cli, which: Which, op: impl Fn(Targets) -> Operation) -> Result<Status, Failure> {
-    let (changed, refused) = cli.client.control(op(targets(which)))?;
+    let summary = cli.client.control(op(targets(which)))?;
+    let (changed, refused) = (summary.changed, summary.rejected);
     if cli.json {
         print::json(&serde_json::json!({"changed": changed, "refused": refused}));
     } else {
@@ -359,7 +365,7 @@
     let (sender, events) = channel();
     let tell = move |event: Event| drop(sender.send(event));
     let client = Client::with_events(settings(common), Box::new(tell));
-    client.open_session(session, false, since)?;
+    client.open_session(session, since)?;
     let mut left = count;
     while left != Some(0) {
         let event = match events.recv_timeout(Duration::from_secs(1)) {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -43,8 +43,8 @@
     /// The status for an error.
     pub fn of(error: &Error) -> Self {
         match error {
-            Error::Lost(_) => Status::Unreachable,
-            Error::Garbled(_) => Status::Denied,
+            Error::Connection(_) => Status::Unreachable,
+            Error::InvalidAnswer(_) => Status::Denied,
             e if e.is(ErrorId::TryLater) => Status::TryLater,
             e if e.is(ErrorId::Timeout) => Status::TimedOut,
             Error::Problem(_) => Status::Denied,
@@ -72,9 +72,9 @@
 pub(crate) fn settings(common: &Common) -> Settings {
     let secs = |s: f64| Duration::try_from_secs_f64(s).unwrap_or(Duration::MAX);
     Settings {
-        patience: secs(common.patience),
-        resubmit: secs(common.resubmit),
-        ..Settings::at(common.node.clone())
+        retry_timeout: secs(common.patience),
+        resubmit_timeout: secs(common.resubmit),
+        ..Settings::new(common.node.clone())
     }
 }
 
--- a/crates/cli/src/sessions.rs
+++ b/crates/cli/src/sessions.rs
@@ -11,7 +11,7 @@
         SessionCommand::Create { name, common } => {
             let cli = Cli::new(&common);
             cli.client
-                .raw(Operation::CreateSession { name: name.clone() })?;
+                .request(Operation::CreateSession { name: name.clone() })?;
             match cli.json {
                 true => print::json(&serde_json::json!({ "session": name })),
                 false => print::line(&name),
@@ -28,11 +28,12 @@
         }
         SessionCommand::Show { name, common } => {
             let cli = Cli::new(&common);
-            let last = cli.client.open_session(&name, false, None)?;
+            let last = cli.client.open_session(&name, None)?;
             let mut states: BTreeMap<_, usize> = BTreeMap::new();
-            cli.client.list(Some(&name), &Filter::default(), |info| {
-                *states.entry(info.job_state).or_default() += 1;
-            })?;
+            cli.client
+                .list_jobs(Some(&name), &Filter::default(), |info| {
+                    *states.entry(info.job_state).or_default() += 1;
+                })?;
             if cli.json {
                 let states: BTreeMap<&str, usize> = states
                     .iter()
@@ -87,7 +88,11 @@
             });
         }
         NodeCommand::Capabilities(common) => {
-            print::json(&Cli::new(&common).client.raw(Operation::GetCapabilities)?);
+            print::json(
+                &Cli::new(&common)
+                    .client
+                    .request(Operation::GetCapabilities)?,
+            );
         }
     }
     Ok(Status::Ok)
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -62,7 +62,7 @@
                 }
             });
         }
-        let client = Client::new(Settings::at(lab.submitters.clone()));
+        let client = Client::new(Settings::new(lab.submitters.clone()));
         World { lab, client }
     }
 
@@ -82,7 +82,7 @@
             submit_as_hold: true,
             ..self.preview(command)
         };
-        let job = self.client.run(template, session);
+        let job = self.client.run_job(template, session);
         job.expect("a held job is taken").job_id
     }
 
@@ -90,7 +90,7 @@
     pub fn ended(&self, command: &str) -> String {
         let job = self
             .client
-            .run(self.preview(command), None)
+            .run_job(self.preview(command), None)
             .expect("taken")
             .job_id;
         let ended = self.client.wait_terminated(&job, PATIENCE);
@@ -102,7 +102,7 @@
     pub fn running(&self) -> String {
         let job = self
             .client
-            .run(self.preview("/slow"), None)
+            .run_job(self.preview("/slow"), None)
             .expect("taken")
             .job_id;
         let started = self.client.wait_started(&job, PATIENCE);
--- a/crates/conformance/src/v2.rs
+++ b/crates/conformance/src/v2.rs
@@ -2,8 +2,8 @@
 
 use crate::{Clause, Test, World, PATIENCE};
 use marbledeck_submission_client::{
-    Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Operation, Settings, Targets,
-    Template,
+    Client, ControlSummary, Error, ErrorId, Event, Filter, IndexRange, JobInfo, JobState,
+    Operation, Settings, Targets, Template, WaitGoal,
 };
 use serde_json::Value;
 use std::sync::mpsc::channel;
@@ -21,7 +21,7 @@
 }
 
 fn state(world: &World, job: &str) -> JobState {
-    world.client.info(job).expect("known").job_state
+    world.client.job_info(job).expect("known").job_state
 }
 
 fn done(world: &World, job: &str) -> JobInfo {
@@ -33,7 +33,10 @@
 
 /// Whether the node declares this capability.
 fn has(world: &World, capability: &str) -> bool {
-    let told = world.client.raw(Operation::GetCapabilities).expect("told");
+    let told = world
+        .client
+        .request(Operation::GetCapabilities)
+        .expect("told");
     told["capabilities"][capability]
         .as_bool()
         .expect("declared")
@@ -46,7 +49,7 @@
     }
     let mut template = world.preview("/x");
     template.others.insert(name.to_owned(), value);
-    let told = world.client.run(template, None);
+    let told = world.client.run_job(template, None);
     let words = told
         .as_ref()
         .err()
@@ -61,7 +64,7 @@
     world: &World,
     op: fn(Targets) -> Operation,
     job: &str,
-) -> Result<(usize, usize), Error> {
+) -> Result<ControlSummary, Error> {
     world.client.control(op(Targets::job(job)))
 }
 
@@ -88,7 +91,7 @@
     let name = name.to_owned();
     world
         .client
-        .raw(Operation::CreateSession { name })
+        .request(Operation::CreateSession { name })
         .expect("created");
 }
 
@@ -99,14 +102,17 @@
     most: Option<u32>,
     session: Option<&str>,
 ) -> (String, Vec<String>) {
-    let bulk = world
-        .client
-        .run_bulk(world.preview(command), (1, count, 1), most, session);
+    let bulk = world.client.run_bulk(
+        world.preview(command),
+        IndexRange::new(1, count, 1),
+        most,
+        session,
+    );
     let bulk = bulk.expect("taken");
     let ids = bulk
         .jobs
         .iter()
-        .map(|(_, job)| job.as_ref().expect("accepted").job_id.clone());
+        .map(|job| job.result.as_ref().expect("accepted").job_id.clone());
     (bulk.arrays[0].clone(), ids.collect())
 }
 
@@ -196,7 +202,7 @@
             "GFD.231, 5.5",
             "The information of a job names its id, state, queue, owner's account and times",
             |w| {
-                let info = w.client.info(&w.ended("/x")).unwrap();
+                let info = w.client.job_info(&w.ended("/x")).unwrap();
                 assert_eq!(
                     (info.queue_name.as_str(), info.accounting_id.as_deref()),
                     ("preview", Some("au"))
@@ -211,7 +217,7 @@
             "GFD.231, 5.5",
             "What is not known of a job is not told",
             |w| {
-                let info = w.client.info(&w.held("/x", None)).unwrap();
+                let info = w.client.job_info(&w.held("/x", None)).unwrap();
                 assert!(
                     info.dispatch_time_ms.is_none()
                         && info.finish_time_ms.is_none()
@@ -228,14 +234,14 @@
                     job_name: Some("filtered".to_owned()),
                     ..w.preview("/x")
                 };
-                let job = w.client.run(template, None).unwrap().job_id;
+                let job = w.client.run_job(template, None).unwrap().job_id;
                 let mut found = Vec::new();
                 let filter = Filter {
                     job_name: Some("filtered".to_owned()),
                     ..Filter::default()
                 };
                 w.client
-                    .list(None, &filter, |info| found.push(info.job_id))
+                    .list_jobs(None, &filter, |info| found.push(info.job_id))
                     .unwrap();
                 assert_eq!(found, [job]);
                 true
@@ -246,7 +252,7 @@
             "A template without a command is refused",
             |w| {
                 assert_eq!(
-                    error(w.client.run(w.preview(""), None)),
+                    error(w.client.run_job(w.preview(""), None)),
                     ErrorId::InvalidArgument
                 );
                 true
@@ -256,7 +262,7 @@
             let args = Some(vec!["42".to_owned(), "Simon says:".to_owned()]);
             let job = w
                 .client
-                .run(
+                .run_job(
                     Template {
                         args,
                         ..w.preview("/with-args")
@@ -293,12 +299,15 @@
                     rerunnable: Some(false),
                     ..w.preview("/x")
                 };
-                assert_eq!(error(w.client.run(no, None)), ErrorId::UnsupportedAttribute);
+                assert_eq!(
+                    error(w.client.run_job(no, None)),
+                    ErrorId::UnsupportedAttribute
+                );
                 let yes = Template {
                     rerunnable: Some(true),
                     ..w.preview("/x")
                 };
-                assert!(w.client.run(yes, None).is_ok());
+                assert!(w.client.run_job(yes, None).is_ok());
                 true
             },
         ),
@@ -316,7 +325,10 @@
                     job_category: "nonsense".to_owned(),
                     ..w.preview("/x")
                 };
-                assert_eq!(error(w.client.run(wrong, None)), ErrorId::InvalidArgument);
+                assert_eq!(
+                    error(w.client.run_job(wrong, None)),
+                    ErrorId::InvalidArgument
+                );
                 true
             },
         ),
@@ -333,9 +345,9 @@
                 job_name: Some("reel 12".to_owned()),
                 ..w.preview("/x")
             };
-            let job = w.client.run(template, None).unwrap();
+            let job = w.client.run_job(template, None).unwrap();
             assert_eq!(
-                w.client.info(&job.job_id).unwrap().job_name.as_deref(),
+                w.client.job_info(&job.job_id).unwrap().job_name.as_deref(),
                 Some("reel 12")
             );
             true
@@ -359,7 +371,7 @@
                 queue_name: Some("preview".to_owned()),
                 ..w.preview("/x")
             };
-            let job = w.client.run(template, None).unwrap();
+            let job = w.client.run_job(template, None).unwrap();
             assert_eq!(done(w, &job.job_id).queue_name, "preview");
             true
         }),
@@ -371,12 +383,15 @@
                     min_slots: Some(2.0),
                     ..w.preview("/x")
                 };
-                assert!(w.client.run(two, None).is_ok());
+                assert!(w.client.run_job(two, None).is_ok());
                 let wrong = Template {
                     min_slots: Some(-1.0),
                     ..w.preview("/x")
                 };
-                assert_eq!(error(w.client.run(wrong, None)), ErrorId::InvalidArgument);
+                assert_eq!(
+                    error(w.client.run_job(wrong, None)),
+                    ErrorId::InvalidArgument
+                );
                 true
             },
         ),
@@ -407,7 +422,7 @@
                     start_time: Some(at),
                     ..w.preview("/x")
                 };
-                let job = w.client.run(template, None).unwrap();
+                let job = w.client.run_job(template, None).unwrap();
                 assert_eq!(job.job_state, JobState::QueuedHeld);
                 assert!(done(w, &job.job_id).dispatch_time_ms.unwrap() >= at);
                 true
@@ -422,14 +437,17 @@
                     deadline_time: Some(millis_from_now(300)),
                     ..w.preview("/slow-deadline")
                 };
-                let job = w.client.run(template, None).unwrap();
+                let job = w.client.run_job(template, None).unwrap();
                 let info = done(w, &job.job_id);
                 assert_eq!(info.job_state, JobState::Failed);
                 let over = Template {
                     deadline_time: Some(1),
                     ..w.preview("/x")
                 };
-                assert_eq!(error(w.client.run(over, None)), ErrorId::InvalidArgument);
+                assert_eq!(
+                    error(w.client.run_job(over, None)),
+                    ErrorId::InvalidArgument
+                );
                 true
             },
         ),
@@ -458,7 +476,10 @@
                     accounting_id: Some("nobody".to_owned()),
                     ..w.preview("/x")
                 };
-                assert_eq!(error(w.client.run(wrong, None)), ErrorId::InvalidArgument);
+                assert_eq!(
+                    error(w.client.run_job(wrong, None)),
+                    ErrorId::InvalidArgument
+                );
                 true
             },
         ),
@@ -466,7 +487,7 @@
             "GFD.231, 5.9",
             "The attributes that are supported, and those that are not, can be asked for",
             |w| {
-                let told = w.client.raw(Operation::GetCapabilities).unwrap();
+                let told = w.client.request(Operation::GetCapabilities).unwrap();
                 let list = |name: &str| told[name].as_array().unwrap().clone();
                 assert!(list("jobTemplateAttributes").contains(&"remoteCommand".into()));
                 assert!(list("unsupportedAttributes").contains(&"email".into()));
@@ -480,7 +501,7 @@
             |w| {
                 let mut template = w.preview("/x");
                 template.others.insert("colour".to_owned(), "red".into());
-                let told = w.client.run(template, None);
+                let told = w.client.run_job(template, None);
                 assert!(told.as_ref().unwrap_err().to_string().contains("colour"));
                 assert_eq!(error(told), ErrorId::InvalidArgument);
                 true
@@ -489,7 +510,7 @@
         clause("GFD.231, 6", "What cannot be done now is TRY_LATER", |w| {
             // As many sessions as one submitter may have open, and one more.
             let create = |n: usize| {
-                w.client.raw(Operation::CreateSession {
+                w.client.request(Operation::CreateSession {
                     name: format!("many-{n}"),
                 })
             };
@@ -511,9 +532,12 @@
             "GFD.231, 6",
             "A bulk beyond what is taken at once is INVALID_ARGUMENT and names the bound",
             |w| {
-                let much = w
-                    .client
-                    .run_bulk(w.preview("/x"), (1, 1_000_000, 1), None, None);
+                let much = w.client.run_bulk(
+                    w.preview("/x"),
+                    IndexRange::new(1, 1_000_000, 1),
+                    None,
+                    None,
+                );
                 assert!(much.as_ref().unwrap_err().to_string().contains("at most"));
                 assert_eq!(error(much), ErrorId::InvalidArgument);
                 true
@@ -524,7 +548,7 @@
             "A session is created by name; the same name again is INVALID_ARGUMENT",
             |w| {
                 session(w, "c1");
-                let again = w.client.raw(Operation::CreateSession {
+                let again = w.client.request(Operation::CreateSession {
                     name: "c1".to_owned(),
                 });
                 assert_eq!(error(again), ErrorId::InvalidArgument);
@@ -535,15 +559,15 @@
             "GFD.231, 7.1",
             "A session can be opened again, also after the connection that made it has ended",
             |w| {
-                let first = Client::new(Settings::at(w.lab.submitters.clone()));
+                let first = Client::new(Settings::new(w.lab.submitters.clone()));
                 first
-                    .raw(Operation::CreateSession {
+                    .request(Operation::CreateSession {
                         name: "c2".to_owned(),
                     })
                     .unwrap();
                 first.close();
                 w.client
-                    .raw(Operation::OpenSession {
+                    .request(Operation::OpenSession {
                         name: "c2".to_owned(),
                         since: None,
                     })
@@ -555,7 +579,7 @@
             "GFD.231, 7.1",
             "A session that does not exist cannot be opened",
             |w| {
-                let told = w.client.raw(Operation::OpenSession {
+                let told = w.client.request(Operation::OpenSession {
                     name: "none".to_owned(),
                     since: None,
                 });
@@ -570,14 +594,14 @@
                 session(w, "c3");
                 let name = || "c3".to_owned();
                 w.client
-                    .raw(Operation::CloseSession { name: name() })
+                    .request(Operation::CloseSession { name: name() })
                     .unwrap();
                 assert_eq!(
-                    error(w.client.raw(Operation::CloseSession { name: name() })),
+                    error(w.client.request(Operation::CloseSession { name: name() })),
                     ErrorId::InvalidSession
                 );
                 w.client
-                    .raw(Operation::OpenSession {
+                    .request(Operation::OpenSession {
                         name: name(),
                         since: None,
                     })
@@ -614,7 +638,7 @@
             "GFD.231, 7.1",
             "The system tells its name and version",
             |w| {
-                let info = w.client.raw(Operation::GetDrmsInfo).unwrap();
+                let info = w.client.request(Operation::GetDrmsInfo).unwrap();
                 assert_eq!(info["drmsName"], "marbledeck");
                 assert!(info["drmsVersion"].is_string());
                 true
@@ -623,7 +647,7 @@
         clause("GFD.231, 7.1", "Sessions for reservations", |w| {
             assert!(!has(w, "ADVANCE_RESERVATION"));
             assert_eq!(
-                error(w.client.raw(Operation::GetAllReservations)),
+                error(w.client.request(Operation::GetAllReservations)),
                 ErrorId::UnsupportedOperation
             );
             false
@@ -672,7 +696,10 @@
                         }
                     });
                 }
-                let job = w.client.run(w.preview("/returned"), Some("c7")).unwrap();
+                let job = w
+                    .client
+                    .run_job(w.preview("/returned"), Some("c7"))
+                    .unwrap();
                 assert_eq!(done(w, &job.job_id).job_state, JobState::Done);
                 use JobState::{Done, Queued, Requeued, Running};
                 assert_eq!(
@@ -690,7 +717,7 @@
                     job_category: "sheet-publish".to_owned(),
                     ..w.preview("/fail")
                 };
-                let job = w.client.run(template, None).unwrap();
+                let job = w.client.run_job(template, None).unwrap();
                 let info = done(w, &job.job_id);
                 assert_eq!(
                     (info.job_state, info.job_sub_state.as_deref()),
@@ -716,7 +743,7 @@
                 w.held("/x", None);
                 let mut found = Vec::new();
                 w.client
-                    .list(Some("c8"), &Filter::default(), |info| {
+                    .list_jobs(Some("c8"), &Filter::default(), |info| {
                         found.push(info.job_id)
                     })
                     .unwrap();
@@ -729,8 +756,8 @@
             "A job array is found by its id; one that is not known is INVALID_ARGUMENT",
             |w| {
                 let (array, _) = bulk(w, "/x", 3, None, None);
-                assert_eq!(w.client.array(&array).unwrap().jobs, 3);
-                assert_eq!(error(w.client.array("none")), ErrorId::InvalidArgument);
+                assert_eq!(w.client.job_array(&array).unwrap().jobs, 3);
+                assert_eq!(error(w.client.job_array("none")), ErrorId::InvalidArgument);
                 true
             },
         ),
@@ -739,9 +766,9 @@
             "A job that was run is known by its id until it is reaped",
             |w| {
                 let job = w.ended("/x");
-                assert!(w.client.info(&job).is_ok());
+                assert!(w.client.job_info(&job).is_ok());
                 control(w, reap, &job).unwrap();
-                assert_eq!(error(w.client.info(&job)), ErrorId::InvalidArgument);
+                assert_eq!(error(w.client.job_info(&job)), ErrorId::InvalidArgument);
                 true
             },
         ),
@@ -751,9 +778,9 @@
             |w| {
                 let told = w
                     .client
-                    .run_bulk(w.preview("/x"), (10, 4, -3), None, None)
+                    .run_bulk(w.preview("/x"), IndexRange::new(10, 4, -3), None, None)
                     .unwrap();
-                let indices: Vec<i64> = told.jobs.iter().map(|(index, _)| *index).collect();
+                let indices: Vec<i64> = told.jobs.iter().map(|job| job.index).collect();
                 assert_eq!(indices, [10, 7, 4]);
                 true
             },
@@ -762,7 +789,8 @@
             "GFD.231, 8.2",
             "Indices that name no job are INVALID_ARGUMENT",
             |w| {
-                for indices in [(3, 1, 1), (1, 3, 0), (1, 3, -1)] {
+                for (begin, end, step) in [(3, 1, 1), (1, 3, 0), (1, 3, -1)] {
+                    let indices = IndexRange::new(begin, end, step);
                     let told = w.client.run_bulk(w.preview("/x"), indices, None, None);
                     assert_eq!(error(told), ErrorId::InvalidArgument);
                 }
@@ -777,7 +805,7 @@
                 let (array, ids) = bulk(w, "/bound", 30, Some(2), None);
                 let mut most = 0;
                 until("all ended", || {
-                    let info = w.client.array(&array).unwrap();
+                    let info = w.client.job_array(&array).unwrap();
                     assert!(info.active <= 2, "{} active", info.active);
                     info.ended == ids.len()
                 });
@@ -805,7 +833,10 @@
                     ..Targets::default()
                 };
                 assert_eq!(
-                    w.client.wait_any(&targets, true, PATIENCE).unwrap().job_id,
+                    w.client
+                        .wait_any(&targets, WaitGoal::Started, PATIENCE)
+                        .unwrap()
+                        .job_id,
                     running
                 );
                 true
@@ -821,7 +852,10 @@
                     ..Targets::default()
                 };
                 assert_eq!(
-                    w.client.wait_any(&targets, false, PATIENCE).unwrap().job_id,
+                    w.client
+                        .wait_any(&targets, WaitGoal::Terminated, PATIENCE)
+                        .unwrap()
+                        .job_id,
                     ended
                 );
                 true
@@ -837,7 +871,7 @@
                         ..Targets::default()
                     };
                     assert_eq!(
-                        error(w.client.wait_any(&targets, false, PATIENCE)),
+                        error(w.client.wait_any(&targets, WaitGoal::Terminated, PATIENCE)),
                         ErrorId::InvalidArgument
                     );
                 }
@@ -852,9 +886,9 @@
                 let (sender, events) = channel();
                 let tell = move |event: Event| drop(sender.send(event));
                 let reader =
-                    Client::with_events(Settings::at(w.lab.submitters.clone()), Box::new(tell));
-                reader.open_session("c9", true, None).unwrap();
-                let job = w.client.run(w.preview("/x"), Some("c9")).unwrap();
+                    Client::with_events(Settings::new(w.lab.submitters.clone()), Box::new(tell));
+                reader.create_or_open_session("c9", None).unwrap();
+                let job = w.client.run_job(w.preview("/x"), Some("c9")).unwrap();
                 let mut states = Vec::new();
                 while states.last() != Some(&JobState::Done) {
                     match events.recv_timeout(Duration::from_secs(30)).unwrap() {
@@ -884,8 +918,8 @@
                 let (sender, events) = channel();
                 let tell = move |event: Event| drop(sender.send(event));
                 let reader =
-                    Client::with_events(Settings::at(w.lab.submitters.clone()), Box::new(tell));
-                let last = reader.open_session("c10", false, Some(0)).unwrap();
+                    Client::with_events(Settings::new(w.lab.submitters.clone()), Box::new(tell));
+                let last = reader.open_session("c10", Some(0)).unwrap();
                 let Event::Gap { from, to, .. } =
                     events.recv_timeout(Duration::from_secs(30)).unwrap()
                 else {
@@ -979,7 +1013,7 @@
             |w| {
                 for job in [w.held("/x", None), w.running()] {
                     control(w, terminate, &job).unwrap();
-                    let info = w.client.info(&job).unwrap();
+                    let info = w.client.job_info(&job).unwrap();
                     assert_eq!(
                         (info.job_state, info.job_sub_state.as_deref()),
                         (JobState::Failed, Some("terminated"))
@@ -1043,7 +1077,7 @@
                 let wait = || {
                     let (at, id) = (w.lab.submitters.clone(), job.clone());
                     std::thread::spawn(move || {
-                        let client = Client::new(Settings::at(at));
+                        let client = Client::new(Settings::new(at));
                         client
                             .wait_terminated(&id, PATIENCE)
                             .map(|info| info.job_state)
@@ -1063,7 +1097,7 @@
             |w| {
                 session(w, "c11");
                 let (array, _) = bulk(w, "/x", 5, Some(3), Some("c11"));
-                let info = w.client.array(&array).unwrap();
+                let info = w.client.job_array(&array).unwrap();
                 assert_eq!(
                     (info.jobs, info.max_parallel, info.session.as_deref()),
                     (5, Some(3), Some("c11"))
@@ -1079,13 +1113,22 @@
                     submit_as_hold: true,
                     ..w.preview("/x")
                 };
-                let told = w.client.run_bulk(template, (1, 5, 1), None, None).unwrap();
+                let told = w
+                    .client
+                    .run_bulk(template, IndexRange::new(1, 5, 1), None, None)
+                    .unwrap();
                 let targets = || Targets::array(told.arrays[0].clone());
                 assert_eq!(
                     error(w.client.control(hold(targets()))),
                     ErrorId::InvalidState
                 );
-                assert_eq!(w.client.control(release(targets())).unwrap(), (5, 0));
+                assert_eq!(
+                    w.client.control(release(targets())).unwrap(),
+                    ControlSummary {
+                        changed: 5,
+                        rejected: 0
+                    }
+                );
                 true
             },
         ),
@@ -1095,7 +1138,7 @@
             |w| {
                 let (array, ids) = bulk(w, "/slow-array", 20, Some(2), None);
                 w.client
-                    .wait_any(&Targets::array(array.clone()), true, PATIENCE)
+                    .wait_any(&Targets::array(array.clone()), WaitGoal::Started, PATIENCE)
                     .unwrap();
                 w.client
                     .control(terminate(Targets::array(array.clone())))
@@ -1116,9 +1159,12 @@
                     w.client
                         .control(reap(Targets::array(array.clone())))
                         .unwrap(),
-                    (4, 0)
+                    ControlSummary {
+                        changed: 4,
+                        rejected: 0
+                    }
                 );
-                assert_eq!(error(w.client.array(&array)), ErrorId::InvalidArgument);
+                assert_eq!(error(w.client.job_array(&array)), ErrorId::InvalidArgument);
                 true
             },
         ),
@@ -1139,7 +1185,7 @@
                     ..Filter::default()
                 };
                 w.client
-                    .list(None, &filter, |info| found.push(info.job_id))
+                    .list_jobs(None, &filter, |info| found.push(info.job_id))
                     .unwrap();
                 assert!(found.contains(&own) && found.contains(&other));
                 true
@@ -1150,7 +1196,7 @@
             "Monitoring shows all queues, or those that are named",
             |w| {
                 let names = Some(vec!["preview".to_owned(), "none".to_owned()]);
-                let told = w.client.raw(Operation::GetAllQueues { names }).unwrap();
+                let told = w.client.request(Operation::GetAllQueues { names }).unwrap();
                 assert_eq!(told["queues"].as_array().unwrap().len(), 1);
                 true
             },
@@ -1160,7 +1206,10 @@
             "Monitoring shows all machines, or those that are named, and which take no jobs",
             |w| {
                 let names = Some(vec!["w2".to_owned()]);
-                let told = w.client.raw(Operation::GetAllMachines { names }).unwrap();
+                let told = w
+                    .client
+                    .request(Operation::GetAllMachines { names })
+                    .unwrap();
                 assert_eq!(told["machines"].as_array().unwrap().len(), 1);
                 assert_eq!(w.lab.operate("set-down w3").as_deref(), Some("ACK w3 out"));
                 let out = w
@@ -1178,7 +1227,7 @@
         clause("GFD.231, 10.1", "Monitoring shows reservations", |w| {
             assert!(!has(w, "ADVANCE_RESERVATION"));
             assert_eq!(
-                error(w.client.raw(Operation::GetAllReservations)),
+                error(w.client.request(Operation::GetAllReservations)),
                 ErrorId::UnsupportedOperation
             );
             false
@@ -1190,8 +1239,8 @@
 fn history(world: &World, name: &str, count: usize) -> Vec<JobState> {
     let (sender, events) = channel();
     let tell = move |event: Event| drop(sender.send(event));
-    let reader = Client::with_events(Settings::at(world.lab.submitters.clone()), Box::new(tell));
-    reader.open_session(name, false, Some(0)).unwrap();
+    let reader = Client::with_events(Settings::new(world.lab.submitters.clone()), Box::new(tell));
+    reader.open_session(name, Some(0)).unwrap();
     let next = || match events.recv_timeout(Duration::from_secs(30)).unwrap() {
         Event::NewState { job_state, .. } => job_state,
         gap => panic!("{gap:?}"),
--- a/crates/drmaa/src/session.rs
+++ b/crates/drmaa/src/session.rs
@@ -10,7 +10,8 @@
 use crate::native::{self, Native};
 use crate::template::{Template, INCR};
 use marbledeck_submission_client::{
-    Client, ErrorId, Event, Filter, JobInfo, JobState, Operation, Problem, Settings, Targets,
+    Client, ErrorId, Event, Filter, IndexRange, JobInfo, JobState, Operation, Problem, Settings,
+    Targets,
 };
 use rand::Rng;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -89,8 +90,8 @@
     pub fn begin(contact: &str) -> Result<Self> {
         let (node, defaults) = native::contact(contact)?;
         let settings = Settings {
-            patience: PATIENCE,
-            ..Settings::at(node)
+            retry_timeout: PATIENCE,
+            ..Settings::new(node)
         };
         let (words, heard) = channel();
         let tell = words.clone();
@@ -108,7 +109,7 @@
             }),
         ));
         let name = format!("drmaa-{:016x}", rand::rng().random::<u64>());
-        client.open_session(&name, true, None)?;
+        client.create_or_open_session(&name, None)?;
         let jobs: Arc<(Mutex<Jobs>, Condvar)> = Arc::default();
         let (own, theirs, session) = (client.clone(), jobs.clone(), name.clone());
         let collector = std::thread::Builder::new()
@@ -158,7 +159,7 @@
     /// Names the attribute, or says what the node says.
     pub fn run(&self, template: &Template) -> Result<String> {
         let asked = template.asked(&self.defaults, false)?;
-        let job = self.client.run(asked.wire, Some(&self.name))?;
+        let job = self.client.run_job(asked.wire, Some(&self.name))?;
         self.enter(
             &job.job_id,
             Known {
@@ -182,14 +183,17 @@
             return Err(Failure::new(Errno::InvalidArgument, words));
         }
         let asked = template.asked(&self.defaults, true)?;
-        let bulk =
-            self.client
-                .run_bulk(asked.wire, indices, asked.max_parallel, Some(&self.name))?;
+        let bulk = self.client.run_bulk(
+            asked.wire,
+            IndexRange::new(begin, end, step),
+            asked.max_parallel,
+            Some(&self.name),
+        )?;
         let mut refused = None;
         let mut ids = Vec::with_capacity(bulk.jobs.len());
-        for (index, job) in bulk.jobs {
-            match job {
-                Ok(job) => ids.push((index, job.job_id)),
+        for job in bulk.jobs {
+            match job.result {
+                Ok(accepted) => ids.push((job.index, accepted.job_id)),
                 Err(problem) => drop(refused.get_or_insert(problem)),
             }
         }
@@ -410,7 +414,7 @@
         if let Some(state) = ended(&locked(&self.jobs.0)) {
             return Ok(state);
         }
-        match self.client.info(id) {
+        match self.client.job_info(id) {
             Ok(info) => Ok(info.job_state),
             // The collector may have taken it between the two looks.
             Err(error) => {
@@ -489,7 +493,7 @@
     if !is_open(jobs, id) {
         return;
     }
-    match client.info(id) {
+    match client.job_info(id) {
         Ok(info) if info.job_state.is_final() => {
             let _ = client.control(Operation::Reap {
                 targets: Targets::job(id),
@@ -534,7 +538,7 @@
 /// Asks what has become of all jobs.
 fn look_at_all(client: &Client, jobs: &(Mutex<Jobs>, Condvar), session: &str) {
     let mut open = HashSet::new();
-    let listed = client.list(Some(session), &Filter::default(), |info| {
+    let listed = client.list_jobs(Some(session), &Filter::default(), |info| {
         if !info.job_state.is_final() {
             open.insert(info.job_id);
         }
--- a/crates/submission-client/tests/golden.rs
+++ b/crates/submission-client/tests/golden.rs
@@ -3,8 +3,8 @@
 
 use insta::assert_snapshot;
 use marbledeck_submission_client::{
-    Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Operation, Problem, Settings,
-    Targets, Template,
+    BulkJob, Client, Error, ErrorId, Event, Filter, IndexRange, JobInfo, JobState, Operation,
+    Problem, Settings, Targets, Template, WaitGoal,
 };
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -43,7 +43,7 @@
 
     /// What follows the next line that is heard.
     fn will_answer(&self, lines: &[&str]) {
-        let lines = lines.iter().map(|line| line.to_string()).collect();
+        let lines = lines.iter().map(ToString::to_string).collect();
         self.answers.send(lines).expect("the node runs");
     }
 
@@ -83,8 +83,8 @@
 impl Transcript {
     fn new() -> Self {
         let node = Node::start();
-        let mut settings = Settings::at(node.contact.clone());
-        settings.resubmit = Duration::ZERO;
+        let mut settings = Settings::new(node.contact.clone());
+        settings.resubmit_timeout = Duration::ZERO;
         Transcript {
             client: Client::new(settings),
             node,
@@ -116,8 +116,8 @@
 fn shown_error(error: &Error) -> String {
     let kind = match error {
         Error::Problem(_) => "problem",
-        Error::Lost(_) => "lost",
-        Error::Garbled(_) => "garbled",
+        Error::Connection(_) => "lost",
+        Error::InvalidAnswer(_) => "garbled",
     };
     format!("{kind}: {error}")
 }
@@ -167,7 +167,7 @@
     ] {
         t.ask(
             &[answer],
-            |client| client.run(template(), session),
+            |client| client.run_job(template(), session),
             |job| {
                 format!(
                     "{} {} duplicate {}",
@@ -176,12 +176,12 @@
             },
         );
     }
-    t.ask(&[DONE], |client| client.info("n0-1-0"), shown_info);
-    t.ask(&[FAILED], |client| client.info("n0-1-0"), shown_info);
+    t.ask(&[DONE], |client| client.job_info("n0-1-0"), shown_info);
+    t.ask(&[FAILED], |client| client.job_info("n0-1-0"), shown_info);
     let array = r#"{"seq":SEQ,"jobArray":{"jobArrayId":"n0-1-1","session":"film","maxParallel":2,"jobs":9,"active":2,"waiting":3,"ended":4}}"#;
     t.ask(
         &[array],
-        |client| client.array("n0-1-1"),
+        |client| client.job_array("n0-1-1"),
         |array| {
             let (id, jobs, active) = (array.job_array_id, array.jobs, array.active);
             format!(
@@ -198,17 +198,17 @@
     let mut t = Transcript::new();
     let first = r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[{"index":1,"jobId":"n0-1-1","jobState":"QUEUED","duplicate":false}],"more":true}"#;
     let last = r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[{"index":2,"error":"INVALID_ARGUMENT","message":"no"},{"index":3,"error":"TRY_LATER","message":"full"}]}"#;
-    for (range, most, session) in [((1, 3, 1), None, None), ((3, 1, -1), Some(2), Some("film"))] {
+    for (range, most, session) in [
+        (IndexRange::new(1, 3, 1), None, None),
+        (IndexRange::new(3, 1, -1), Some(2), Some("film")),
+    ] {
         t.ask(
             &[first, last],
             |client| client.run_bulk(template(), range, most, session),
             |bulk| {
-                let job = |(index, job): (
-                    i64,
-                    Result<marbledeck_submission_client::Accepted, Problem>,
-                )| {
-                    let told = job.map_or_else(|p| p.message, |job| job.job_id);
-                    format!("{index}: {told}")
+                let job = |job: BulkJob| {
+                    let result = job.result.map_or_else(|p| p.message, |job| job.job_id);
+                    format!("{}: {result}", job.index)
                 };
                 let jobs: Vec<String> = bulk.jobs.into_iter().map(job).collect();
                 format!("arrays {}; {}", bulk.arrays.join(" "), jobs.join(", "))
@@ -232,8 +232,12 @@
             ..Targets::default()
         },
     ] {
-        t.ask(&[DONE], |c| c.wait_any(&of, true, None), none);
-        t.ask(&[FAILED], |c| c.wait_any(&of, false, None), none);
+        t.ask(&[DONE], |c| c.wait_any(&of, WaitGoal::Started, None), none);
+        t.ask(
+            &[FAILED],
+            |c| c.wait_any(&of, WaitGoal::Terminated, None),
+            none,
+        );
     }
     let timeout = r#"{"seq":SEQ,"error":"TIMEOUT","message":"the job goes on"}"#;
     t.ask(&[timeout], |c| c.wait_terminated("n0-1-0", None), none);
@@ -241,6 +245,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a list of requests")]
 fn controls_and_lists() {
     let mut t = Transcript::new();
     let targets = || Targets::array("n0-1-1");
@@ -262,7 +267,7 @@
         t.ask(
             &[answer],
             |client| client.control(op),
-            |(changed, refused)| format!("{changed} changed, {refused} refused"),
+            |summary| format!("{} changed, {} refused", summary.changed, summary.rejected),
         );
     }
     let filter = Filter {
@@ -273,39 +278,31 @@
     let page = r#"{"seq":SEQ,"jobs":[{"jobId":"n0-1-0","jobState":"DONE","submissionTimeMs":1}]}"#;
     let list = |client: &Client| {
         let mut jobs = Vec::new();
-        let listed = client.list(Some("film"), &filter, |job| jobs.push(shown_info(job)));
+        let listed = client.list_jobs(Some("film"), &filter, |job| jobs.push(shown_info(job)));
         listed.map(|()| jobs.join("; "))
     };
     t.ask(&[page], list, |jobs| jobs);
     let queues = r#"{"seq":SEQ,"queues":[{"name":"sheet","deadlineMs":25000,"dedupWindowMs":40000,"keyed":true}]}"#;
-    t.ask(
-        &[queues],
-        |client| client.queues(),
-        |queues| {
-            let queue = &queues[0];
-            let (deadline, window) = (queue.deadline_ms, queue.dedup_window_ms);
-            format!(
-                "{} deadline {deadline} window {window} keyed {}",
-                queue.name, queue.keyed
-            )
-        },
-    );
+    t.ask(&[queues], Client::queues, |queues| {
+        let queue = &queues[0];
+        let (deadline, window) = (queue.deadline_ms, queue.dedup_window_ms);
+        format!(
+            "{} deadline {deadline} window {window} keyed {}",
+            queue.name, queue.keyed
+        )
+    });
     let machine = |name: &str, more: &str| {
         format!(
             r#"{{"seq":SEQ,"machines":[{{"name":"{name}","available":true,"state":"up","zone":"east","kind":"std","address":"127.0.0.1:8000","calls":3}}]{more}}}"#
         )
     };
     let (first, last) = (machine("w1", r#","more":true"#), machine("w2", ""));
-    t.ask(
-        &[&first, &last],
-        |client| client.machines(),
-        |machines| {
-            let machine = |m: &marbledeck_submission_client::Machine| {
-                format!("{} {} {}", m.name, m.zone, m.calls)
-            };
-            machines.iter().map(machine).collect::<Vec<_>>().join(", ")
-        },
-    );
+    t.ask(&[&first, &last], Client::machines, |machines| {
+        let machine = |m: &marbledeck_submission_client::Machine| {
+            format!("{} {} {}", m.name, m.zone, m.calls)
+        };
+        machines.iter().map(machine).collect::<Vec<_>>().join(", ")
+    });
     for (op, answer) in [
         (
             Operation::GetDrmsInfo,
@@ -322,7 +319,7 @@
     ] {
         t.ask(
             &[answer],
-            |client| client.raw(op),
+            |client| client.request(op),
             |value| value.to_string(),
         );
     }
@@ -334,13 +331,13 @@
     let mut t = Transcript::new();
     let opened = r#"{"seq":SEQ,"session":"film","lastEvent":7}"#;
     let shown = |last: u64| format!("last event {last}");
-    t.ask(&[opened], |c| c.open_session("film", true, None), shown);
-    t.ask(&[opened], |c| c.open_session("film", false, Some(3)), shown);
+    t.ask(&[opened], |c| c.create_or_open_session("film", None), shown);
+    t.ask(&[opened], |c| c.open_session("film", Some(3)), shown);
     let names = r#"{"seq":SEQ,"sessions":["film","other"]}"#;
-    t.ask(&[names], |c| c.sessions(), |names| names.join(" "));
+    t.ask(&[names], Client::sessions, |names| names.join(" "));
     let closed = r#"{"seq":SEQ,"session":"film"}"#;
     let nothing = |()| "done".to_owned();
-    t.ask(&[closed], |c| c.close_session(), nothing);
+    t.ask(&[closed], Client::close_session, nothing);
     t.ask(&[closed], |c| c.destroy_session("film"), nothing);
     let unknown = r#"{"seq":SEQ,"error":"INVALID_SESSION","message":"no such session: `film`"}"#;
     t.ask(&[unknown], |c| c.destroy_session("film"), nothing);
@@ -353,7 +350,7 @@
     let node = Node::start();
     let (sender, told) = channel();
     let on_event = move |event: Event| drop(sender.send(event));
-    let client = Client::with_events(Settings::at(node.contact.clone()), Box::new(on_event));
+    let client = Client::with_events(Settings::new(node.contact.clone()), Box::new(on_event));
     let events = [
         r#"{"event":"GAP","session":"film","from":3,"to":5}"#,
         r#"{"event":"NEW_STATE","session":"film","number":6,"jobId":"n0-1-0","jobState":"FAILED","jobSubState":"terminated"}"#,
@@ -369,7 +366,9 @@
         .concat(),
     );
     node.will_answer(&[r#"{"seq":SEQ,"sessions":["film"]}"#]);
-    let last = client.open_session("film", true, None).expect("it opens");
+    let last = client
+        .create_or_open_session("film", None)
+        .expect("it opens");
     let mut text = format!("last event {last}\n");
     for _ in 0..3 {
         let _ = writeln!(text, "> {}", node.next_heard());
@@ -401,8 +400,8 @@
 fn errors() {
     let errors = [
         Error::Problem(Problem::invalid("no such job")),
-        Error::Lost(std::io::Error::other("the connection broke")),
-        Error::Garbled("more than one line".to_owned()),
+        Error::Connection(std::io::Error::other("the connection broke")),
+        Error::InvalidAnswer("more than one line".to_owned()),
     ];
     let mut text: String = errors.iter().map(|e| format!("{e}\n")).collect();
     // An error without words of its own is told by its name.
@@ -430,14 +429,14 @@
 #[test]
 fn keys_of_the_clients_own() {
     let node = Node::start();
-    let client = Client::new(Settings::at(node.contact.clone()));
+    let client = Client::new(Settings::new(node.contact.clone()));
     let mut unkeyed = template();
     unkeyed.submission_key = None;
     node.will_answer(&[r#"{"seq":SEQ,"jobId":"n0-1-0","jobState":"QUEUED","duplicate":false}"#]);
-    client.run(unkeyed.clone(), None).expect("accepted");
+    client.run_job(unkeyed.clone(), None).expect("accepted");
     node.will_answer(&[r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[]}"#]);
     client
-        .run_bulk(unkeyed, (1, 1, 1), None, None)
+        .run_bulk(unkeyed, IndexRange::new(1, 1, 1), None, None)
         .expect("accepted");
     for end in ["", "-${PARAMETRIC_INDEX}"] {
         let line: Value = serde_json::from_str(&node.next_heard()).expect("a line is JSON");
