--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,10 +1,17 @@
-//! What can be said on the command line.
+//! The arguments of the commands. Their doc comments are the help texts.
 
+#![expect(
+    missing_docs,
+    reason = "a doc comment would become the help text of an argument that has none"
+)]
+
+use crate::parse::{parse_duration, parse_state, parse_time};
 use clap::{Args, Subcommand};
+use marbledeck_submission_client::JobState;
 use std::path::PathBuf;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
-/// What every command takes.
+/// The arguments of every command.
 #[derive(Args, Clone, Debug)]
 pub struct Common {
     /// Where the node's submission front listens
@@ -30,7 +37,7 @@
     pub resubmit: f64,
 }
 
-/// What a job asks for.
+/// The arguments that describe a job.
 #[derive(Args, Clone, Debug)]
 pub struct TemplateArgs {
     /// The path, with its query, that the render worker is asked for
@@ -54,13 +61,13 @@
     #[arg(long, value_name = "N")]
     pub slots: Option<f64>,
     /// How long the end is waited for, from when it may start: 20s, 1500ms, 2m
-    #[arg(long, value_name = "SPAN", value_parser = span)]
+    #[arg(long, value_name = "SPAN", value_parser = parse_duration)]
     pub deadline: Option<Duration>,
     /// When it is to have ended: Unix seconds, or +SPAN from now
-    #[arg(long, value_name = "TIME", value_parser = moment)]
+    #[arg(long, value_name = "TIME", value_parser = parse_time)]
     pub until: Option<u64>,
     /// Held until then: Unix seconds, or +SPAN from now
-    #[arg(long, value_name = "TIME", value_parser = moment)]
+    #[arg(long, value_name = "TIME", value_parser = parse_time)]
     pub start: Option<u64>,
     /// Held until it is released
     #[arg(long)]
@@ -70,10 +77,10 @@
     pub session: Option<String>,
 }
 
-/// Which jobs are meant.
+/// The jobs that a command is about.
 #[derive(Args, Clone, Debug)]
-#[group(required = true, multiple = false)]
-pub struct Which {
+#[group(id = "Which", required = true, multiple = false)]
+pub struct JobSelection {
     /// Jobs by their ids
     #[arg(value_name = "JOB")]
     pub jobs: Vec<String>,
@@ -139,7 +146,7 @@
     /// Wait for the end of jobs
     Wait {
         #[command(flatten)]
-        which: Which,
+        which: JobSelection,
         /// Until any of them has, not all
         #[arg(long)]
         any: bool,
@@ -147,7 +154,7 @@
         #[arg(long)]
         started: bool,
         /// How long at most: 20s, 1500ms, 2m
-        #[arg(long, value_name = "SPAN", value_parser = span)]
+        #[arg(long, value_name = "SPAN", value_parser = parse_duration)]
         timeout: Option<Duration>,
         #[command(flatten)]
         common: Common,
@@ -158,8 +165,8 @@
         #[arg(long, short, value_name = "NAME")]
         session: Option<String>,
         /// Those in this state; may be given several times
-        #[arg(long, value_name = "STATE", value_parser = state)]
-        state: Vec<marbledeck_submission_client::JobState>,
+        #[arg(long, value_name = "STATE", value_parser = parse_state)]
+        state: Vec<JobState>,
         /// Those of this name
         #[arg(long)]
         name: Option<String>,
@@ -178,28 +185,28 @@
     /// Hold jobs that no worker has been sent
     Hold {
         #[command(flatten)]
-        which: Which,
+        which: JobSelection,
         #[command(flatten)]
         common: Common,
     },
     /// Release held jobs
     Release {
         #[command(flatten)]
-        which: Which,
+        which: JobSelection,
         #[command(flatten)]
         common: Common,
     },
     /// End jobs; what a worker has begun may still run
     Terminate {
         #[command(flatten)]
-        which: Which,
+        which: JobSelection,
         #[command(flatten)]
         common: Common,
     },
     /// Have the node forget ended jobs
     Reap {
         #[command(flatten)]
-        which: Which,
+        which: JobSelection,
         #[command(flatten)]
         common: Common,
     },
@@ -250,66 +257,10 @@
 /// `marbledeck queues`, `machines`, `capabilities`
 #[derive(Clone, Debug)]
 pub enum NodeCommand {
-    /// The classes.
+    /// Prints the request classes.
     Queues(Common),
-    /// The workers.
+    /// Prints the workers.
     Machines(Common),
-    /// What is supported and what is not.
+    /// Prints what is supported and what is not.
     Capabilities(Common),
 }
-
-/// A span with its unit.
-pub fn span(text: &str) -> Result<Duration, String> {
-    let wrong = || format!("'{text}' is no span: want a number and one of ms, s, m, h, as in 20s");
-    let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.');
-    let (number, unit) = text.split_at(digits.unwrap_or(text.len()));
-    let number: f64 = number.parse().map_err(|_| wrong())?;
-    let seconds = match unit {
-        "ms" => number / 1e3,
-        "s" | "" => number,
-        "m" => number * 60.0,
-        "h" => number * 3600.0,
-        _ => return Err(wrong()),
-    };
-    Duration::try_from_secs_f64(seconds).map_err(|_| wrong())
-}
-
-/// A moment in Unix milliseconds.
-pub fn moment(text: &str) -> Result<u64, String> {
-    if let Some(text) = text.strip_prefix('+') {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        let at = now.unwrap_or_default() + span(text)?;
-        return Ok(at.as_millis() as u64);
-    }
-    let wrong = || format!("'{text}' is no time: want Unix seconds, or + and a span, as in +20m");
-    let seconds: f64 = text.parse().map_err(|_| wrong())?;
-    let at = Duration::try_from_secs_f64(seconds).map_err(|_| wrong())?;
-    Ok(at.as_millis() as u64)
-}
-
-fn state(text: &str) -> Result<marbledeck_submission_client::JobState, String> {
-    let known = marbledeck_submission_client::JobState::ALL;
-    let found = known
-        .into_iter()
-        .find(|s| s.as_str().eq_ignore_ascii_case(text));
-    let words = known.map(|s| s.as_str()).join(", ");
-    found.ok_or_else(|| format!("'{text}' is no state: want one of {words}"))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn spans() {
-        assert_eq!(span("1500ms"), Ok(Duration::from_millis(1500)));
-        assert_eq!(span("2m"), Ok(Duration::from_secs(120)));
-        assert_eq!(span("0.5"), Ok(Duration::from_millis(500)));
-        for wrong in ["", "s", "-1s", "3d", "1e400s", "1..2s"] {
-            assert!(span(wrong).unwrap_err().contains(wrong), "{wrong}");
-        }
-        assert_eq!(moment("1.5"), Ok(1500));
-        assert!(moment("+1h").unwrap() > 3_600_000);
-        assert!(moment("soon").is_err());
-    }
-}
--- /dev/null
+++ b/crates/cli/src/parse.rs
@@ -0,0 +1,72 @@
+//! Parsing of argument values: time spans, points in time and job states.
+
+#[cfg(test)]
+mod tests;
+
+use marbledeck_submission_client::JobState;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// Why the value of an argument is invalid.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum ParseError {
+    /// Not a time span.
+    #[error("'{0}' is no span: want a number and one of ms, s, m, h, as in 20s")]
+    Duration(String),
+    /// Not a point in time.
+    #[error("'{0}' is no time: want Unix seconds, or + and a span, as in +20m")]
+    Time(String),
+    /// Not a job state.
+    #[error("'{0}' is no state: want one of {states}", states = state_names())]
+    State(String),
+}
+
+/// The names of all job states, for people.
+fn state_names() -> String {
+    JobState::ALL.map(JobState::as_str).join(", ")
+}
+
+/// Parses a time span with its unit.
+///
+/// # Errors
+/// If the text is not a number and a unit, or the span is too large.
+pub(crate) fn parse_duration(text: &str) -> Result<Duration, ParseError> {
+    let invalid = || ParseError::Duration(text.to_owned());
+    let number_end = text.find(|c: char| !c.is_ascii_digit() && c != '.');
+    let (number, unit) = text.split_at(number_end.unwrap_or(text.len()));
+    let number: f64 = number.parse().map_err(|_| invalid())?;
+    let seconds = match unit {
+        "ms" => number / 1e3,
+        "s" | "" => number,
+        "m" => number * 60.0,
+        "h" => number * 3600.0,
+        _ => return Err(invalid()),
+    };
+    Duration::try_from_secs_f64(seconds).map_err(|_| invalid())
+}
+
+/// Parses a point in time, in Unix seconds or as a time span from now; returns Unix milliseconds.
+///
+/// # Errors
+/// If the text is neither of them.
+pub(crate) fn parse_time(text: &str) -> Result<u64, ParseError> {
+    if let Some(span) = text.strip_prefix('+') {
+        let now = SystemTime::now().duration_since(UNIX_EPOCH);
+        let time = now.unwrap_or_default() + parse_duration(span)?;
+        return Ok(time.as_millis() as u64);
+    }
+    let invalid = || ParseError::Time(text.to_owned());
+    let seconds: f64 = text.parse().map_err(|_| invalid())?;
+    let time = Duration::try_from_secs_f64(seconds).map_err(|_| invalid())?;
+    Ok(time.as_millis() as u64)
+}
+
+/// Parses a job state, in upper or lower case.
+///
+/// # Errors
+/// If there is no such state.
+pub(crate) fn parse_state(text: &str) -> Result<JobState, ParseError> {
+    JobState::ALL
+        .into_iter()
+        .find(|state| state.as_str().eq_ignore_ascii_case(text))
+        .ok_or_else(|| ParseError::State(text.to_owned()))
+}
--- a/crates/cli/src/sessions.rs
+++ b/crates/cli/src/sessions.rs
@@ -1,99 +1,71 @@
-//! `marbledeck session ...`, and what a node tells of itself.
+//! `marbledeck session ...`
 
-use crate::args::{NodeCommand, SessionCommand};
-use crate::{print, Cli, Failure, Status};
-use marbledeck_submission_client::{Filter, Operation};
-use serde::Serialize;
+use crate::args::SessionCommand;
+use crate::context::{CommandContext, OutputFormat};
+use crate::error::CommandError;
+use crate::{output, Status};
+use marbledeck_submission_client::{Filter, JobState, Operation};
+use serde_json::json;
 use std::collections::BTreeMap;
 
-pub(crate) fn carry_out(command: SessionCommand) -> Result<Status, Failure> {
+/// Runs a command on sessions.
+pub(crate) fn run(command: SessionCommand) -> Result<Status, CommandError> {
     match command {
-        SessionCommand::Create { name, common } => {
-            let cli = Cli::new(&common);
-            cli.client
-                .request(Operation::CreateSession { name: name.clone() })?;
-            match cli.json {
-                true => print::json(&serde_json::json!({ "session": name })),
-                false => print::line(&name),
-            }
-        }
-        SessionCommand::List { common } => {
-            let cli = Cli::new(&common);
-            for name in cli.client.sessions()? {
-                match cli.json {
-                    true => print::json(&serde_json::json!({ "session": name })),
-                    false => print::line(&name),
-                }
-            }
-        }
-        SessionCommand::Show { name, common } => {
-            let cli = Cli::new(&common);
-            let last = cli.client.open_session(&name, None)?;
-            let mut states: BTreeMap<_, usize> = BTreeMap::new();
-            cli.client
-                .list_jobs(Some(&name), &Filter::default(), |info| {
-                    *states.entry(info.job_state).or_default() += 1;
-                })?;
-            if cli.json {
-                let states: BTreeMap<&str, usize> = states
-                    .iter()
-                    .map(|(state, n)| (state.as_str(), *n))
-                    .collect();
-                print::json(
-                    &serde_json::json!({"session": name, "lastEvent": last, "jobs": states}),
-                );
-            } else {
-                print::line(&format!("last event {last}"));
-                for (state, count) in states {
-                    print::line(&format!("{:<16} {count}", state.as_str()));
-                }
-            }
-        }
+        SessionCommand::Create { name, common } => create(&CommandContext::new(&common), &name)?,
+        SessionCommand::List { common } => list(&CommandContext::new(&common))?,
+        SessionCommand::Show { name, common } => show(&CommandContext::new(&common), &name)?,
         SessionCommand::Destroy { name, common } => {
-            Cli::new(&common).client.destroy_session(&name)?
+            CommandContext::new(&common).client.destroy_session(&name)?;
         }
     }
     Ok(Status::Ok)
 }
 
-/// Prints each, as an object or as this line.
-fn each<T: Serialize>(json: bool, all: &[T], line: impl Fn(&T) -> String) {
-    for one in all {
-        match json {
-            true => print::json(one),
-            false => print::line(&line(one)),
-        }
+fn create(context: &CommandContext, name: &str) -> Result<(), CommandError> {
+    let operation = Operation::CreateSession {
+        name: name.to_owned(),
+    };
+    context.client.request(operation)?;
+    print_name(context, name);
+    Ok(())
+}
+
+fn list(context: &CommandContext) -> Result<(), CommandError> {
+    for name in context.client.sessions()? {
+        print_name(context, &name);
     }
+    Ok(())
 }
 
-pub(crate) fn node(command: NodeCommand) -> Result<Status, Failure> {
-    match command {
-        NodeCommand::Queues(common) => {
-            let cli = Cli::new(&common);
-            each(common.json, &cli.client.queues()?, |queue| {
-                let deadline = queue.deadline_ms as f64 / 1000.0;
-                let keyed = if queue.keyed { ", wants a key" } else { "" };
-                format!("{:<20} given up after {deadline:.1} s{keyed}", queue.name)
-            });
-        }
-        NodeCommand::Machines(common) => {
-            let cli = Cli::new(&common);
-            each(common.json, &cli.client.machines()?, |machine| {
-                let free = machine
-                    .free_slots
-                    .map_or("-".to_owned(), |free| free.to_string());
-                let (zone, kind) = (&machine.zone, &machine.kind);
-                let (name, state, calls) = (&machine.name, &machine.state, machine.calls);
-                format!("{name:<20} {state:<10} {zone:<12} {kind:<10} calls {calls:<4} free {free}")
-            });
+fn print_name(context: &CommandContext, name: &str) {
+    context
+        .format
+        .print(&json!({ "session": name }), || name.to_owned());
+}
+
+/// Prints a session's last event and the number of its jobs in each state.
+fn show(context: &CommandContext, name: &str) -> Result<(), CommandError> {
+    let last_event = context.client.open_session(name, None)?;
+    let mut counts: BTreeMap<JobState, usize> = BTreeMap::new();
+    context
+        .client
+        .list_jobs(Some(name), &Filter::default(), |info| {
+            *counts.entry(info.job_state).or_default() += 1;
+        })?;
+    match context.format {
+        OutputFormat::Json => {
+            let counts: BTreeMap<&str, usize> = counts
+                .iter()
+                .map(|(state, count)| (state.as_str(), *count))
+                .collect();
+            output::print_json(&json!({"session": name, "lastEvent": last_event, "jobs": counts}));
         }
-        NodeCommand::Capabilities(common) => {
-            print::json(
-                &Cli::new(&common)
-                    .client
-                    .request(Operation::GetCapabilities)?,
-            );
+        OutputFormat::Text => {
+            output::print_line(&format!("last event {last_event}"));
+            for (state, count) in counts {
+                output::print_line(&format!("{:<16} {count}", state.as_str()));
+            }
         }
     }
-    Ok(Status::Ok)
+    Ok(())
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -79,14 +79,16 @@
     let served = match arguments.command {
         None => serve(arguments.serve),
         Some(Command::Serve(how)) => serve(how),
-        Some(Command::Job(command)) => return marbledeck_cli::job(command),
-        Some(Command::Session(command)) => return marbledeck_cli::session(command),
-        Some(Command::Queues(common)) => return marbledeck_cli::node(NodeCommand::Queues(common)),
+        Some(Command::Job(command)) => return marbledeck_cli::run_job_command(command),
+        Some(Command::Session(command)) => return marbledeck_cli::run_session_command(command),
+        Some(Command::Queues(common)) => {
+            return marbledeck_cli::run_node_command(NodeCommand::Queues(common))
+        }
         Some(Command::Machines(common)) => {
-            return marbledeck_cli::node(NodeCommand::Machines(common))
+            return marbledeck_cli::run_node_command(NodeCommand::Machines(common))
         }
         Some(Command::Capabilities(common)) => {
-            return marbledeck_cli::node(NodeCommand::Capabilities(common))
+            return marbledeck_cli::run_node_command(NodeCommand::Capabilities(common))
         }
         Some(Command::Config(ConfigCommand::Check { file })) => {
             let read = SiteConfig::read(&file);
