--- a/crates/submission-client/tests/golden.rs
+++ b/crates/submission-client/tests/golden.rs
@@ -16,10 +16,10 @@
 /// Far longer than anything takes.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// A node that says what it is told to say, and keeps what it hears.
+/// A scripted node, which keeps the lines that it receives.
 struct Node {
     contact: String,
-    heard: Receiver<String>,
+    lines: Receiver<String>,
     answers: Sender<Vec<String>>,
 }
 
@@ -27,38 +27,38 @@
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let contact = listener.local_addr().expect("an address").to_string();
-        let (hears, heard) = channel();
+        let (line_sender, lines) = channel();
         let (answers, scripted) = channel();
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                serve(stream, &hears, &scripted);
+                serve(stream, &line_sender, &scripted);
             }
         });
         Node {
             contact,
-            heard,
+            lines,
             answers,
         }
     }
 
-    /// What follows the next line that is heard.
+    /// The answers to the next line.
     fn will_answer(&self, lines: &[&str]) {
         let lines = lines.iter().map(ToString::to_string).collect();
         self.answers.send(lines).expect("the node runs");
     }
 
-    fn next_heard(&self) -> String {
-        self.heard.recv_timeout(PATIENCE).expect("a line is heard")
+    fn next_line(&self) -> String {
+        self.lines.recv_timeout(PATIENCE).expect("a line arrives")
     }
 }
 
 /// Answers each line with the next script; `SEQ` in it stands for the mark of the request.
-fn serve(mut stream: TcpStream, hears: &Sender<String>, scripted: &Receiver<Vec<String>>) {
+fn serve(mut stream: TcpStream, line_sender: &Sender<String>, scripted: &Receiver<Vec<String>>) {
     let reader = BufReader::new(stream.try_clone().expect("a socket"));
     for line in reader.lines().map_while(Result::ok) {
         let request: Value = serde_json::from_str(&line).expect("a line is JSON");
         let seq = request["seq"].to_string();
-        if hears.send(line).is_err() {
+        if line_sender.send(line).is_err() {
             return;
         }
         let Ok(answers) = scripted.recv_timeout(PATIENCE) else {
@@ -100,16 +100,16 @@
         shown: impl FnOnce(T) -> String,
     ) {
         self.node.will_answer(answers);
-        let told = asked(&self.client);
-        let _ = writeln!(self.text, "> {}", self.node.next_heard());
+        let result = asked(&self.client);
+        let _ = writeln!(self.text, "> {}", self.node.next_line());
         for answer in answers {
             let _ = writeln!(self.text, "< {answer}");
         }
-        let told = match told {
-            Ok(told) => shown(told),
+        let result = match result {
+            Ok(value) => shown(value),
             Err(error) => shown_error(&error),
         };
-        let _ = writeln!(self.text, "= {told}");
+        let _ = writeln!(self.text, "= {result}");
     }
 }
 
@@ -348,7 +348,7 @@
 #[test]
 fn events() {
     let node = Node::start();
-    let (sender, told) = channel();
+    let (sender, received_events) = channel();
     let on_event = move |event: Event| drop(sender.send(event));
     let client = Client::with_events(Settings::new(node.contact.clone()), Box::new(on_event));
     let events = [
@@ -371,10 +371,10 @@
         .expect("it opens");
     let mut text = format!("last event {last}\n");
     for _ in 0..3 {
-        let _ = writeln!(text, "> {}", node.next_heard());
+        let _ = writeln!(text, "> {}", node.next_line());
     }
     for _ in 0..3 {
-        let event = told.recv_timeout(PATIENCE).expect("an event");
+        let event = received_events.recv_timeout(PATIENCE).expect("an event");
         let shown = match event {
             Event::Gap { session, from, to } => format!("gap of {session} from {from} to {to}"),
             Event::NewState {
@@ -404,7 +404,7 @@
         Error::InvalidAnswer("more than one line".to_owned()),
     ];
     let mut text: String = errors.iter().map(|e| format!("{e}\n")).collect();
-    // An error without words of its own is told by its name.
+    // A problem without a message shows its identifier.
     for id in [
         ErrorId::DeniedByDrms,
         ErrorId::DrmCommunication,
@@ -439,7 +439,7 @@
         .run_bulk(unkeyed, IndexRange::new(1, 1, 1), None, None)
         .expect("accepted");
     for end in ["", "-${PARAMETRIC_INDEX}"] {
-        let line: Value = serde_json::from_str(&node.next_heard()).expect("a line is JSON");
+        let line: Value = serde_json::from_str(&node.next_line()).expect("a line is JSON");
         let key = line["template"]["submissionKey"].as_str().expect("a key");
         let digits = key.strip_suffix(end).expect("it ends so");
         assert_eq!(digits.len(), 32);
--- a/crates/submission/tests/common/mod.rs
+++ b/crates/submission/tests/common/mod.rs
@@ -264,3 +264,18 @@
         std::mem::take(self.read.get_mut(&peer).unwrap())
     }
 }
+
+/// A result.
+pub fn served() -> Verdict {
+    Verdict::Served(b"made".to_vec())
+}
+
+/// A time span in seconds.
+pub fn secs(s: u64) -> Micros {
+    Micros(s * 1_000_000)
+}
+
+/// A field of an answer that is text.
+pub fn text_of(value: &Value, name: &str) -> String {
+    value[name].as_str().unwrap_or("").to_owned()
+}
--- a/crates/submission/tests/golden.rs
+++ b/crates/submission/tests/golden.rs
@@ -279,7 +279,7 @@
         (b"", 3, false),
     ];
     for (held, longest, full) in cases {
-        let told = match frame::next(held, longest, full) {
+        let found = match frame::next(held, longest, full) {
             Ok(Some(end)) => format!("a line of {end} bytes"),
             Ok(None) => "not whole".to_owned(),
             Err(TooLong) => "too long".to_owned(),
@@ -287,7 +287,7 @@
         let held = held.escape_ascii();
         let _ = writeln!(
             text,
-            "{held:?}, at most {longest}, full {full}: {told}",
+            "{held:?}, at most {longest}, full {full}: {found}",
             held = held.to_string()
         );
     }
--- a/crates/submission/tests/golden_transfer.rs
+++ b/crates/submission/tests/golden_transfer.rs
@@ -145,15 +145,15 @@
     t
 }
 
-fn write_told(t: &mut Transcript, side: Partner, to: &str) {
-    for line in t.lines_for_partner(side) {
+fn write_sent(t: &mut Transcript, partner: Partner, to: &str) {
+    for line in t.lines_for_partner(partner) {
         t.note(&format!("told to the {to}: {line}"));
     }
 }
 
-fn hear(t: &mut Transcript, side: Partner, line: &str) {
+fn receive(t: &mut Transcript, partner: Partner, line: &str) {
     t.note(&format!("heard: {line}"));
-    t.receive_from_partner(side, line);
+    t.receive_from_partner(partner, line);
 }
 
 fn ask_for_all(t: &mut Transcript) {
@@ -170,9 +170,9 @@
             &format!(r#"{{"seq":"array","op":"getJobArray","jobArrayId":"{array}"}}"#),
         );
     }
-    let orders = t.scheduler.open.values().map(|order| order.job_id.clone());
-    let orders = orders.collect::<Vec<_>>().join(" ");
-    t.note(&format!("with the decisions: {orders}"));
+    let scheduled = t.scheduler.open.values().map(|job| job.job_id.clone());
+    let scheduled = scheduled.collect::<Vec<_>>().join(" ");
+    t.note(&format!("with the decisions: {scheduled}"));
 }
 
 /// Everything that a process tells the one that replaces it.
@@ -189,7 +189,7 @@
 #[test]
 fn a_successor_reads_the_golden_lines() {
     let mut t = successor_of_golden_lines();
-    write_told(&mut t, Partner::Predecessor, "predecessor");
+    write_sent(&mut t, Partner::Predecessor, "predecessor");
     ask_for_all(&mut t);
     t.say(
         1,
@@ -217,7 +217,7 @@
 #[test]
 fn changes_after_the_transfer() {
     let mut t = successor_of_golden_lines();
-    write_told(&mut t, Partner::Predecessor, "predecessor");
+    write_sent(&mut t, Partner::Predecessor, "predecessor");
     t.say(
         1,
         r#"{"seq":"open","op":"openSession","name":"film","since":99}"#,
@@ -232,7 +232,7 @@
         r#"{"job":{"id":"n0-1-3","state":"DONE","reaped":true}}"#,
         r#"{"job":{"id":"n0-9-0","state":"DONE"}}"#,
     ] {
-        hear(&mut t, Partner::Predecessor, line);
+        receive(&mut t, Partner::Predecessor, line);
     }
     t.say(1, r#"{"seq":"release","op":"release","jobId":"n0-1-9"}"#);
     t.say(1, r#"{"seq":"hold","op":"hold","jobId":"n0-1-10"}"#);
@@ -247,9 +247,9 @@
     t.say(1, r#"{"seq":"reap","op":"reap","jobId":"n0-1-4"}"#);
     t.run("n0-1-9");
     t.end("n0-1-9", "is served", Verdict::Served(b"held".to_vec()));
-    write_told(&mut t, Partner::Predecessor, "predecessor");
+    write_sent(&mut t, Partner::Predecessor, "predecessor");
     t.pass_ms(2_000);
-    write_told(&mut t, Partner::Predecessor, "predecessor");
+    write_sent(&mut t, Partner::Predecessor, "predecessor");
     t.note("the predecessor is gone");
     t.server.handle_partner_lost(t.now, Partner::Predecessor);
     t.settle();
@@ -269,11 +269,11 @@
     t.server.begin_handover();
     t.run("n0-1-0");
     t.lines_for_partner(Partner::Successor);
-    hear(&mut t, Partner::Successor, r#""taken""#);
+    receive(&mut t, Partner::Successor, r#""taken""#);
     t.requeue("n0-1-1");
     t.end("n0-1-0", "is served", Verdict::Served(b"queued".to_vec()));
     t.end("n0-1-15", "fails", Verdict::Failed);
-    write_told(&mut t, Partner::Successor, "successor");
+    write_sent(&mut t, Partner::Successor, "successor");
     for line in [
         r#"{"job":{"id":"n0-1-9","state":"QUEUED","handed":true}}"#,
         r#"{"job":{"id":"n0-1-9","state":"RUNNING","handed":true,"machine":"w4"}}"#,
@@ -281,9 +281,9 @@
         r#"{"job":{"id":"n0-1-1","state":"FAILED","sub_state":"terminated"}}"#,
         r#"{"job":{"id":"n0-2-0","state":"QUEUED"}}"#,
     ] {
-        hear(&mut t, Partner::Successor, line);
+        receive(&mut t, Partner::Successor, line);
     }
-    write_told(&mut t, Partner::Successor, "successor");
+    write_sent(&mut t, Partner::Successor, "successor");
     t.note("the successor is gone");
     t.server.handle_partner_lost(t.now, Partner::Successor);
     t.settle();
