--- a/crates/submission-client/tests/golden.rs
+++ b/crates/submission-client/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What the client says to a node, line by line, and what it makes of the answers, as golden files. The other end is a
-//! listener that answers by a script.
+//! The client's requests, line by line, and its results, as golden files. The node is a listener that answers by a
+//! script.
 
 use insta::assert_snapshot;
 use marbledeck_submission_client::{
@@ -13,8 +13,8 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// Far longer than anything takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Far longer than any step takes.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A scripted node, which keeps the lines that it receives.
 struct Node {
@@ -48,7 +48,9 @@
     }
 
     fn next_line(&self) -> String {
-        self.lines.recv_timeout(PATIENCE).expect("a line arrives")
+        self.lines
+            .recv_timeout(STEP_TIMEOUT)
+            .expect("a line arrives")
     }
 }
 
@@ -61,7 +63,7 @@
         if line_sender.send(line).is_err() {
             return;
         }
-        let Ok(answers) = scripted.recv_timeout(PATIENCE) else {
+        let Ok(answers) = scripted.recv_timeout(STEP_TIMEOUT) else {
             return;
         };
         for answer in answers {
@@ -374,7 +376,9 @@
         let _ = writeln!(text, "> {}", node.next_line());
     }
     for _ in 0..3 {
-        let event = received_events.recv_timeout(PATIENCE).expect("an event");
+        let event = received_events
+            .recv_timeout(STEP_TIMEOUT)
+            .expect("an event");
         let shown = match event {
             Event::Gap { session, from, to } => format!("gap of {session} from {from} to {to}"),
             Event::NewState {
--- a/crates/submission/tests/arrays.rs
+++ b/crates/submission/tests/arrays.rs
@@ -50,7 +50,7 @@
     let info = b.ask(1, json!({"op": "getJobArray", "jobArrayId": array}));
     assert_eq!(info["jobArray"]["ended"], 40);
     assert_eq!(info["jobArray"]["active"], 3);
-    // All is ended, and none is started by that.
+    // All members have ended, and that has started none.
     let taken = b.scheduler.submitted;
     let all = b.ask(1, json!({"op": "terminate", "jobArrayId": array}));
     assert_eq!(
--- a/crates/submission/tests/golden_transfer.rs
+++ b/crates/submission/tests/golden_transfer.rs
@@ -1,5 +1,5 @@
-//! What one process of a node tells the next of its jobs, as golden files: two versions of the program may be the two
-//! partners, so these lines must be written and read as they are.
+//! The messages between two processes of a node, as golden files: the partners may be two versions of the program, so
+//! these lines must be written and read unchanged.
 
 mod common;
 
--- a/crates/submission/tests/handover.rs
+++ b/crates/submission/tests/handover.rs
@@ -102,7 +102,7 @@
             let info = survivor.ask(5, json!({"op": "getJobArray", "jobArrayId": array}));
             assert_eq!(info["jobArray"]["jobs"], 8, "{case}");
             survivor.ask(5, json!({"op": "release", "jobId": held_job}));
-            // All that still waits runs, each key once.
+            // All jobs that still wait run, each key once.
             for _ in 0..40 {
                 survivor.pass(secs(0));
                 for id in survivor.scheduler.open.keys().copied().collect::<Vec<_>>() {
@@ -167,7 +167,7 @@
         numbers.windows(2).all(|pair| pair[1] == pair[0] + 1),
         "{numbers:?}"
     );
-    // Ended by its submitter there, a job is out here no longer.
+    // A job that its client has terminated there is no longer with this scheduler.
     let second = answer["jobs"][1]["jobId"].clone();
     let ended = new.ask(9, json!({"op": "terminate", "jobId": second}));
     assert_eq!(text_of(&ended, "jobState"), "FAILED");
@@ -234,7 +234,7 @@
             }
             (0..200).for_each(|_| b.turn());
             if how == "ends" {
-                // Each index is answered: taken, or to come back.
+                // Each index is accepted or gets a retry hint.
                 let lines = b.take(1);
                 let answered: Vec<&Value> = lines
                     .iter()
--- a/crates/submission/tests/job_lifecycle.rs
+++ b/crates/submission/tests/job_lifecycle.rs
@@ -51,7 +51,7 @@
     assert_eq!(b.state(1, &held), "DONE");
 }
 
-/// Release and the end of the longest hold, in both orders.
+/// Release and the end of the maximum hold, in both orders.
 #[test]
 fn a_job_that_is_not_released_in_time_expires() {
     let mut b = Bench::new(limits());
--- a/crates/submission/tests/waits_and_lists.rs
+++ b/crates/submission/tests/waits_and_lists.rs
@@ -15,7 +15,7 @@
     b.ask(2, json!({"op": "openSession", "name": "s"}));
     b.take(1);
     for n in 0..100 {
-        // Only the second one reads.
+        // Only the second client reads.
         let line = json!({"op": "runJob", "seq": n, "session": "s",
             "template": {"remoteCommand": "/x", "jobCategory": "preview"}});
         let bytes = serde_json::to_vec(&line).unwrap();
@@ -41,7 +41,7 @@
     let to = first[0]["to"].as_u64().unwrap();
     assert_eq!((to, first.len()), (36, 65));
     assert_eq!(first[1]["number"], to + 1);
-    // Come back, it names what it has seen.
+    // After reconnecting, it names the last event that it has seen.
     b.server.handle_disconnect(b.now, 1);
     b.connect(3);
     let line = b.ask(3, json!({"op": "openSession", "name": "s", "since": 98}));
