--- a/crates/drmaa/src/session.rs
+++ b/crates/drmaa/src/session.rs
@@ -10,7 +10,8 @@
 use crate::native::{self, Native};
 use crate::template::{Template, INCR};
 use marbledeck_submission_client::{
-    Client, ErrorId, Event, Filter, JobInfo, JobState, Op, Problem, Settings, Targets,
+    Client, ErrorId, Event, Filter, IndexRange, JobInfo, JobState, Operation, Problem, Settings,
+    Targets,
 };
 use rand::Rng;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -89,8 +90,8 @@
     pub fn begin(contact: &str) -> Result<Self> {
         let (node, defaults) = native::contact(contact)?;
         let settings = Settings {
-            patience: PATIENCE,
-            ..Settings::at(node)
+            retry_timeout: PATIENCE,
+            ..Settings::new(node)
         };
         let (words, heard) = channel();
         let tell = words.clone();
@@ -108,7 +109,7 @@
             }),
         ));
         let name = format!("drmaa-{:016x}", rand::rng().random::<u64>());
-        client.open_session(&name, true, None)?;
+        client.create_or_open_session(&name, None)?;
         let jobs: Arc<(Mutex<Jobs>, Condvar)> = Arc::default();
         let (own, theirs, session) = (client.clone(), jobs.clone(), name.clone());
         let collector = std::thread::Builder::new()
@@ -158,7 +159,7 @@
     /// Names the attribute, or says what the node says.
     pub fn run(&self, template: &Template) -> Result<String> {
         let asked = template.asked(&self.defaults, false)?;
-        let job = self.client.run(asked.wire, Some(&self.name))?;
+        let job = self.client.run_job(asked.wire, Some(&self.name))?;
         self.enter(
             &job.job_id,
             Known {
@@ -182,22 +183,27 @@
             return Err(Failure::new(Errno::InvalidArgument, words));
         }
         let asked = template.asked(&self.defaults, true)?;
-        let bulk =
-            self.client
-                .run_bulk(asked.wire, indices, asked.max_parallel, Some(&self.name))?;
+        let bulk = self.client.run_bulk(
+            asked.wire,
+            IndexRange::new(begin, end, step),
+            asked.max_parallel,
+            Some(&self.name),
+        )?;
         let mut refused = None;
         let mut ids = Vec::with_capacity(bulk.jobs.len());
-        for (index, job) in bulk.jobs {
-            match job {
-                Ok(job) => ids.push((index, job.job_id)),
+        for job in bulk.jobs {
+            match job.result {
+                Ok(accepted) => ids.push((job.index, accepted.job_id)),
                 Err(problem) => drop(refused.get_or_insert(problem)),
             }
         }
         if let Some(problem) = refused {
             for (_, job_id) in ids {
-                let of = Targets::job(job_id);
-                let _ = self.client.control(Op::Terminate { of: of.clone() });
-                let _ = self.client.control(Op::Reap { of });
+                let targets = Targets::job(job_id);
+                let _ = self.client.control(Operation::Terminate {
+                    targets: targets.clone(),
+                });
+                let _ = self.client.control(Operation::Reap { targets });
             }
             return Err(marbledeck_submission_client::Error::Problem(problem).into());
         }
@@ -277,9 +283,12 @@
     /// A job that is not of this session, as far as the node knows it.
     fn wait_foreign(&self, id: &str, timeout: Timeout) -> Result<JobInfo> {
         let info = self.client.wait_terminated(id, timeout).map_err(of_job)?;
-        let of = Targets::job(id);
+        let targets = Targets::job(id);
         // Who else waits for it may have been quicker.
-        let reaped = self.client.control(Op::Reap { of }).map_err(of_job);
+        let reaped = self
+            .client
+            .control(Operation::Reap { targets })
+            .map_err(of_job);
         reaped.map(|_| info)
     }
 
@@ -306,8 +315,8 @@
             let left = until.map(|until| until.saturating_duration_since(Instant::now()));
             self.client.wait_terminated(id, left).map_err(of_job)?;
             if dispose {
-                let of = Targets::job(id.as_str());
-                let _ = self.client.control(Op::Reap { of });
+                let targets = Targets::job(id.as_str());
+                let _ = self.client.control(Operation::Reap { targets });
             }
         }
         let mut jobs = locked(&self.jobs.0);
@@ -366,13 +375,22 @@
         if locked(&self.jobs.0).known.get(id).is_some_and(ended) {
             return Err(Failure::new(Errno::InvalidJob, "the job has ended"));
         }
-        let of = Targets::job(id);
+        let targets = Targets::job(id);
         let (op, errno) = match action {
-            Action::Suspend => (Op::Suspend { of }, Errno::SuspendInconsistentState),
-            Action::Resume => (Op::Resume { of }, Errno::ResumeInconsistentState),
-            Action::Hold => (Op::Hold { of }, Errno::HoldInconsistentState),
-            Action::Release => (Op::Release { of }, Errno::ReleaseInconsistentState),
-            Action::Terminate => (Op::Terminate { of }, Errno::InvalidJob),
+            Action::Suspend => (
+                Operation::Suspend { targets },
+                Errno::SuspendInconsistentState,
+            ),
+            Action::Resume => (
+                Operation::Resume { targets },
+                Errno::ResumeInconsistentState,
+            ),
+            Action::Hold => (Operation::Hold { targets }, Errno::HoldInconsistentState),
+            Action::Release => (
+                Operation::Release { targets },
+                Errno::ReleaseInconsistentState,
+            ),
+            Action::Terminate => (Operation::Terminate { targets }, Errno::InvalidJob),
         };
         let told = self.client.control(op);
         told.map(drop).map_err(|error| {
@@ -396,7 +414,7 @@
         if let Some(state) = ended(&locked(&self.jobs.0)) {
             return Ok(state);
         }
-        match self.client.info(id) {
+        match self.client.job_info(id) {
             Ok(info) => Ok(info.job_state),
             // The collector may have taken it between the two looks.
             Err(error) => {
@@ -475,10 +493,10 @@
     if !is_open(jobs, id) {
         return;
     }
-    match client.info(id) {
+    match client.job_info(id) {
         Ok(info) if info.job_state.is_final() => {
-            let _ = client.control(Op::Reap {
-                of: Targets::job(id),
+            let _ = client.control(Operation::Reap {
+                targets: Targets::job(id),
             });
             ended(jobs, info);
         }
@@ -520,7 +538,7 @@
 /// Asks what has become of all jobs.
 fn look_at_all(client: &Client, jobs: &(Mutex<Jobs>, Condvar), session: &str) {
     let mut open = HashSet::new();
-    let listed = client.list(Some(session), &Filter::default(), |info| {
+    let listed = client.list_jobs(Some(session), &Filter::default(), |info| {
         if !info.job_state.is_final() {
             open.insert(info.job_id);
         }
--- a/crates/node/src/federation/answers.rs
+++ b/crates/node/src/federation/answers.rs
@@ -87,7 +87,7 @@
             job.remote_id = Some(accepted.job_id);
             SiteResponse::Accepted
         }
-        Ok(Submitted::Not(problem)) => match (problem.error, problem.catalog_version) {
+        Ok(Submitted::Rejected(problem)) => match (problem.error, problem.catalog_version) {
             (ErrorId::TryLater, _) => SiteResponse::RetryLater,
             (_, Some(version)) => SiteResponse::Outdated(version),
             _ => SiteResponse::Rejected(problem.message),
--- a/crates/node/src/federation/mod.rs
+++ b/crates/node/src/federation/mod.rs
@@ -15,7 +15,7 @@
 use answers::{finish, handle_answer, handle_lost_question, OpenQuestion, Question};
 use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_submission::frame;
-use marbledeck_submission::message::{Op, Request};
+use marbledeck_submission::message::{Operation, Request};
 use next_step::{next_step, NextStep, WAIT_MS};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -153,7 +153,7 @@
         now: Micros,
         job: RequestId,
         address: SocketAddr,
-        op: Op,
+        op: Operation,
         question: Question,
         context: &mut Context,
     ) {
--- a/crates/node/src/federation/next_step.rs
+++ b/crates/node/src/federation/next_step.rs
@@ -3,7 +3,7 @@
 use super::answers::Question;
 use crate::placement::{ForwardedJob, Sites};
 use marbledeck_federation::{check, CandidateSite, MatchResult, PlacementStep};
-use marbledeck_submission::message::Op;
+use marbledeck_submission::message::Operation;
 use marbledeck_submission::template::Forwarded;
 use marbledeck_submission::Template;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     /// A site is to be asked; its address may not be known now.
     Ask {
         address: Option<SocketAddr>,
-        op: Box<Op>,
+        op: Box<Operation>,
         question: Question,
     },
     /// Nothing.
@@ -49,7 +49,7 @@
         },
         (PlacementStep::Wait, Some(remote_id)) => NextStep::Ask {
             address,
-            op: Box::new(Op::WaitTerminated {
+            op: Box::new(Operation::WaitTerminated {
                 job_id: remote_id.clone(),
                 timeout_ms: Some(WAIT_MS),
             }),
@@ -80,12 +80,12 @@
 }
 
 /// The submission of a job to a site whose catalog has this version.
-fn submission(template: &Template, own_site: &str, catalog: u64) -> Op {
+fn submission(template: &Template, own_site: &str, catalog: u64) -> Operation {
     let forwarded = Forwarded {
         from: own_site.to_owned(),
         catalog,
     };
-    Op::RunJob {
+    Operation::RunJob {
         template: Template {
             forwarded: Some(forwarded),
             ..template.clone()
--- a/crates/node/src/placement.rs
+++ b/crates/node/src/placement.rs
@@ -8,7 +8,7 @@
 use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_federation::{check, Catalog, MatchResult, Placement};
 use marbledeck_submission::message::{ErrorId, Problem};
-use marbledeck_submission::{Order, Template};
+use marbledeck_submission::{JobRequest, Template};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -179,11 +179,12 @@
     }
 
     fn has_room(&self, template: &Template) -> bool {
-        self.jobs.len() < MAX_JOBS && self.template_bytes + template.size() <= MAX_TEMPLATE_BYTES
+        self.jobs.len() < MAX_JOBS
+            && self.template_bytes + template.memory_bytes() <= MAX_TEMPLATE_BYTES
     }
 
     /// Takes over a job for another site. It gets one final answer.
-    pub fn forward(&mut self, now: Micros, order: &Order) -> RequestId {
+    pub fn forward(&mut self, now: Micros, order: &JobRequest) -> RequestId {
         let id = RequestId(FIRST_ID + self.forwarded);
         self.forwarded += 1;
         let index = order.index;
@@ -199,7 +200,7 @@
             submission_key: order
                 .key
                 .clone()
-                .or_else(|| Some(format!("{}/{}", self.own_site, order.txn))),
+                .or_else(|| Some(format!("{}/{}", self.own_site, order.job_id))),
             deadline_ms: Some(order.time_left.0 / 1000),
             deadline_time: None,
             start_time: None,
@@ -208,7 +209,7 @@
             ..order.template.clone()
         };
         template.set_input(order.body.clone());
-        self.template_bytes += template.size();
+        self.template_bytes += template.memory_bytes();
         let job = ForwardedJob {
             placement: Placement::default(),
             template,
@@ -252,7 +253,7 @@
     pub fn remove(&mut self, id: RequestId) -> Option<ForwardedJob> {
         let job = self.jobs.remove(&id)?;
         self.due.remove(&(job.due, id));
-        self.template_bytes -= job.template.size();
+        self.template_bytes -= job.template.memory_bytes();
         Some(job)
     }
 
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -13,7 +13,7 @@
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use marbledeck_submission::frame::{self, TooLong};
 use marbledeck_submission::message::Problem;
-use marbledeck_submission::{Limits, Server, Side, Transfer};
+use marbledeck_submission::{Limits, Partner, Server, Transfer};
 use rustix::fd::OwnedFd;
 use scheduler::NodeScheduler;
 use serde_json::Value;
@@ -73,10 +73,10 @@
             max_bytes: config.max_bytes,
             max_bulk: config.max_bulk,
             max_sessions: config.max_sessions,
-            history: config.history,
-            retain: secs(config.retain_s),
-            longest_hold: secs(config.hold_s),
-            keep_session: secs(config.session_s),
+            max_session_events: config.history,
+            retention: secs(config.retain_s),
+            max_hold: secs(config.hold_s),
+            session_idle_timeout: secs(config.session_s),
         };
         Ok(Submissions {
             server: Server::new(limits, prefix),
@@ -100,7 +100,7 @@
                         has_more: false,
                     };
                     self.submitters.insert(token.number(), submitter);
-                    self.server.connect(token.number());
+                    self.server.handle_connect(token.number());
                 }
                 Ok(Some(token)) => {
                     let problem = Problem::later("too many submitters", RETRY_AFTER_MS);
@@ -113,7 +113,7 @@
     }
 
     fn forget(&mut self, now: Micros, peer: u64) -> Option<Submitter> {
-        self.server.disconnect(now, peer);
+        self.server.handle_disconnect(now, peer);
         self.submitters.remove(&peer)
     }
 
@@ -127,7 +127,7 @@
             let Some(conn) = context.net.get(submitter.token) else {
                 return;
             };
-            if !self.server.wants_line(peer) {
+            if !self.server.accepts_line(peer) {
                 // Goes on once it has been answered, or has read.
                 submitter.has_more = !conn.input.is_empty();
                 return;
@@ -149,7 +149,7 @@
                     context.net.touch(submitter.token);
                     if !line.is_empty() {
                         self.server
-                            .line(now, peer, &line, &mut NodeScheduler(context));
+                            .handle_line(now, peer, &line, &mut NodeScheduler(context));
                     }
                 }
                 Err(TooLong) => {
@@ -175,7 +175,7 @@
             return;
         };
         while context.net.has_room(token, MAX_BACKLOG) {
-            let Some(line) = self.server.pull(peer) else {
+            let Some(line) = self.server.next_line(peer) else {
                 return;
             };
             if !context.net.write(token, &line) {
@@ -202,9 +202,9 @@
 
     /// Writes to all submitters that have something to read, and goes on with their lines.
     fn flush_all(&mut self, now: Micros, context: &mut Context) {
-        for peer in self.server.take_talkative() {
+        for peer in self.server.take_readable_clients() {
             self.flush(now, peer, context);
-            if !self.server.wants_line(peer) {
+            if !self.server.accepts_line(peer) {
                 continue;
             }
             let Some(submitter) = self.submitters.get_mut(&peer) else {
@@ -220,10 +220,10 @@
 }
 
 /// The other process, as the server names it.
-fn partner(side: handover::Side) -> Side {
+fn partner(side: handover::Side) -> Partner {
     match side {
-        handover::Side::Predecessor => Side::Elder,
-        handover::Side::Successor => Side::Heir,
+        handover::Side::Predecessor => Partner::Predecessor,
+        handover::Side::Successor => Partner::Successor,
     }
 }
 
@@ -260,9 +260,9 @@
 
     fn wake(&mut self, now: Micros, context: &mut Context) {
         self.acceptor.wake(now, &mut context.net);
-        let was_paused = self.server.is_deaf();
+        let was_paused = self.server.is_paused();
         self.server.wake(now, &mut NodeScheduler(context));
-        if was_paused && !self.server.is_deaf() {
+        if was_paused && !self.server.is_paused() {
             self.deferred.extend(self.submitters.keys());
         }
         for peer in std::mem::take(&mut self.deferred) {
@@ -271,7 +271,7 @@
     }
 
     fn finish_turn(&mut self, now: Micros, context: &mut Context) {
-        self.server.admitted(now);
+        self.server.answer_submissions(now);
         self.flush_all(now, context);
     }
 
@@ -284,10 +284,12 @@
     ) -> bool {
         let verdict = match verdict {
             FinalAnswer::Served(result) => marbledeck_submission::Verdict::Served(result.clone()),
-            FinalAnswer::Rejected(wait) => marbledeck_submission::Verdict::Rejected(*wait),
+            FinalAnswer::Rejected(wait) => {
+                marbledeck_submission::Verdict::Rejected { retry_after: *wait }
+            }
             FinalAnswer::Failed => marbledeck_submission::Verdict::Failed,
         };
-        self.server.answer(now, id, verdict, sent)
+        self.server.handle_verdict(now, id, verdict, sent)
     }
 
     fn handle_run_start(
@@ -299,11 +301,11 @@
     ) {
         let place = context.fleet.endpoint(worker);
         let name = place.map(|place| Rc::from(place.name.as_str()));
-        self.server.running(now, id, name);
+        self.server.handle_started(now, id, name);
     }
 
     fn handle_requeue(&mut self, now: Micros, id: RequestId) {
-        self.server.requeued(now, id);
+        self.server.handle_requeued(now, id);
     }
 
     fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
@@ -311,26 +313,26 @@
     }
 
     fn begin_shutdown(&mut self, _now: Micros) {
-        self.server.end();
+        self.server.begin_shutdown();
     }
 
     fn abandon(&mut self, now: Micros) {
-        if !self.server.is_giving() {
-            self.server.refuse_waiting(now);
+        if !self.server.is_sending_handover() {
+            self.server.reject_waiting(now);
         }
     }
 
     fn handle_predecessor(&mut self, now: Micros) {
-        self.server.expect_transfer(now);
+        self.server.expect_predecessor(now);
     }
 
     fn begin_handover(&mut self, now: Micros, context: &mut Context) {
-        if self.server.is_giving() {
+        if self.server.is_sending_handover() {
             return;
         }
         log::info!("submissions: handed over to the other process");
         self.flush_all(now, context);
-        self.server.begin_transfer();
+        self.server.begin_handover();
         // Their jobs go on there: the submitters are to connect again.
         for peer in self.submitters.keys().copied().collect::<Vec<_>>() {
             self.flush(now, peer, context);
@@ -341,11 +343,11 @@
     }
 
     fn is_handed_over(&self) -> bool {
-        self.server.is_handed_over()
+        self.server.is_handover_complete()
     }
 
     fn next_partner_message(&mut self, side: handover::Side) -> Option<Value> {
-        let transfer = self.server.pull_transfer(partner(side))?;
+        let transfer = self.server.next_transfer(partner(side))?;
         serde_json::to_value(transfer).ok()
     }
 
@@ -358,11 +360,11 @@
     ) {
         match serde_json::from_value::<Transfer>(word) {
             Ok(transfer) => {
-                let was_paused = self.server.is_deaf();
+                let was_paused = self.server.is_paused();
                 let scheduler = &mut NodeScheduler(context);
                 self.server
-                    .take_transfer(now, partner(side), transfer, scheduler);
-                if was_paused && !self.server.is_deaf() {
+                    .handle_transfer(now, partner(side), transfer, scheduler);
+                if was_paused && !self.server.is_paused() {
                     self.deferred.extend(self.submitters.keys());
                 }
             }
@@ -371,7 +373,7 @@
     }
 
     fn handle_partner_lost(&mut self, now: Micros, side: handover::Side) {
-        self.server.partner_lost(now, partner(side));
+        self.server.handle_partner_lost(now, partner(side));
         self.deferred.extend(self.submitters.keys());
     }
 }
--- a/crates/node/src/submission/scheduler.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -6,7 +6,7 @@
 use marbledeck_dispatcher::{Idempotency, Micros, RequestId, WorkerState};
 use marbledeck_platform_settings::worker_id;
 use marbledeck_submission::message::{ErrorId, Machine, Problem, Queue};
-use marbledeck_submission::{ClassFacts, Desk, Order, Template, Whereabouts};
+use marbledeck_submission::{ClassProperties, JobRequest, Placement, Scheduler, Template};
 
 /// When a submitter is to come back where there is no capacity.
 const RETRY_AFTER_MS: u64 = 1000;
@@ -23,17 +23,17 @@
     }
 }
 
-impl Desk for NodeScheduler<'_> {
-    fn class(&self, name: &str) -> Option<ClassFacts> {
+impl Scheduler for NodeScheduler<'_> {
+    fn class_properties(&self, name: &str) -> Option<ClassProperties> {
         let (_, class) = self.0.core.names().class(name)?;
         let window = match class.idempotency {
             Idempotency::Keyed { window, .. } => window,
             _ => Micros(0),
         };
-        Some(ClassFacts {
+        Some(ClassProperties {
             deadline: class.deadline,
-            window,
-            reruns: class.idempotency != Idempotency::NotIdempotent,
+            dedup_window: window,
+            allows_retries: class.idempotency != Idempotency::NotIdempotent,
         })
     }
 
@@ -42,7 +42,7 @@
         names.check(class, tenant, keyed).map(drop).map_err(problem)
     }
 
-    fn place(&self, template: &Template) -> Result<Whereabouts, Problem> {
+    fn place(&self, template: &Template) -> Result<Placement, Problem> {
         let Context {
             forwarded_jobs,
             records,
@@ -54,23 +54,23 @@
                 let message = "`manifest` is not supported: this node has no part [sites]";
                 Err(Problem::new(ErrorId::UnsupportedAttribute, message))
             }
-            None => Ok(Whereabouts::Here),
+            None => Ok(Placement::Local),
             Some(jobs) => match jobs.place(*now, template, records)? {
-                Destination::Here => Ok(Whereabouts::Here),
-                Destination::Elsewhere => Ok(Whereabouts::Elsewhere),
+                Destination::Here => Ok(Placement::Local),
+                Destination::Elsewhere => Ok(Placement::Remote),
             },
         }
     }
 
-    fn take_in(&mut self, now: Micros, order: Order) -> Result<RequestId, Problem> {
-        if let (Whereabouts::Elsewhere, Some(jobs)) = (order.place, &mut self.0.forwarded_jobs) {
+    fn submit(&mut self, now: Micros, order: JobRequest) -> Result<RequestId, Problem> {
+        if let (Placement::Remote, Some(jobs)) = (order.placement, &mut self.0.forwarded_jobs) {
             return Ok(jobs.forward(now, &order));
         }
         let manifest = order.template.manifest.as_ref();
         let licences = manifest.into_iter().flat_map(|manifest| &manifest.licences);
         let licences = licences.map(String::as_str).collect();
         let payload = Payload {
-            transaction_id: order.txn,
+            transaction_id: order.job_id,
             key: order.key,
             method: "POST".to_owned(),
             target: order.target,
@@ -101,7 +101,7 @@
         self.0.core.cancel_if_unsent(now, id)
     }
 
-    fn gone(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
+    fn abandon(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
         if let Some(jobs) = self
             .0
             .forwarded_jobs
--- a/crates/submission-client/tests/golden.rs
+++ b/crates/submission-client/tests/golden.rs
@@ -1,10 +1,10 @@
-//! What the client says to a node, line by line, and what it makes of the answers, as golden files. The other end is a
-//! listener that answers by a script.
+//! The client's requests, line by line, and its results, as golden files. The node is a listener that answers by a
+//! script.
 
 use insta::assert_snapshot;
 use marbledeck_submission_client::{
-    Client, Error, ErrorId, Event, Filter, JobInfo, JobState, Op, Problem, Settings, Targets,
-    Template,
+    BulkJob, Client, Error, ErrorId, Event, Filter, IndexRange, JobInfo, JobState, Operation,
+    Problem, Settings, Targets, Template, WaitGoal,
 };
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -13,13 +13,13 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// Far longer than anything takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Far longer than any step takes.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A node that says what it is told to say, and keeps what it hears.
+/// A scripted node, which keeps the lines that it receives.
 struct Node {
     contact: String,
-    heard: Receiver<String>,
+    lines: Receiver<String>,
     answers: Sender<Vec<String>>,
 }
 
@@ -27,41 +27,43 @@
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let contact = listener.local_addr().expect("an address").to_string();
-        let (hears, heard) = channel();
+        let (line_sender, lines) = channel();
         let (answers, scripted) = channel();
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                serve(stream, &hears, &scripted);
+                serve(stream, &line_sender, &scripted);
             }
         });
         Node {
             contact,
-            heard,
+            lines,
             answers,
         }
     }
 
-    /// What follows the next line that is heard.
+    /// The answers to the next line.
     fn will_answer(&self, lines: &[&str]) {
-        let lines = lines.iter().map(|line| line.to_string()).collect();
+        let lines = lines.iter().map(ToString::to_string).collect();
         self.answers.send(lines).expect("the node runs");
     }
 
-    fn next_heard(&self) -> String {
-        self.heard.recv_timeout(PATIENCE).expect("a line is heard")
+    fn next_line(&self) -> String {
+        self.lines
+            .recv_timeout(STEP_TIMEOUT)
+            .expect("a line arrives")
     }
 }
 
 /// Answers each line with the next script; `SEQ` in it stands for the mark of the request.
-fn serve(mut stream: TcpStream, hears: &Sender<String>, scripted: &Receiver<Vec<String>>) {
+fn serve(mut stream: TcpStream, line_sender: &Sender<String>, scripted: &Receiver<Vec<String>>) {
     let reader = BufReader::new(stream.try_clone().expect("a socket"));
     for line in reader.lines().map_while(Result::ok) {
         let request: Value = serde_json::from_str(&line).expect("a line is JSON");
         let seq = request["seq"].to_string();
-        if hears.send(line).is_err() {
+        if line_sender.send(line).is_err() {
             return;
         }
-        let Ok(answers) = scripted.recv_timeout(PATIENCE) else {
+        let Ok(answers) = scripted.recv_timeout(STEP_TIMEOUT) else {
             return;
         };
         for answer in answers {
@@ -83,8 +85,8 @@
 impl Transcript {
     fn new() -> Self {
         let node = Node::start();
-        let mut settings = Settings::at(node.contact.clone());
-        settings.resubmit = Duration::ZERO;
+        let mut settings = Settings::new(node.contact.clone());
+        settings.resubmit_timeout = Duration::ZERO;
         Transcript {
             client: Client::new(settings),
             node,
@@ -100,24 +102,24 @@
         shown: impl FnOnce(T) -> String,
     ) {
         self.node.will_answer(answers);
-        let told = asked(&self.client);
-        let _ = writeln!(self.text, "> {}", self.node.next_heard());
+        let result = asked(&self.client);
+        let _ = writeln!(self.text, "> {}", self.node.next_line());
         for answer in answers {
             let _ = writeln!(self.text, "< {answer}");
         }
-        let told = match told {
-            Ok(told) => shown(told),
+        let result = match result {
+            Ok(value) => shown(value),
             Err(error) => shown_error(&error),
         };
-        let _ = writeln!(self.text, "= {told}");
+        let _ = writeln!(self.text, "= {result}");
     }
 }
 
 fn shown_error(error: &Error) -> String {
     let kind = match error {
         Error::Problem(_) => "problem",
-        Error::Lost(_) => "lost",
-        Error::Garbled(_) => "garbled",
+        Error::Connection(_) => "lost",
+        Error::InvalidAnswer(_) => "garbled",
     };
     format!("{kind}: {error}")
 }
@@ -167,7 +169,7 @@
     ] {
         t.ask(
             &[answer],
-            |client| client.run(template(), session),
+            |client| client.run_job(template(), session),
             |job| {
                 format!(
                     "{} {} duplicate {}",
@@ -176,12 +178,12 @@
             },
         );
     }
-    t.ask(&[DONE], |client| client.info("n0-1-0"), shown_info);
-    t.ask(&[FAILED], |client| client.info("n0-1-0"), shown_info);
+    t.ask(&[DONE], |client| client.job_info("n0-1-0"), shown_info);
+    t.ask(&[FAILED], |client| client.job_info("n0-1-0"), shown_info);
     let array = r#"{"seq":SEQ,"jobArray":{"jobArrayId":"n0-1-1","session":"film","maxParallel":2,"jobs":9,"active":2,"waiting":3,"ended":4}}"#;
     t.ask(
         &[array],
-        |client| client.array("n0-1-1"),
+        |client| client.job_array("n0-1-1"),
         |array| {
             let (id, jobs, active) = (array.job_array_id, array.jobs, array.active);
             format!(
@@ -198,17 +200,17 @@
     let mut t = Transcript::new();
     let first = r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[{"index":1,"jobId":"n0-1-1","jobState":"QUEUED","duplicate":false}],"more":true}"#;
     let last = r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[{"index":2,"error":"INVALID_ARGUMENT","message":"no"},{"index":3,"error":"TRY_LATER","message":"full"}]}"#;
-    for (range, most, session) in [((1, 3, 1), None, None), ((3, 1, -1), Some(2), Some("film"))] {
+    for (range, most, session) in [
+        (IndexRange::new(1, 3, 1), None, None),
+        (IndexRange::new(3, 1, -1), Some(2), Some("film")),
+    ] {
         t.ask(
             &[first, last],
             |client| client.run_bulk(template(), range, most, session),
             |bulk| {
-                let job = |(index, job): (
-                    i64,
-                    Result<marbledeck_submission_client::Accepted, Problem>,
-                )| {
-                    let told = job.map_or_else(|p| p.message, |job| job.job_id);
-                    format!("{index}: {told}")
+                let job = |job: BulkJob| {
+                    let result = job.result.map_or_else(|p| p.message, |job| job.job_id);
+                    format!("{}: {result}", job.index)
                 };
                 let jobs: Vec<String> = bulk.jobs.into_iter().map(job).collect();
                 format!("arrays {}; {}", bulk.arrays.join(" "), jobs.join(", "))
@@ -232,8 +234,12 @@
             ..Targets::default()
         },
     ] {
-        t.ask(&[DONE], |c| c.wait_any(&of, true, None), none);
-        t.ask(&[FAILED], |c| c.wait_any(&of, false, None), none);
+        t.ask(&[DONE], |c| c.wait_any(&of, WaitGoal::Started, None), none);
+        t.ask(
+            &[FAILED],
+            |c| c.wait_any(&of, WaitGoal::Terminated, None),
+            none,
+        );
     }
     let timeout = r#"{"seq":SEQ,"error":"TIMEOUT","message":"the job goes on"}"#;
     t.ask(&[timeout], |c| c.wait_terminated("n0-1-0", None), none);
@@ -241,28 +247,29 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a list of requests")]
 fn controls_and_lists() {
     let mut t = Transcript::new();
-    let of = || Targets::array("n0-1-1");
+    let targets = || Targets::array("n0-1-1");
     let many = r#"{"seq":SEQ,"changed":3,"refused":1}"#;
     let one = r#"{"seq":SEQ,"jobId":"n0-1-0","jobState":"QUEUED_HELD"}"#;
     for (op, answer) in [
-        (Op::Terminate { of: of() }, many),
+        (Operation::Terminate { targets: targets() }, many),
         (
-            Op::Hold {
-                of: Targets::job("n0-1-0"),
+            Operation::Hold {
+                targets: Targets::job("n0-1-0"),
             },
             one,
         ),
-        (Op::Release { of: of() }, many),
-        (Op::Suspend { of: of() }, many),
-        (Op::Resume { of: of() }, many),
-        (Op::Reap { of: of() }, many),
+        (Operation::Release { targets: targets() }, many),
+        (Operation::Suspend { targets: targets() }, many),
+        (Operation::Resume { targets: targets() }, many),
+        (Operation::Reap { targets: targets() }, many),
     ] {
         t.ask(
             &[answer],
             |client| client.control(op),
-            |(changed, refused)| format!("{changed} changed, {refused} refused"),
+            |summary| format!("{} changed, {} refused", summary.changed, summary.rejected),
         );
     }
     let filter = Filter {
@@ -273,56 +280,48 @@
     let page = r#"{"seq":SEQ,"jobs":[{"jobId":"n0-1-0","jobState":"DONE","submissionTimeMs":1}]}"#;
     let list = |client: &Client| {
         let mut jobs = Vec::new();
-        let listed = client.list(Some("film"), &filter, |job| jobs.push(shown_info(job)));
+        let listed = client.list_jobs(Some("film"), &filter, |job| jobs.push(shown_info(job)));
         listed.map(|()| jobs.join("; "))
     };
     t.ask(&[page], list, |jobs| jobs);
     let queues = r#"{"seq":SEQ,"queues":[{"name":"sheet","deadlineMs":25000,"dedupWindowMs":40000,"keyed":true}]}"#;
-    t.ask(
-        &[queues],
-        |client| client.queues(),
-        |queues| {
-            let queue = &queues[0];
-            let (deadline, window) = (queue.deadline_ms, queue.dedup_window_ms);
-            format!(
-                "{} deadline {deadline} window {window} keyed {}",
-                queue.name, queue.keyed
-            )
-        },
-    );
+    t.ask(&[queues], Client::queues, |queues| {
+        let queue = &queues[0];
+        let (deadline, window) = (queue.deadline_ms, queue.dedup_window_ms);
+        format!(
+            "{} deadline {deadline} window {window} keyed {}",
+            queue.name, queue.keyed
+        )
+    });
     let machine = |name: &str, more: &str| {
         format!(
             r#"{{"seq":SEQ,"machines":[{{"name":"{name}","available":true,"state":"up","zone":"east","kind":"std","address":"127.0.0.1:8000","calls":3}}]{more}}}"#
         )
     };
     let (first, last) = (machine("w1", r#","more":true"#), machine("w2", ""));
-    t.ask(
-        &[&first, &last],
-        |client| client.machines(),
-        |machines| {
-            let machine = |m: &marbledeck_submission_client::Machine| {
-                format!("{} {} {}", m.name, m.zone, m.calls)
-            };
-            machines.iter().map(machine).collect::<Vec<_>>().join(", ")
-        },
-    );
+    t.ask(&[&first, &last], Client::machines, |machines| {
+        let machine = |m: &marbledeck_submission_client::Machine| {
+            format!("{} {} {}", m.name, m.zone, m.calls)
+        };
+        machines.iter().map(machine).collect::<Vec<_>>().join(", ")
+    });
     for (op, answer) in [
         (
-            Op::GetDrmsInfo,
+            Operation::GetDrmsInfo,
             r#"{"seq":SEQ,"drmsName":"marbledeck","drmsVersion":"1"}"#,
         ),
         (
-            Op::GetCapabilities,
+            Operation::GetCapabilities,
             r#"{"seq":SEQ,"capabilities":{"CALLBACK":true}}"#,
         ),
         (
-            Op::GetAllReservations,
+            Operation::GetAllReservations,
             r#"{"seq":SEQ,"error":"UNSUPPORTED_OPERATION","message":""}"#,
         ),
     ] {
         t.ask(
             &[answer],
-            |client| client.raw(op),
+            |client| client.request(op),
             |value| value.to_string(),
         );
     }
@@ -334,13 +333,13 @@
     let mut t = Transcript::new();
     let opened = r#"{"seq":SEQ,"session":"film","lastEvent":7}"#;
     let shown = |last: u64| format!("last event {last}");
-    t.ask(&[opened], |c| c.open_session("film", true, None), shown);
-    t.ask(&[opened], |c| c.open_session("film", false, Some(3)), shown);
+    t.ask(&[opened], |c| c.create_or_open_session("film", None), shown);
+    t.ask(&[opened], |c| c.open_session("film", Some(3)), shown);
     let names = r#"{"seq":SEQ,"sessions":["film","other"]}"#;
-    t.ask(&[names], |c| c.sessions(), |names| names.join(" "));
+    t.ask(&[names], Client::sessions, |names| names.join(" "));
     let closed = r#"{"seq":SEQ,"session":"film"}"#;
     let nothing = |()| "done".to_owned();
-    t.ask(&[closed], |c| c.close_session(), nothing);
+    t.ask(&[closed], Client::close_session, nothing);
     t.ask(&[closed], |c| c.destroy_session("film"), nothing);
     let unknown = r#"{"seq":SEQ,"error":"INVALID_SESSION","message":"no such session: `film`"}"#;
     t.ask(&[unknown], |c| c.destroy_session("film"), nothing);
@@ -351,9 +350,9 @@
 #[test]
 fn events() {
     let node = Node::start();
-    let (sender, told) = channel();
+    let (sender, received_events) = channel();
     let on_event = move |event: Event| drop(sender.send(event));
-    let client = Client::with_events(Settings::at(node.contact.clone()), Box::new(on_event));
+    let client = Client::with_events(Settings::new(node.contact.clone()), Box::new(on_event));
     let events = [
         r#"{"event":"GAP","session":"film","from":3,"to":5}"#,
         r#"{"event":"NEW_STATE","session":"film","number":6,"jobId":"n0-1-0","jobState":"FAILED","jobSubState":"terminated"}"#,
@@ -369,13 +368,17 @@
         .concat(),
     );
     node.will_answer(&[r#"{"seq":SEQ,"sessions":["film"]}"#]);
-    let last = client.open_session("film", true, None).expect("it opens");
+    let last = client
+        .create_or_open_session("film", None)
+        .expect("it opens");
     let mut text = format!("last event {last}\n");
     for _ in 0..3 {
-        let _ = writeln!(text, "> {}", node.next_heard());
+        let _ = writeln!(text, "> {}", node.next_line());
     }
     for _ in 0..3 {
-        let event = told.recv_timeout(PATIENCE).expect("an event");
+        let event = received_events
+            .recv_timeout(STEP_TIMEOUT)
+            .expect("an event");
         let shown = match event {
             Event::Gap { session, from, to } => format!("gap of {session} from {from} to {to}"),
             Event::NewState {
@@ -401,11 +404,11 @@
 fn errors() {
     let errors = [
         Error::Problem(Problem::invalid("no such job")),
-        Error::Lost(std::io::Error::other("the connection broke")),
-        Error::Garbled("more than one line".to_owned()),
+        Error::Connection(std::io::Error::other("the connection broke")),
+        Error::InvalidAnswer("more than one line".to_owned()),
     ];
     let mut text: String = errors.iter().map(|e| format!("{e}\n")).collect();
-    // An error without words of its own is told by its name.
+    // A problem without a message shows its identifier.
     for id in [
         ErrorId::DeniedByDrms,
         ErrorId::DrmCommunication,
@@ -430,17 +433,17 @@
 #[test]
 fn keys_of_the_clients_own() {
     let node = Node::start();
-    let client = Client::new(Settings::at(node.contact.clone()));
+    let client = Client::new(Settings::new(node.contact.clone()));
     let mut unkeyed = template();
     unkeyed.submission_key = None;
     node.will_answer(&[r#"{"seq":SEQ,"jobId":"n0-1-0","jobState":"QUEUED","duplicate":false}"#]);
-    client.run(unkeyed.clone(), None).expect("accepted");
+    client.run_job(unkeyed.clone(), None).expect("accepted");
     node.will_answer(&[r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[]}"#]);
     client
-        .run_bulk(unkeyed, (1, 1, 1), None, None)
+        .run_bulk(unkeyed, IndexRange::new(1, 1, 1), None, None)
         .expect("accepted");
     for end in ["", "-${PARAMETRIC_INDEX}"] {
-        let line: Value = serde_json::from_str(&node.next_heard()).expect("a line is JSON");
+        let line: Value = serde_json::from_str(&node.next_line()).expect("a line is JSON");
         let key = line["template"]["submissionKey"].as_str().expect("a key");
         let digits = key.strip_suffix(end).expect("it ends so");
         assert_eq!(digits.len(), 32);
