--- /dev/null
+++ b/crates/consensus/src/command.rs
@@ -0,0 +1,83 @@
+//! Commands: the entries of the replicated log.
+
+use crate::change::Change;
+use crate::error::ChangeError;
+use marbledeck_licensing::Move;
+use serde::{Deserialize, Serialize};
+
+/// The sequences in which the commands of a node are numbered. A node has one command of each in flight at most.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename = "Stream")]
+pub enum CommandSequence {
+    /// Operations on licence seats.
+    Seats,
+    /// Changes of records, requested by operators.
+    Changes,
+}
+
+/// What a command does.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "What")]
+pub enum Operation {
+    /// Changes records.
+    Change(Change),
+    /// Changes who holds licence seats.
+    Seats(Move),
+}
+
+/// An entry of the replicated log.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Command {
+    /// Number of the node that requests it.
+    pub node: u32,
+    /// Incarnation of that node. Later incarnations have greater numbers.
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
+    /// Number in its sequence, from 1: a repeated command is applied once. 0 for an idempotent command.
+    pub number: u64,
+    /// What to do.
+    #[serde(rename = "what")]
+    pub operation: Operation,
+}
+
+impl Command {
+    /// Whether a node may request this command. Reclaiming the seats of other nodes is left to the leader.
+    pub fn is_allowed_for_nodes(&self) -> bool {
+        match &self.operation {
+            Operation::Change(change) => change.check().is_ok(),
+            Operation::Seats(Move::Want { .. } | Move::Return { .. }) => true,
+            Operation::Seats(Move::Reclaim { .. } | Move::Free { .. }) => false,
+        }
+    }
+
+    /// The sequence in which the command is numbered.
+    pub fn sequence(&self) -> CommandSequence {
+        match self.operation {
+            Operation::Change(_) => CommandSequence::Changes,
+            Operation::Seats(_) => CommandSequence::Seats,
+        }
+    }
+}
+
+/// The result of a command.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum Outcome {
+    /// It was applied completely.
+    Done,
+    /// It was rejected, and nothing of it was applied.
+    #[serde(rename = "Refused")]
+    Rejected(ChangeError),
+}
+
+/// The last command of a sequence that was applied, kept to recognise repeats.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Last")]
+pub struct LastCommand {
+    /// The sequence.
+    #[serde(rename = "stream")]
+    pub sequence: CommandSequence,
+    /// The command's number in the sequence.
+    pub number: u64,
+    /// Its result.
+    pub outcome: Outcome,
+}
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,101 +1,133 @@
-//! What can go wrong, and what whoever is on call can do about it.
+//! The errors of this crate, each with advice for operators.
 
-/// Why a change of records was not taken. Nothing of it holds.
+/// Why a change of records was rejected. No part of a rejected change is applied.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, thiserror::Error)]
-pub enum Refusal {
+#[serde(rename = "Refusal")]
+pub enum ChangeError {
     /// A record has another version than the change expects.
-    #[error("{record}: it has version {has}, the change expects {expected}")]
-    Version {
-        /// The record.
+    #[error("{record}: it has version {actual}, the change expects {expected}")]
+    #[serde(rename = "Version")]
+    VersionMismatch {
+        /// Name of the record.
         record: String,
-        /// The version that it has; 0 where there never was one.
-        has: u64,
-        /// The version that the change names.
+        /// The version that the record has; 0 where it never existed.
+        #[serde(rename = "has")]
+        actual: u64,
+        /// The version that the change expects.
         expected: u64,
     },
-    /// A record is written for which the change names no version.
+    /// The change writes a record without an expected version.
     #[error("{record}: the change does not name the version that it expects")]
-    Unnamed {
-        /// The record.
+    #[serde(rename = "Unnamed")]
+    MissingExpectedVersion {
+        /// Name of the record.
         record: String,
     },
-    /// No records have such a name, or not with this content.
-    #[error("{record}: {what}")]
-    Name {
-        /// The record.
+    /// The record's name is invalid, or a record of this name cannot have this kind of body.
+    #[error("{record}: {reason}")]
+    #[serde(rename = "Name")]
+    InvalidRecord {
+        /// Name of the record.
         record: String,
-        /// What is wrong.
-        what: String,
+        /// What is wrong with it.
+        #[serde(rename = "what")]
+        reason: String,
     },
-    /// A value makes no sense.
-    #[error("{record}: {key}: {what}")]
-    Value {
-        /// The record.
+    /// A value in the body of a record is invalid.
+    #[error("{record}: {key}: {reason}")]
+    #[serde(rename = "Value")]
+    InvalidValue {
+        /// Name of the record.
         record: String,
-        /// The key in it.
+        /// The key in its body.
         key: String,
-        /// What is wrong with it.
-        what: String,
+        /// What is wrong with the value.
+        #[serde(rename = "what")]
+        reason: String,
     },
     /// The change is empty, or too large.
     #[error("the change {0}")]
-    Size(String),
-    /// The start of the node that sent it is older than one that is known.
+    #[serde(rename = "Size")]
+    InvalidSize(String),
+    /// A later incarnation of the sending node is known.
     #[error("node {node} has been started anew since")]
-    Stale {
-        /// The node.
+    #[serde(rename = "Stale")]
+    StaleIncarnation {
+        /// Number of the node.
         node: u32,
     },
 }
 
-impl Refusal {
-    /// What whoever is on call can do.
+impl ChangeError {
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            Refusal::Version { .. } => "somebody else has changed it: read it anew with `records`, and change what is there now",
-            Refusal::Unnamed { .. } => "name the version of each record under `expect`; 0 for a new one",
-            Refusal::Name { .. } => "records are settings/rates, workers/out, seats/NAME and sites/NAME, each with its own content",
-            Refusal::Value { .. } => "correct the value of the key that is named, and send the whole change again",
-            Refusal::Size(_) => "put one to 64 records into a change, of less than 1 MiB; all records together take 4 MiB at most",
-            Refusal::Stale { .. } => "send it again: the process that it was sent to has been replaced",
+            ChangeError::VersionMismatch { .. } => {
+                "somebody else has changed it: read it anew with `records`, and change what is there now"
+            }
+            ChangeError::MissingExpectedVersion { .. } => {
+                "name the version of each record under `expect`; 0 for a new one"
+            }
+            ChangeError::InvalidRecord { .. } => {
+                "records are settings/rates, workers/out, seats/NAME and sites/NAME, each with its own content"
+            }
+            ChangeError::InvalidValue { .. } => {
+                "correct the value of the key that is named, and send the whole change again"
+            }
+            ChangeError::InvalidSize(_) => {
+                "put one to 64 records into a change, of less than 1 MiB; all records together take 4 MiB at most"
+            }
+            ChangeError::StaleIncarnation { .. } => {
+                "send it again: the process that it was sent to has been replaced"
+            }
         }
     }
 }
 
-/// What keeps a voter or a reader from its work.
+/// Why a voter or a connection to one cannot work.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AgreementError {
-    /// Bytes of a peer that are no message.
+pub enum ConsensusError {
+    /// A peer sent bytes that are not a valid message.
     #[error("a message that makes no sense: {0}")]
-    Message(String),
-    /// A message for another, or from one that is no voter.
+    MalformedMessage(String),
+    /// A message that is not from a voter of this fleet, or not addressed to this one.
     #[error("a message from {from} to {to}, which is not between voters of this fleet")]
-    Stranger {
-        /// Who it says it is from.
+    UnknownSender {
+        /// The sender that the message names.
         from: u64,
-        /// Whom it is for.
+        /// The receiver that the message names.
         to: u64,
     },
-    /// What was stored cannot be used.
+    /// The persisted state is damaged or incomplete.
     #[error("what was stored makes no sense: {0}")]
-    Stored(String),
-    /// The consensus library has given up: this voter takes no further part.
+    CorruptState(String),
+    /// The consensus library panicked: this voter takes no further part.
     #[error("the consensus has stopped at this voter: {0}")]
     Stopped(String),
-    /// The configuration makes no fleet.
+    /// The configured voters do not form a valid group.
     #[error("{0}")]
-    Fleet(String),
+    InvalidConfiguration(String),
 }
 
-impl AgreementError {
-    /// What whoever is on call can do.
+impl ConsensusError {
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            AgreementError::Message(_) => "see that all nodes run versions that understand each other; the connection was closed",
-            AgreementError::Stranger { .. } => "compare the `voters` of the operator files: they must be the same at all nodes",
-            AgreementError::Stored(_) => "this voter stays out: set its `store` aside, keep it, and replace the voter under a new number",
-            AgreementError::Stopped(_) => "restart the node; if it stops again, set its `store` aside and replace the voter",
-            AgreementError::Fleet(_) => "correct the key that is named in the operator file",
+            ConsensusError::MalformedMessage(_) => {
+                "see that all nodes run versions that understand each other; the connection was closed"
+            }
+            ConsensusError::UnknownSender { .. } => {
+                "compare the `voters` of the operator files: they must be the same at all nodes"
+            }
+            ConsensusError::CorruptState(_) => {
+                "this voter stays out: set its `store` aside, keep it, and replace the voter under a new number"
+            }
+            ConsensusError::Stopped(_) => {
+                "restart the node; if it stops again, set its `store` aside and replace the voter"
+            }
+            ConsensusError::InvalidConfiguration(_) => {
+                "correct the key that is named in the operator file"
+            }
         }
     }
 }
--- /dev/null
+++ b/crates/consensus/src/lease_reclaimer.rs
@@ -0,0 +1,96 @@
+//! Takes back the licence seats of nodes that are gone. Runs at the leader.
+
+use crate::command::Operation;
+use crate::lease::LeaseTerms;
+use crate::state::ReplicatedState;
+use marbledeck_dispatcher::Micros;
+use marbledeck_licensing::Move;
+use std::collections::BTreeMap;
+
+/// A node's latest known contact with any voter.
+#[derive(Clone, Copy, Debug)]
+struct Contact {
+    incarnation: u64,
+    time: Micros,
+}
+
+/// Decides when seats of other nodes may be reclaimed and freed, while its voter leads. Every time counts from this
+/// leader's own observation: a new leader starts over.
+#[derive(Clone, Debug)]
+pub struct LeaseReclaimer {
+    terms: LeaseTerms,
+    started: Micros,
+    contacts: BTreeMap<u32, Contact>,
+    /// When each draining lease was first observed, by pool and number.
+    draining_since: BTreeMap<(String, u64), Micros>,
+}
+
+impl LeaseReclaimer {
+    /// Starts to observe at `now`, when the voter becomes the leader.
+    pub fn new(now: Micros, terms: LeaseTerms) -> Self {
+        LeaseReclaimer {
+            terms,
+            started: now,
+            contacts: BTreeMap::new(),
+            draining_since: BTreeMap::new(),
+        }
+    }
+
+    /// Records that this incarnation of a node has contacted a voter.
+    pub fn record_contact(&mut self, now: Micros, node: u32, incarnation: u64) {
+        let latest = Contact {
+            incarnation,
+            time: now,
+        };
+        let contact = self.contacts.entry(node).or_insert(latest);
+        if incarnation >= contact.incarnation {
+            *contact = latest;
+        }
+    }
+
+    /// The operations to propose now. The same may be returned again until the state shows that it was applied.
+    pub fn poll_operations(&mut self, now: Micros, state: &ReplicatedState) -> Vec<Operation> {
+        let mut operations = self.reclaim_seats(now, state);
+        operations.extend(self.free_drained_seats(now, state));
+        operations
+    }
+
+    /// Reclaims the seats of nodes that were restarted, or that no voter has heard from.
+    fn reclaim_seats(&self, now: Micros, state: &ReplicatedState) -> Vec<Operation> {
+        // A node with a valid lease has contacted a voter within the lease; the same time again lets contact reports
+        // reach the leader.
+        let max_silence = Micros(2 * self.terms.max_overlap().0);
+        let mut operations = Vec::new();
+        for (node, incarnation) in state.seats().holders() {
+            let contact = self.contacts.get(&node).copied().unwrap_or(Contact {
+                incarnation,
+                time: self.started,
+            });
+            if contact.incarnation > incarnation || now - contact.time > max_silence {
+                let boot = incarnation;
+                operations.push(Operation::Seats(Move::Reclaim { node, boot }));
+            }
+        }
+        operations
+    }
+
+    /// Frees seats that drain, once no attempt of their last holder can still run.
+    fn free_drained_seats(&mut self, now: Micros, state: &ReplicatedState) -> Vec<Operation> {
+        let mut operations = Vec::new();
+        let mut known = std::mem::take(&mut self.draining_since);
+        for (pool, ebb, lease) in state.seats().ebbing() {
+            let key = (pool.to_owned(), ebb);
+            let since = known.remove(&key).unwrap_or(now);
+            self.draining_since.insert(key, since);
+            // The holder's last lease must have ended, and then the last attempt that it began under it.
+            let longest_run = Micros::from_secs_f64(
+                lease.longest_run_ms as f64 / 1000.0 * (1.0 + self.terms.clock_drift),
+            );
+            if now - since > self.terms.activation_delay() + longest_run {
+                let pool = pool.to_owned();
+                operations.push(Operation::Seats(Move::Free { pool, ebb }));
+            }
+        }
+        operations
+    }
+}
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,22 +1,34 @@
-//! Records with versions that all nodes of a fleet agree on, and for how long each node may act on one.
+//! Versioned records that all nodes of a fleet agree on, and leases that limit how long a node may act on a version.
 //!
-//! The [`Book`] is the state that [`Command`]s change, alike at every voter, without a clock. A [`Voter`] keeps it by
-//! consensus (the `raft` library), and a [`Reader`] is what each node, voter or not, may act on. No input or output:
-//! whoever carries it tells the time, stores what it is told to, and hands on bytes. `docs/design/agreement.md` states
-//! the guarantees and their proofs.
+//! [`ReplicatedState`] is changed by [`Command`]s only, in the same way at every voter, and reads no clock. A [`Voter`]
+//! replicates it by Raft (the `raft` library). A [`LeasedReader`], one at each node whether it votes or not, says which
+//! records the node may act on now. [`LeaseReclaimer`] runs at the leader and takes back the licence seats of nodes that
+//! are gone.
+//!
+//! No input or output: the caller passes the time in, persists what it is asked to, and transports the messages.
+//! `docs/design/agreement.md` states the guarantees and their proofs.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod book;
+mod change;
+mod command;
 mod error;
+mod lease;
+mod lease_reclaimer;
 mod log;
+mod persistence;
 mod reader;
+mod record;
+mod state;
 mod voter;
-mod warden;
 pub mod wire;
 
-pub use book::{Body, Book, Change, Command, Outcome, Rates, Record, Site, Stream, What};
-pub use error::{AgreementError, Refusal};
-pub use reader::{Acting, Reader, Terms};
-pub use voter::{Durable, Save, Voter, Work};
-pub use warden::Warden;
+pub use change::Change;
+pub use command::{Command, CommandSequence, LastCommand, Operation, Outcome};
+pub use error::{ChangeError, ConsensusError};
+pub use lease::LeaseTerms;
+pub use lease_reclaimer::LeaseReclaimer;
+pub use persistence::{EncodedEntry, EncodedSnapshot, PersistRequest, PersistedState};
+pub use reader::{LeasedReader, ReadTicket, RecordValidity};
+pub use record::{Rates, Record, RecordBody, Site};
+pub use state::ReplicatedState;
+pub use voter::{AppliedCommand, Effects, LogPosition, OutgoingMessage, Voter};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,56 +1,60 @@
-//! The log as the consensus library reads it: in memory, with snapshots of the book. What of it is durable is the
-//! carrier's to say.
+//! The Raft log in memory, with the last snapshot of the replicated state. Persisting it is left to the caller.
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage};
 
+/// The storage that the `raft` library reads.
 pub struct Log {
-    pub mem: MemStorage,
-    /// The last snapshot of the book; the library asks for it where a voter is far behind.
+    entries: MemStorage,
+    /// The last snapshot; the library sends it to a voter that is far behind.
     snapshot: Snapshot,
 }
 
 impl Log {
-    /// The log of a new fleet of these voters.
+    /// The log of a new group of these voters.
     pub fn new(voters: &[u64]) -> Self {
-        let mem = MemStorage::new_with_conf_state((voters.to_vec(), Vec::new()));
         Log {
-            mem,
+            entries: MemStorage::new_with_conf_state((voters.to_vec(), Vec::new())),
             snapshot: Snapshot::default(),
         }
     }
 
-    /// Goes on from this snapshot, and drops the entries before it.
+    /// Appends entries, replacing any with the same or a later index.
+    pub fn append(&self, entries: &[Entry]) -> raft::Result<()> {
+        self.entries.wl().append(entries)
+    }
+
+    /// Replaces the log by this snapshot.
     pub fn install(&mut self, snapshot: &Snapshot) -> raft::Result<()> {
-        self.mem.wl().apply_snapshot(snapshot.clone())?;
+        self.entries.wl().apply_snapshot(snapshot.clone())?;
         self.snapshot = snapshot.clone();
         Ok(())
     }
 
-    /// Keeps a snapshot of what was applied, and drops the entries that are in it, but for some: a voter that is little
-    /// behind is told entries.
-    pub fn compact(&mut self, snapshot: Snapshot, keep: u64) -> raft::Result<()> {
-        let index = snapshot.get_metadata().index.saturating_sub(keep);
+    /// Keeps this snapshot and drops the entries it covers, except for the last `retained`: voters that are only a little
+    /// behind are sent entries.
+    pub fn compact(&mut self, snapshot: Snapshot, retained: u64) -> raft::Result<()> {
+        let index = snapshot.get_metadata().index.saturating_sub(retained);
         self.snapshot = snapshot;
-        self.mem.wl().compact(index)
+        self.entries.wl().compact(index)
     }
 
-    pub fn set_hard_state(&mut self, hard: HardState) {
-        self.mem.wl().set_hardstate(hard);
+    /// Sets the term, the vote and the commit index.
+    pub fn set_hard_state(&mut self, hard_state: HardState) {
+        self.entries.wl().set_hardstate(hard_state);
     }
 
+    /// The voters of the group.
     pub fn conf_state(&self) -> ConfState {
-        self.mem
-            .initial_state()
-            .map(|state| state.conf_state)
-            .unwrap_or_default()
+        let state = self.entries.initial_state();
+        state.map(|state| state.conf_state).unwrap_or_default()
     }
 }
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        self.mem.initial_state()
+        self.entries.initial_state()
     }
 
     fn entries(
@@ -60,30 +64,31 @@
         max_size: impl Into<Option<u64>>,
         context: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        self.mem.entries(low, high, max_size, context)
+        self.entries.entries(low, high, max_size, context)
     }
 
-    fn term(&self, idx: u64) -> raft::Result<u64> {
-        match idx == self.snapshot.get_metadata().index && idx > 0 {
-            true => Ok(self.snapshot.get_metadata().term),
-            false => self.mem.term(idx),
+    fn term(&self, index: u64) -> raft::Result<u64> {
+        if index == self.snapshot.get_metadata().index && index > 0 {
+            Ok(self.snapshot.get_metadata().term)
+        } else {
+            self.entries.term(index)
         }
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        self.mem.first_index()
+        self.entries.first_index()
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        self.mem.last_index()
+        self.entries.last_index()
     }
 
     fn snapshot(&self, request_index: u64, _to: u64) -> raft::Result<Snapshot> {
-        match self.snapshot.get_metadata().index >= request_index.max(1) {
-            true => Ok(self.snapshot.clone()),
-            false => Err(raft::Error::Store(
-                raft::StorageError::SnapshotTemporarilyUnavailable,
-            )),
+        if self.snapshot.get_metadata().index >= request_index.max(1) {
+            Ok(self.snapshot.clone())
+        } else {
+            let unavailable = raft::StorageError::SnapshotTemporarilyUnavailable;
+            Err(raft::Error::Store(unavailable))
         }
     }
 }
--- a/crates/consensus/src/reader.rs
+++ b/crates/consensus/src/reader.rs
@@ -1,159 +1,157 @@
-//! What a node may act on: readings that it has asked for, each for a stated time.
+//! Leased reads: which records a node may act on, and until when.
 
-use crate::book::Record;
-use crate::wire::Answer;
+use crate::lease::LeaseTerms;
+use crate::record::Record;
+use crate::wire::ReadResponse;
 use marbledeck_dispatcher::Micros;
 use std::collections::BTreeMap;
 
-/// How long a reading holds, and what is assumed of clocks.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    /// A reading holds for so long after its question.
-    pub lease: Micros,
-    /// Two monotonic clocks differ by no more than this part in their rates.
-    pub drift: f64,
-}
-
-impl Terms {
-    /// `T`: from the first act of any node on a version to the last one of any node on an earlier one.
-    pub fn overlap(&self) -> Micros {
-        Micros::from_secs_f64(self.lease.as_secs_f64() * (1.0 + self.drift))
-    }
-
-    /// After so long by its own clock, a node that has heard of a change knows that nobody acts on what was before.
-    pub fn quiet(&self) -> Micros {
-        Micros::from_secs_f64(self.lease.as_secs_f64() * (1.0 + self.drift) * (1.0 + self.drift))
-    }
-}
-
 /// What a node may do with a record now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Acting<'a> {
-    /// Act on this version.
-    On(&'a Record),
-    /// Neither on the last version nor on the next: the record is exclusive, and others may still act on the last.
-    Between,
-    /// There is no reading: the fallback of its kind, with the last version known and the one before.
-    Without(&'a Record, Option<&'a Record>),
-    /// The node has never heard of it.
-    Never,
+pub enum RecordValidity<'a> {
+    /// It may act on this version.
+    Active(&'a Record),
+    /// It may act on neither the previous version nor the new one: the record is exclusive, and other nodes may still act
+    /// on the previous one.
+    Pending,
+    /// The node has no valid lease, and the fallback for this kind of record applies.
+    Unconfirmed {
+        /// The latest version that the node knows.
+        latest: &'a Record,
+        /// The version that it knew before.
+        previous: Option<&'a Record>,
+    },
+    /// The node has never read the record.
+    Unknown,
+}
+
+/// A read request to be sent to a voter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReadTicket {
+    /// Number of the request, repeated in the response.
+    pub request_id: u64,
+    /// The revision up to which the node knows the records.
+    pub known_revision: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownRecord {
     record: Record,
-    before: Option<Record>,
-    /// It is not acted upon before this.
-    from: Micros,
+    previous: Option<Record>,
+    /// The node does not act on the record before this time.
+    active_from: Micros,
 }
 
-/// One node's readings.
+/// The leased reads of one node.
 #[derive(Clone, Debug)]
-pub struct Reader {
-    terms: Terms,
-    records: BTreeMap<String, Known>,
+pub struct LeasedReader {
+    terms: LeaseTerms,
+    records: BTreeMap<String, KnownRecord>,
     revision: u64,
-    until: Micros,
-    question: u64,
-    asked: Option<Micros>,
+    lease_expiry: Micros,
+    /// Number of the last request.
+    request_id: u64,
+    /// When the outstanding request was sent.
+    request_sent: Option<Micros>,
+    /// A later incarnation of this node exists: it must not act any more.
     stale: bool,
 }
 
-impl Reader {
-    /// A node that knows nothing yet.
-    pub fn new(terms: Terms) -> Self {
-        Reader {
+impl LeasedReader {
+    /// A reader that knows no records and has no lease.
+    pub fn new(terms: LeaseTerms) -> Self {
+        LeasedReader {
             terms,
             records: BTreeMap::new(),
             revision: 0,
-            until: Micros(0),
-            question: 0,
-            asked: None,
+            lease_expiry: Micros(0),
+            request_id: 0,
+            request_sent: None,
             stale: false,
         }
     }
 
-    /// A new question goes out: its number, and the revision that is known. What was asked before is given up. `now` is
-    /// read before the question leaves.
-    pub fn ask(&mut self, now: Micros) -> (u64, u64) {
-        self.question += 1;
-        self.asked = Some(now);
-        (self.question, self.revision)
+    /// Begins a new request and abandons the outstanding one. `now` must be read before the request is sent: the lease
+    /// counts from it.
+    pub fn begin_read(&mut self, now: Micros) -> ReadTicket {
+        self.request_id += 1;
+        self.request_sent = Some(now);
+        ReadTicket {
+            request_id: self.request_id,
+            known_revision: self.revision,
+        }
     }
 
-    /// Takes in an answer. Tells whether it is a reading: one to the question that is open, and not of a revision before
-    /// what is known.
-    pub fn answered(&mut self, now: Micros, answer: &Answer) -> bool {
-        let Some(asked) = self.asked.filter(|_| answer.question == self.question) else {
+    /// Applies a response and renews the lease. Returns false, and changes nothing, for a response to another request or
+    /// of an earlier revision than the known one.
+    pub fn apply_response(&mut self, now: Micros, response: &ReadResponse) -> bool {
+        let request_sent = self.request_sent;
+        let matching = request_sent.filter(|_| response.request_id == self.request_id);
+        let Some(request_sent) = matching else {
             return false;
         };
-        if answer.revision < self.revision {
+        if response.revision < self.revision {
             return false;
         }
-        self.asked = None;
-        self.stale = answer.stale;
-        for (name, record) in &answer.records {
-            let old = self.records.remove(name);
-            if let Some(old) = old
-                .as_ref()
-                .filter(|old| old.record.version >= record.version)
-            {
-                let (record, before) = (old.record.clone(), old.before.clone());
-                self.records.insert(
-                    name.clone(),
-                    Known {
-                        record,
-                        before,
-                        from: old.from,
-                    },
-                );
-                continue;
-            }
-            // The first that a node hears of it may be a change, too: others may act on the one before.
-            let from = match record.exclusive {
-                true => now + self.terms.quiet(),
-                false => Micros(0),
-            };
-            let before = old.map(|old| old.record);
-            self.records.insert(
-                name.clone(),
-                Known {
-                    record: record.clone(),
-                    before,
-                    from,
-                },
-            );
+        self.request_sent = None;
+        self.stale = response.stale;
+        for (name, record) in &response.records {
+            self.apply_record(now, name, record);
         }
-        self.revision = answer.revision;
-        // Counted from before the asking: what was true at some moment after the question came is acted upon no longer.
-        self.until = asked + self.terms.lease;
+        self.revision = response.revision;
+        // Counted from before the request: its content was current at some moment after the request arrived.
+        self.lease_expiry = request_sent + self.terms.duration;
         true
     }
 
-    /// What may be done with a record at this moment, which is read just before the act.
-    pub fn acting(&self, now: Micros, name: &str) -> Acting<'_> {
+    fn apply_record(&mut self, now: Micros, name: &str, record: &Record) {
+        let known = self.records.get(name);
+        if known.is_some_and(|known| known.record.version >= record.version) {
+            return;
+        }
+        // The first version that a node reads may be a change, too: others may still act on the one before.
+        let active_from = if record.exclusive {
+            now + self.terms.activation_delay()
+        } else {
+            Micros(0)
+        };
+        let known = KnownRecord {
+            record: record.clone(),
+            previous: known.map(|known| known.record.clone()),
+            active_from,
+        };
+        self.records.insert(name.to_owned(), known);
+    }
+
+    /// What the node may do with a record. `now` must be read just before the node acts.
+    pub fn validity(&self, now: Micros, name: &str) -> RecordValidity<'_> {
         let Some(known) = self.records.get(name) else {
-            return Acting::Never;
+            return RecordValidity::Unknown;
         };
-        if !self.holds(now) {
-            return Acting::Without(&known.record, known.before.as_ref());
+        if !self.has_lease(now) {
+            return RecordValidity::Unconfirmed {
+                latest: &known.record,
+                previous: known.previous.as_ref(),
+            };
         }
-        match now < known.from {
-            true => Acting::Between,
-            false => Acting::On(&known.record),
+        if now < known.active_from {
+            RecordValidity::Pending
+        } else {
+            RecordValidity::Active(&known.record)
         }
     }
 
-    /// Whether there is a reading now.
-    pub fn holds(&self, now: Micros) -> bool {
-        now < self.until && !self.stale
+    /// Whether the node has a valid lease.
+    pub fn has_lease(&self, now: Micros) -> bool {
+        now < self.lease_expiry && !self.stale
     }
 
-    /// Until when the last reading holds.
-    pub fn until(&self) -> Micros {
-        match self.stale {
-            true => Micros(0),
-            false => self.until,
+    /// When the lease expires; 0 where a later incarnation of the node exists.
+    pub fn lease_expiry(&self) -> Micros {
+        if self.stale {
+            Micros(0)
+        } else {
+            self.lease_expiry
         }
     }
 
@@ -162,14 +160,14 @@
         self.revision
     }
 
-    /// The names of all records that are known.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
+    /// The names of all known records.
+    pub fn record_names(&self) -> impl Iterator<Item = &str> {
         self.records.keys().map(String::as_str)
     }
 
-    /// When an exclusive record that is not acted upon yet will be, the next of them.
-    pub fn next_change(&self, now: Micros) -> Option<Micros> {
-        let waiting = self.records.values().map(|known| known.from);
-        waiting.filter(|from| *from > now).min()
+    /// When the next pending exclusive record becomes active.
+    pub fn next_activation(&self, now: Micros) -> Option<Micros> {
+        let activations = self.records.values().map(|known| known.active_from);
+        activations.filter(|time| *time > now).min()
     }
 }
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -1,173 +1,199 @@
-//! What nodes say to each other: frames of a bounded length, which are looked at before anything in them is decoded.
+//! The messages between nodes, and their framing.
+//!
+//! A frame is a length of four bytes (big-endian, of the body only), one byte for its kind and the body: a message of the
+//! consensus library as it is, or a [`NodeMessage`] in JSON. The length is checked before anything is decoded.
 
-use crate::book::{Book, Command, Outcome, Record, Stream};
-use crate::error::AgreementError;
+use crate::command::{Command, CommandSequence, Outcome};
+use crate::error::ConsensusError;
+use crate::record::Record;
+use crate::state::ReplicatedState;
 use marbledeck_licensing::{Part, Pool};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The longest frame, in bytes, without its head: a snapshot of the book, whose records have a bound of their own.
-pub const LONGEST: usize = 16 * 1024 * 1024;
-/// The longest of a node that does not vote: a question with a change.
-pub const LONGEST_QUESTION: usize = 1024 * 1024 + 256 * 1024;
-/// Commands of one question.
-pub const MOST_COMMANDS: usize = 4;
+/// Maximum length of a frame's body in bytes. A snapshot of the replicated state fits in.
+pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum length of a frame's body that a node which does not vote may send: a read request with a change.
+pub const MAX_REQUEST_BYTES: usize = 1024 * 1024 + 256 * 1024;
+/// Maximum number of commands in one read request.
+pub const MAX_COMMANDS_PER_REQUEST: usize = 4;
 /// Length and kind.
-const HEAD: usize = 5;
+const HEADER_BYTES: usize = 5;
+/// The kinds of frames.
+const KIND_RAFT: u8 = b'R';
+const KIND_NODE: u8 = b'S';
 
 /// A frame.
 #[derive(Debug)]
 pub enum Frame {
-    /// A message of the consensus library, for [`crate::Voter::receive`].
+    /// A message of the consensus library, for [`crate::Voter::handle_message`].
     Raft(Vec<u8>),
-    /// Anything else.
-    Said(Box<Said>),
+    /// Any other message.
+    Node(Box<NodeMessage>),
 }
 
-/// What is not the library's.
+/// A message that is not one of the consensus library.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Said {
-    /// The first frame of whoever connects.
+#[serde(rename = "Said")]
+pub enum NodeMessage {
+    /// The first message on a connection, from the node that opened it.
     Hello {
         /// The fleet's name in the operator file.
         fleet: String,
-        /// The number of the node.
+        /// Number of the node.
         node: u32,
         /// Its number as a voter, and the number of its store.
         voter: Option<(u64, u64)>,
     },
-    /// The answer to a voter's: this one takes it for what it says, and has noted that durably.
+    /// Response to a voter's `Hello`: the number of its store is known, and durably noted.
     Welcome {
-        /// The number of the voter that answers.
+        /// Number of the responding voter.
         voter: u64,
     },
-    /// The answer to a voter whose number is known with another store: it has forgotten what it had promised.
+    /// Response to a voter's `Hello` whose number is known with another store: it has lost what it had promised.
     Denied {
-        /// The number of the voter that answers.
+        /// Number of the responding voter.
         voter: u64,
     },
-    /// A node wants a reading, and commands carried out.
-    Ask {
-        /// Comes back with the answer.
-        question: u64,
-        /// The revision up to which it knows the records.
-        known: u64,
-        /// Its start.
-        boot: u64,
-        /// What it wants done; the same until the answer says that it is.
+    /// A node requests a lease on the records, and commands to be applied.
+    #[serde(rename = "Ask")]
+    ReadRequest {
+        /// Number of the request, repeated in the response.
+        #[serde(rename = "question")]
+        request_id: u64,
+        /// The revision up to which the node knows the records.
+        #[serde(rename = "known")]
+        known_revision: u64,
+        /// Incarnation of the node.
+        #[serde(rename = "boot")]
+        incarnation: u64,
+        /// Commands to propose; repeated until a response shows that they were applied.
         commands: Vec<Command>,
     },
-    /// The voter was not behind when it had been asked.
-    Answer(Box<Answer>),
-    /// The nodes, with their starts, that have asked this voter lately.
-    Heard {
-        /// Node and start.
+    /// Response to a read request, confirmed by a quorum after the request arrived.
+    #[serde(rename = "Answer")]
+    ReadResponse(Box<ReadResponse>),
+    /// The nodes that have contacted the sending voter lately.
+    #[serde(rename = "Heard")]
+    ContactReport {
+        /// Number and incarnation of each.
         nodes: Vec<(u32, u64)>,
     },
 }
 
-/// A reading.
+/// The response to a read request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
-    /// The question's number.
-    pub question: u64,
-    /// The book's revision.
+#[serde(rename = "Answer")]
+pub struct ReadResponse {
+    /// Number of the request.
+    #[serde(rename = "question")]
+    pub request_id: u64,
+    /// The revision of the replicated state.
     pub revision: u64,
-    /// What has changed since the revision that the asker knows.
+    /// The records, by name, that have changed since the revision that the node knows.
     pub records: Vec<(String, Record)>,
-    /// The number of the asker's last move of seats that was carried out.
-    pub moved: u64,
-    /// The number and the outcome of the asker's last change.
-    pub changed: Option<(u64, Outcome)>,
-    /// The seats that the asker holds: pool, tenant, seats, how many are asked back.
-    pub parts: Vec<(String, String, u32, u32)>,
+    /// Number of the node's last operation on seats that was applied; 0 for none.
+    #[serde(rename = "moved")]
+    pub last_seat_operation: u64,
+    /// Number and outcome of the node's last change of records.
+    #[serde(rename = "changed")]
+    pub last_change: Option<(u64, Outcome)>,
+    /// The seats that the node holds: pool, tenant, seats, and how many of them are recalled.
+    #[serde(rename = "parts")]
+    pub seats: Vec<(String, String, u32, u32)>,
     /// The seats of each pool that nobody holds.
-    pub free: Vec<(String, u32)>,
-    /// A later start of the asker is known: it must not act.
+    #[serde(rename = "free")]
+    pub free_seats: Vec<(String, u32)>,
+    /// A later incarnation of the node is known: it must not act any more.
     pub stale: bool,
 }
 
-impl Answer {
-    /// What a node of this start is told of a book, if it knows the records up to this revision.
-    pub fn of(book: &Book, node: u32, boot: u64, question: u64, known: u64) -> Self {
-        let last = |stream| book.last(node, boot, stream);
-        let pools: BTreeMap<&str, &Pool> = book.pools().collect();
-        let holds = book.seats().holds(node, boot).into_iter();
-        let parts = holds.map(|(name, tenant, seats)| {
+impl ReadResponse {
+    /// The response to a request of this incarnation of a node.
+    pub fn new(
+        state: &ReplicatedState,
+        node: u32,
+        incarnation: u64,
+        request_id: u64,
+        known_revision: u64,
+    ) -> Self {
+        let last = |sequence| state.last_command(node, incarnation, sequence);
+        let last_change = last(CommandSequence::Changes);
+        let pools: BTreeMap<&str, &Pool> = state.pools().collect();
+        let held = state.seats().holds(node, incarnation).into_iter();
+        let seats = held.map(|(name, tenant, seats)| {
             let pool = pools.get(name.as_str());
-            let recalled = pool.map_or(0, |pool| book.seats().recalled(&name, pool, &tenant));
+            let recalled = pool.map_or(0, |pool| state.seats().recalled(&name, pool, &tenant));
             (name, tenant, seats, recalled)
         });
-        let records = book.since(known);
-        let free = pools.iter();
-        Answer {
-            question,
-            revision: book.revision(),
-            records: records
-                .map(|(name, record)| (name.clone(), record.clone()))
-                .collect(),
-            moved: last(Stream::Seats).map_or(0, |(number, _)| number),
-            changed: last(Stream::Changes).map(|(number, outcome)| (number, outcome.clone())),
-            parts: parts.collect(),
-            free: free
-                .map(|(name, pool)| ((*name).to_owned(), book.seats().free(name, pool)))
-                .collect(),
-            stale: book.is_stale(node, boot),
+        let records = state.records_since(known_revision);
+        let records = records.map(|(name, record)| (name.clone(), record.clone()));
+        let free_seats = pools.iter().map(|(name, pool)| {
+            let free = state.seats().free(name, pool);
+            ((*name).to_owned(), free)
+        });
+        ReadResponse {
+            request_id,
+            revision: state.revision(),
+            records: records.collect(),
+            last_seat_operation: last(CommandSequence::Seats).map_or(0, |last| last.number),
+            last_change: last_change.map(|last| (last.number, last.outcome.clone())),
+            seats: seats.collect(),
+            free_seats: free_seats.collect(),
+            stale: state.is_stale(node, incarnation),
         }
     }
 
-    /// The seats that the asker holds.
-    pub fn held(&self) -> Vec<Part> {
-        let parts = self.parts.iter().cloned();
-        let part = |(pool, tenant, seats, recalled)| Part {
+    /// The seats that the node holds.
+    pub fn held_seats(&self) -> Vec<Part> {
+        let seats = self.seats.iter().cloned();
+        let held = seats.map(|(pool, tenant, seats, recalled)| Part {
             pool,
             tenant,
             seats,
             recalled,
-        };
-        parts.map(part).collect()
+        });
+        held.collect()
     }
 }
 
-/// A frame's bytes.
+/// Encodes a frame.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let (kind, body) = match frame {
-        Frame::Raft(body) => (b'R', body.clone()),
-        Frame::Said(said) => (b'S', serde_json::to_vec(said).unwrap_or_default()),
+        Frame::Raft(body) => (KIND_RAFT, body.clone()),
+        Frame::Node(message) => (KIND_NODE, serde_json::to_vec(message).unwrap_or_default()),
     };
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend((body.len() as u32).to_be_bytes());
     bytes.push(kind);
     bytes.extend(body);
     bytes
 }
 
-/// The first frame of these bytes and how many it takes; none where it has not wholly come.
+/// Decodes the first frame of these bytes; returns it with its length in bytes, or `None` where it is incomplete.
 ///
 /// # Errors
-/// No such frame can come: it is too long, of no known kind, or makes no sense.
-pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, AgreementError> {
-    let wrong = |what: &str| Err(AgreementError::Message(what.to_owned()));
-    let Some(head) = bytes.first_chunk::<HEAD>() else {
+/// The bytes do not begin with a valid frame: it is too long, of an unknown kind or malformed.
+pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, ConsensusError> {
+    let malformed = |reason: &str| ConsensusError::MalformedMessage(reason.to_owned());
+    let Some([length @ .., kind]) = bytes.first_chunk::<HEADER_BYTES>() else {
         return Ok(None);
     };
-    let [a, b, c, d, kind] = *head;
-    let length = u32::from_be_bytes([a, b, c, d]) as usize;
-    if length > LONGEST {
-        return wrong("a frame is too long");
+    let length = u32::from_be_bytes(*length) as usize;
+    if length > MAX_FRAME_BYTES {
+        return Err(malformed("a frame is too long"));
     }
-    if !matches!(kind, b'R' | b'S') {
-        return wrong("a frame of no known kind");
+    if !matches!(*kind, KIND_RAFT | KIND_NODE) {
+        return Err(malformed("a frame of no known kind"));
     }
-    let Some(body) = bytes.get(HEAD..HEAD + length) else {
+    let Some(body) = bytes.get(HEADER_BYTES..HEADER_BYTES + length) else {
         return Ok(None);
     };
-    let frame = match kind {
-        b'R' => Frame::Raft(body.to_vec()),
-        _ => match serde_json::from_slice::<Said>(body) {
-            Ok(said) => Frame::Said(Box::new(said)),
-            Err(e) => return wrong(&e.to_string()),
-        },
+    let frame = if *kind == KIND_RAFT {
+        Frame::Raft(body.to_vec())
+    } else {
+        let message = serde_json::from_slice::<NodeMessage>(body);
+        Frame::Node(Box::new(message.map_err(|e| malformed(&e.to_string()))?))
     };
-    Ok(Some((frame, HEAD + length)))
+    Ok(Some((frame, HEADER_BYTES + length)))
 }
--- a/crates/consensus/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -1,10 +1,11 @@
 //! A fleet in virtual time: voters that are killed, cut off, and run out of disk; nodes that are stopped, restarted and
 //! whose clocks run at different rates. One checker looks at every node at every step. A failure prints its seed.
 
-use marbledeck_consensus::wire::{Answer, MOST_COMMANDS};
+use marbledeck_consensus::wire::{ReadResponse, MAX_COMMANDS_PER_REQUEST};
 use marbledeck_consensus::{
-    Acting, Body, Book, Change, Command, Durable, Outcome, Rates, Reader, Record, Save, Terms,
-    Voter, Warden, What,
+    Change, Command, EncodedSnapshot, LeaseReclaimer, LeaseTerms, LeasedReader, Operation, Outcome,
+    OutgoingMessage, PersistRequest, PersistedState, Rates, ReadTicket, Record, RecordBody,
+    RecordValidity, ReplicatedState, Voter,
 };
 use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::{Desk, Licence, Pool, Reading};
@@ -12,9 +13,9 @@
 
 const STEP: u64 = 10_000;
 const TICK: u64 = 50_000;
-const TERMS: Terms = Terms {
-    lease: Micros(1_000_000),
-    drift: 0.01,
+const TERMS: LeaseTerms = LeaseTerms {
+    duration: Micros(1_000_000),
+    clock_drift: 0.01,
 };
 const LONGEST: u64 = 800_000;
 
@@ -46,15 +47,15 @@
         boot: u64,
         commands: Vec<Command>,
     },
-    Answer {
+    ReadResponse {
         node: usize,
         boot: u64,
-        answer: Answer,
+        answer: ReadResponse,
     },
     Saved {
         voter: u64,
         boot: u64,
-        saves: Vec<Save>,
+        saves: Vec<PersistRequest>,
     },
     Heard {
         to: u64,
@@ -65,23 +66,27 @@
 /// A voter's disk: what is on it outlives the voter.
 #[derive(Default, Clone)]
 struct Disk {
-    durable: Durable,
+    durable: PersistedState,
     full: bool,
-    waiting: Vec<Save>,
-    queued: Vec<Save>,
+    waiting: Vec<PersistRequest>,
+    queued: Vec<PersistRequest>,
     busy: u64,
 }
 
 impl Disk {
-    fn write(&mut self, save: &Save) {
-        if let Some(hard) = &save.hard {
-            self.durable.hard = Some(hard.clone());
+    fn write(&mut self, save: &PersistRequest) {
+        if let Some(hard) = &save.hard_state {
+            self.durable.hard_state = Some(hard.clone());
         }
-        if let Some((index, snapshot)) = &save.snapshot {
+        if let Some(EncodedSnapshot {
+            index,
+            bytes: snapshot,
+        }) = &save.snapshot
+        {
             self.durable.snapshot = Some(snapshot.clone());
             self.durable
                 .entries
-                .retain(|(at, _)| !save.replaces && at > index);
+                .retain(|(at, _)| !save.replaces_log && at > index);
         }
         if let Some((first, _)) = save.entries.first() {
             self.durable.entries.retain(|(at, _)| at < first);
@@ -92,7 +97,7 @@
 
 struct Seat {
     voter: Option<Voter>,
-    warden: Option<Warden>,
+    warden: Option<LeaseReclaimer>,
     disk: Disk,
     boot: u64,
     asks: BTreeMap<u64, (usize, u64, u64, u64)>,
@@ -101,7 +106,7 @@
 }
 
 struct Node {
-    reader: Reader,
+    reader: LeasedReader,
     desk: Desk,
     boot: u64,
     up: bool,
@@ -203,7 +208,7 @@
         let mut rng = Rng::new(seed);
         let ids: Vec<u64> = (1..=voters).collect();
         let seat = |id: u64| Seat {
-            voter: Some(Voter::new(id, &ids, 1, &Durable::default()).expect("a voter")),
+            voter: Some(Voter::new(id, &ids, 1, &PersistedState::default()).expect("a voter")),
             warden: None,
             disk: Disk::default(),
             boot: 1,
@@ -213,7 +218,7 @@
         };
         let seats = ids.iter().map(|id| seat(*id)).collect();
         let node = |rng: &mut Rng| Node {
-            reader: Reader::new(TERMS),
+            reader: LeasedReader::new(TERMS),
             desk: Desk::new(vec!["codec".into()], Vec::new(), Micros(2_000_000)),
             boot: 1,
             up: true,
@@ -282,21 +287,21 @@
         let Some(voter) = &mut self.seats[v].voter else {
             return;
         };
-        let work = voter.work();
-        let leads = voter.leads();
+        let work = voter.poll_effects();
+        let leads = voter.is_leader();
         let at = self.at;
         if leads && self.seats[v].warden.is_none() {
-            self.seats[v].warden = Some(Warden::new(Micros(at), TERMS));
+            self.seats[v].warden = Some(LeaseReclaimer::new(Micros(at), TERMS));
         } else if !leads {
             self.seats[v].warden = None;
         }
-        for save in work.saves {
+        for save in work.persist_requests {
             let seat = &mut self.seats[v];
             if seat.disk.full || !seat.disk.waiting.is_empty() {
                 let queued = std::mem::take(&mut seat.disk.queued);
                 seat.disk.waiting.extend(queued);
                 seat.disk.waiting.push(save);
-                seat.voter.as_mut().expect("it runs").stall();
+                seat.voter.as_mut().expect("it runs").suspend();
                 continue;
             }
             self.seats[v].disk.queued.push(save);
@@ -316,7 +321,7 @@
                 },
             );
         }
-        for (to, bytes) in work.send {
+        for OutgoingMessage { to, bytes } in work.messages {
             self.send(
                 id,
                 to,
@@ -328,12 +333,16 @@
             );
         }
         let seat = &mut self.seats[v];
-        let later = seat.asks.split_off(&(work.confirmed.unwrap_or(0) + 1));
+        let later = seat.asks.split_off(&(work.confirmed_read.unwrap_or(0) + 1));
         for (node, question, known, boot) in std::mem::replace(&mut seat.asks, later).into_values()
         {
-            let book = self.seats[v].voter.as_ref().expect("it runs").book();
-            let answer = Answer::of(book, node as u32, boot, question, known);
-            self.send(id, 1000 + node as u64, Msg::Answer { node, boot, answer });
+            let book = self.seats[v].voter.as_ref().expect("it runs").state();
+            let answer = ReadResponse::new(book, node as u32, boot, question, known);
+            self.send(
+                id,
+                1000 + node as u64,
+                Msg::ReadResponse { node, boot, answer },
+            );
         }
     }
 
@@ -341,7 +350,9 @@
         match msg {
             Msg::Raft { from, to, bytes } => {
                 if let Some(voter) = &mut self.seats[to as usize - 1].voter {
-                    voter.receive(from, &bytes).expect("a voter's message");
+                    voter
+                        .handle_message(from, &bytes)
+                        .expect("a voter's message");
                 }
             }
             Msg::Ask {
@@ -357,38 +368,39 @@
                     seat.next += 1;
                     seat.asks.insert(seat.next, (node, question, known, boot));
                     seat.heard.insert(node as u32, boot);
-                    voter.ask(seat.next);
-                    for command in commands.iter().take(MOST_COMMANDS) {
+                    voter.request_read(seat.next);
+                    for command in commands.iter().take(MAX_COMMANDS_PER_REQUEST) {
                         voter.propose(command);
                     }
                 }
             }
-            Msg::Answer { node, boot, answer } => {
+            Msg::ReadResponse { node, boot, answer } => {
                 let at = self.at;
                 let node = &mut self.nodes[node];
                 if !node.up || node.boot != boot || node.stopped_until > at {
                     return;
                 }
                 let now = node.now(at);
-                if node.reader.answered(now, &answer) {
-                    let pool = match node.reader.acting(now, "seats/codec") {
-                        Acting::On(Record {
-                            body: Some(Body::Pool(pool)),
+                if node.reader.apply_response(now, &answer) {
+                    let pool = match node.reader.validity(now, "seats/codec") {
+                        RecordValidity::Active(Record {
+                            body: Some(RecordBody::Pool(pool)),
                             ..
                         }) => {
                             vec![("codec".to_owned(), Micros(pool.longest_run_ms * 1000))]
                         }
                         _ => Vec::new(),
                     };
-                    let (until, parts) = (node.reader.until(), answer.held());
+                    let (until, parts) = (node.reader.lease_expiry(), answer.held_seats());
                     node.desk.read(&Reading {
-                        free: answer.free.clone(),
+                        free: answer.free_seats.clone(),
                         until,
-                        done: answer.moved,
+                        done: answer.last_seat_operation,
                         parts,
                         pools: pool,
                     });
-                    if let (Some(change), Some((number, outcome))) = (&node.change, &answer.changed)
+                    if let (Some(change), Some((number, outcome))) =
+                        (&node.change, &answer.last_change)
                     {
                         if change.number == *number {
                             self.done += u64::from(*outcome == Outcome::Done);
@@ -402,7 +414,7 @@
                 for save in saves.iter().filter(|_| seat.boot == boot) {
                     seat.disk.write(save);
                     if let Some(voter) = &mut seat.voter {
-                        voter.saved(save.ticket);
+                        voter.handle_persisted(save.ticket);
                     }
                 }
             }
@@ -410,7 +422,7 @@
                 let at = self.at;
                 if let Some(warden) = &mut self.seats[to as usize - 1].warden {
                     for (node, boot) in nodes {
-                        warden.heard(Micros(at), node, boot);
+                        warden.record_contact(Micros(at), node, boot);
                     }
                 }
             }
@@ -425,12 +437,12 @@
             }
             let (at, seat) = (self.at, &mut self.seats[v]);
             if let (Some(voter), Some(warden)) = (&mut seat.voter, &mut seat.warden) {
-                for what in warden.due(Micros(at), voter.book()) {
+                for what in warden.poll_operations(Micros(at), voter.state()) {
                     voter.propose(&Command {
                         node: 0,
-                        boot: 0,
+                        incarnation: 0,
                         number: 0,
-                        what,
+                        operation: what,
                     });
                 }
             }
@@ -439,7 +451,7 @@
                 if let Some(warden) = &mut seat.warden {
                     nodes
                         .iter()
-                        .for_each(|(node, boot)| warden.heard(Micros(at), *node, *boot));
+                        .for_each(|(node, boot)| warden.record_contact(Micros(at), *node, *boot));
                 }
                 for to in (1..=self.seats.len() as u64).filter(|to| *to != id) {
                     let nodes = nodes.clone();
@@ -459,9 +471,9 @@
             }
             let now = node.now(at);
             // What it would do just now.
-            let names: Vec<String> = node.reader.names().map(str::to_owned).collect();
+            let names: Vec<String> = node.reader.record_names().map(str::to_owned).collect();
             for name in names {
-                if let Acting::On(record) = node.reader.acting(now, &name) {
+                if let RecordValidity::Active(record) = node.reader.validity(now, &name) {
                     let last = node.seen.entry(name.clone()).or_default();
                     assert!(record.version >= *last, "{name} went back");
                     *last = record.version;
@@ -494,15 +506,18 @@
             }
             if node.ask_at <= at {
                 node.ask_at = at + 200_000 + self.rng.below(60_000);
-                if self.rng.chance(0.2) || !node.reader.holds(now) {
+                if self.rng.chance(0.2) || !node.reader.has_lease(now) {
                     node.voter = 1 + self.rng.below(self.seats.len() as u64);
                 }
-                let (question, known) = node.reader.ask(now);
+                let ReadTicket {
+                    request_id: question,
+                    known_revision: known,
+                } = node.reader.begin_read(now);
                 let moves = node.desk.command(now).map(|(number, what)| Command {
                     node: n as u32,
-                    boot: node.boot,
+                    incarnation: node.boot,
                     number,
-                    what: What::Seats(what),
+                    operation: Operation::Seats(what),
                 });
                 let commands: Vec<Command> = moves.into_iter().chain(node.change.clone()).collect();
                 let (to, boot) = (node.voter, node.boot);
@@ -570,7 +585,7 @@
             let n = self.rng.below(self.nodes.len() as u64) as usize;
             let node = &mut self.nodes[n];
             node.boot += 1;
-            node.reader = Reader::new(TERMS);
+            node.reader = LeasedReader::new(TERMS);
             node.desk = Desk::new(vec!["codec".into()], Vec::new(), Micros(2_000_000));
             node.calls.clear();
             node.change = None;
@@ -588,7 +603,7 @@
                 if let Some(voter) = &mut seat.voter {
                     for save in waiting {
                         seat.disk.write(&save);
-                        voter.saved(save.ticket);
+                        voter.handle_persisted(save.ticket);
                     }
                 }
             }
@@ -610,9 +625,9 @@
             let (boot, number) = (node.boot, node.changes);
             node.change = Some(Command {
                 node: n as u32,
-                boot,
+                incarnation: boot,
                 number,
-                what: What::Change(change),
+                operation: Operation::Change(change),
             });
         }
     }
@@ -639,24 +654,28 @@
         }
     }
 
-    fn newest(&self) -> Option<&Book> {
+    fn newest(&self) -> Option<&ReplicatedState> {
         let books = self
             .seats
             .iter()
-            .filter_map(|seat| seat.voter.as_ref().map(Voter::book));
+            .filter_map(|seat| seat.voter.as_ref().map(Voter::state));
         books.max_by_key(|book| book.revision())
     }
 }
 
-fn pool(seats: u32) -> Option<Body> {
-    Some(Body::Pool(Pool {
+fn pool(seats: u32) -> Option<RecordBody> {
+    Some(RecordBody::Pool(Pool {
         seats,
         guaranteed: BTreeMap::new(),
         longest_run_ms: LONGEST / 1000,
     }))
 }
 
-fn put(expect: &[(&str, u64)], bodies: Vec<(&str, Option<Body>)>, exclusive: &[&str]) -> Change {
+fn put(
+    expect: &[(&str, u64)],
+    bodies: Vec<(&str, Option<RecordBody>)>,
+    exclusive: &[&str],
+) -> Change {
     Change {
         expect: expect
             .iter()
@@ -670,8 +689,8 @@
     }
 }
 
-fn rates(of: f64) -> Option<Body> {
-    Some(Body::Rates(Rates {
+fn rates(of: f64) -> Option<RecordBody> {
+    Some(RecordBody::Rates(Rates {
         per_s: [("au".to_owned(), of)].into(),
     }))
 }
@@ -688,7 +707,7 @@
     );
     let n = world.rng.below(world.nodes.len() as u64) as usize;
     let seats = world.pool;
-    let out = Some(Body::Out([format!("w{o}")].into()));
+    let out = Some(RecordBody::OutOfService([format!("w{o}")].into()));
     let change = match (p, world.rng.chance(0.5)) {
         (0, _) => put(
             &[("seats/codec", 0)],
@@ -713,7 +732,7 @@
     let mut world = World::new(seed, 5, nodes);
     world.run(5_000_000, no_faults(), change_some);
     world.run(seconds * 1_000_000, ALL, change_some);
-    let overlap = TERMS.overlap().0 as i64 + STEP as i64;
+    let overlap = TERMS.max_overlap().0 as i64 + STEP as i64;
     for name in ["settings/rates", "seats/codec"] {
         let worst = world.acts.worst(name);
         assert!(
@@ -772,7 +791,7 @@
     assert!(world
         .nodes
         .iter()
-        .all(|node| node.reader.holds(node.now(world.at))));
+        .all(|node| node.reader.has_lease(node.now(world.at))));
     for v in [0, 1] {
         world.seats[v].voter = None;
     }
@@ -782,10 +801,10 @@
     let granted = world.grants;
     for node in &mut world.nodes {
         let now = node.now(world.at);
-        assert!(!node.reader.holds(now));
+        assert!(!node.reader.has_lease(now));
         assert!(matches!(
-            node.reader.acting(now, "settings/rates"),
-            Acting::Without(..) | Acting::Never
+            node.reader.validity(now, "settings/rates"),
+            RecordValidity::Unconfirmed { .. } | RecordValidity::Unknown
         ));
         assert!(node.desk.take(now, &[Licence(0)], 0).is_err());
     }
@@ -802,7 +821,7 @@
     assert!(world
         .nodes
         .iter()
-        .all(|node| node.reader.holds(node.now(world.at))));
+        .all(|node| node.reader.has_lease(node.now(world.at))));
 }
 
 #[test]
@@ -843,7 +862,7 @@
         );
     }
     assert!(
-        world.at - reclaimed >= TERMS.overlap().0 + LONGEST,
+        world.at - reclaimed >= TERMS.max_overlap().0 + LONGEST,
         "{} us",
         world.at - reclaimed
     );
@@ -854,65 +873,79 @@
 #[test]
 fn nothing_leaves_before_it_is_durable() {
     let ids = [1, 2, 3];
-    let mut a = Voter::new(1, &ids, 1, &Durable::default()).expect("a voter");
-    let mut b = Voter::new(2, &ids, 1, &Durable::default()).expect("a voter");
+    let mut a = Voter::new(1, &ids, 1, &PersistedState::default()).expect("a voter");
+    let mut b = Voter::new(2, &ids, 1, &PersistedState::default()).expect("a voter");
     let mut promised = 0;
     // a stands for election; b's vote is not said before it is written.
     let mut to_b = Vec::new();
     for _ in 0..40 {
         a.tick();
-        let work = a.work();
-        work.saves.iter().for_each(|save| a.saved(save.ticket));
-        to_b.extend(work.send);
-        to_b.extend(a.work().send);
-        for (to, bytes) in to_b.drain(..).filter(|(to, _)| *to == 2) {
+        let work = a.poll_effects();
+        work.persist_requests
+            .iter()
+            .for_each(|save| a.handle_persisted(save.ticket));
+        to_b.extend(work.messages);
+        to_b.extend(a.poll_effects().messages);
+        for OutgoingMessage { to, bytes } in to_b.drain(..).filter(|message| message.to == 2) {
             assert_eq!(to, 2);
-            b.receive(1, &bytes).expect("a's message");
+            b.handle_message(1, &bytes).expect("a's message");
         }
-        let work = b.work();
-        let tickets: Vec<u64> = work.saves.iter().map(|save| save.ticket).collect();
+        let work = b.poll_effects();
+        let tickets: Vec<u64> = work
+            .persist_requests
+            .iter()
+            .map(|save| save.ticket)
+            .collect();
         let held = work
-            .saves
+            .persist_requests
             .iter()
-            .any(|save| save.hard.is_some() || !save.entries.is_empty());
-        let early: Vec<_> = work.send.clone();
+            .any(|save| save.hard_state.is_some() || !save.entries.is_empty());
+        let early: Vec<_> = work.messages.clone();
         if held {
             promised += 1;
             assert!(early.is_empty(), "b has promised what it has not written");
         }
-        tickets.iter().for_each(|ticket| b.saved(*ticket));
-        for (_, bytes) in early
+        tickets
+            .iter()
+            .for_each(|ticket| b.handle_persisted(*ticket));
+        for OutgoingMessage { bytes, .. } in early
             .into_iter()
-            .chain(b.work().send)
-            .filter(|(to, _)| *to == 1)
+            .chain(b.poll_effects().messages)
+            .filter(|message| message.to == 1)
         {
-            a.receive(2, &bytes).expect("b's message");
+            a.handle_message(2, &bytes).expect("b's message");
         }
     }
-    assert!(promised > 0 && a.leads(), "{promised} promises");
+    assert!(promised > 0 && a.is_leader(), "{promised} promises");
     // Its disk takes nothing from now on: it leads no more, and says nothing, until a write gets through.
-    a.stall();
+    a.suspend();
     let mut last = 0;
     for _ in 0..20 {
         a.tick();
-        let work = a.work();
+        let work = a.poll_effects();
         assert!(
-            work.send.is_empty() && !a.leads(),
+            work.messages.is_empty() && !a.is_leader(),
             "it speaks with a full disk"
         );
-        last = work.saves.last().map_or(last, |save| save.ticket);
+        last = work
+            .persist_requests
+            .last()
+            .map_or(last, |save| save.ticket);
     }
     a.propose(&Command {
         node: 1,
-        boot: 1,
+        incarnation: 1,
         number: 1,
-        what: What::Change(Change::default()),
+        operation: Operation::Change(Change::default()),
     });
-    let saves = a.work().saves;
-    a.saved(saves.last().map_or(last, |save| save.ticket));
+    let saves = a.poll_effects().persist_requests;
+    a.handle_persisted(saves.last().map_or(last, |save| save.ticket));
     a.tick();
     a.tick();
-    assert!(!a.work().send.is_empty(), "it is silent for good");
+    assert!(
+        !a.poll_effects().messages.is_empty(),
+        "it is silent for good"
+    );
 }
 
 /// A leader whose disk is full gives way, and what was agreed goes on without it.
@@ -923,7 +956,7 @@
     let leader = world
         .seats
         .iter()
-        .position(|seat| seat.voter.as_ref().is_some_and(Voter::leads))
+        .position(|seat| seat.voter.as_ref().is_some_and(Voter::is_leader))
         .expect("a leader");
     world.seats[leader].disk.full = true;
     let before = world.done;
@@ -941,7 +974,7 @@
         .voter
         .as_ref()
         .expect("it runs")
-        .book()
+        .state()
         .revision();
     assert!(
         own >= book,
@@ -952,23 +985,26 @@
 /// An answer of an earlier revision, or to another question, is no reading.
 #[test]
 fn an_observer_never_goes_back() {
-    let mut reader = Reader::new(TERMS);
-    let (first, _) = reader.ask(Micros(0));
-    let (second, _) = reader.ask(Micros(10));
-    let answer = |question, revision| Answer {
-        question,
+    let mut reader = LeasedReader::new(TERMS);
+    let first = reader.begin_read(Micros(0)).request_id;
+    let second = reader.begin_read(Micros(10)).request_id;
+    let answer = |question, revision| ReadResponse {
+        request_id: question,
         revision,
-        ..Answer::default()
+        ..ReadResponse::default()
     };
-    assert!(!reader.answered(Micros(20), &answer(first, 5)));
-    assert!(reader.answered(Micros(20), &answer(second, 5)));
-    let (third, known) = reader.ask(Micros(500_000));
+    assert!(!reader.apply_response(Micros(20), &answer(first, 5)));
+    assert!(reader.apply_response(Micros(20), &answer(second, 5)));
+    let ReadTicket {
+        request_id: third,
+        known_revision: known,
+    } = reader.begin_read(Micros(500_000));
     assert_eq!(known, 5);
-    assert!(!reader.answered(Micros(500_010), &answer(third, 4)));
-    assert_eq!(reader.until(), Micros(1_000_010));
+    assert!(!reader.apply_response(Micros(500_010), &answer(third, 4)));
+    assert_eq!(reader.lease_expiry(), Micros(1_000_010));
     // Counted from the question, however late the answer is.
-    assert!(reader.answered(Micros(900_000), &answer(third, 6)));
-    assert_eq!(reader.until(), Micros(1_500_000));
+    assert!(reader.apply_response(Micros(900_000), &answer(third, 6)));
+    assert_eq!(reader.lease_expiry(), Micros(1_500_000));
 }
 
 /// Figures for `docs/benchmarks.md`, not a test: `cargo test --release -p marbledeck-consensus --test fleet figures --
@@ -980,7 +1016,7 @@
         let mut world = World::new(1, 5, nodes);
         world.run(6_000_000, no_faults(), change_some);
         let (sent, asked) = (world.sent.clone(), world.asked);
-        let leads = |seat: &Seat| seat.voter.as_ref().is_some_and(Voter::leads);
+        let leads = |seat: &Seat| seat.voter.as_ref().is_some_and(Voter::is_leader);
         let leader = 1 + world.seats.iter().position(leads).expect("a leader") as u64;
         world.run(16_000_000, no_faults(), |_| {});
         let now_sent = world.sent.clone();
@@ -999,8 +1035,8 @@
                 &[],
             ),
         );
-        let acts = |node: &Node, now| match node.reader.acting(now, "settings/rates") {
-            Acting::On(record) => record.version > version,
+        let acts = |node: &Node, now| match node.reader.validity(now, "settings/rates") {
+            RecordValidity::Active(record) => record.version > version,
             _ => false,
         };
         while !world
@@ -1039,6 +1075,6 @@
     println!(
         "worst overlap of two versions over 10 histories: {} ms of {} allowed",
         worst / 1000,
-        TERMS.overlap().0 / 1000
+        TERMS.max_overlap().0 / 1000
     );
 }
--- a/crates/consensus/tests/golden/frames.rs
+++ b/crates/consensus/tests/golden/frames.rs
@@ -3,35 +3,36 @@
 use crate::samples::{commands, outcomes, records};
 use crate::{assert_golden, hex, json};
 use marbledeck_consensus::wire::{
-    decode, encode, Answer, Frame, Said, LONGEST, LONGEST_QUESTION, MOST_COMMANDS,
+    decode, encode, Frame, NodeMessage, ReadResponse, MAX_COMMANDS_PER_REQUEST, MAX_FRAME_BYTES,
+    MAX_REQUEST_BYTES,
 };
 use std::fmt::Write as _;
 
 /// Length and kind of a frame, before its body.
 const HEAD_BYTES: usize = 5;
 
-fn full_answer() -> Answer {
-    Answer {
-        question: 17,
+fn full_answer() -> ReadResponse {
+    ReadResponse {
+        request_id: 17,
         revision: 4711,
         records: records(),
-        moved: 5,
-        changed: Some((6, outcomes().remove(0))),
-        parts: vec![
+        last_seat_operation: 5,
+        last_change: Some((6, outcomes().remove(0))),
+        seats: vec![
             ("av1".into(), String::new(), 3, 0),
             ("av1".into(), "news".into(), 4, 2),
         ],
-        free: vec![("aac".into(), 0), ("av1".into(), 33)],
+        free_seats: vec![("aac".into(), 0), ("av1".into(), 33)],
         stale: true,
     }
 }
 
 /// A message of every kind, but for those of the consensus library.
-fn messages() -> Vec<(String, Said)> {
+fn messages() -> Vec<(String, NodeMessage)> {
     let mut messages = vec![
         (
             "hello of a node".to_owned(),
-            Said::Hello {
+            NodeMessage::Hello {
                 fleet: "fleet-1".into(),
                 node: 4,
                 voter: None,
@@ -39,55 +40,58 @@
         ),
         (
             "hello of a voter".to_owned(),
-            Said::Hello {
+            NodeMessage::Hello {
                 fleet: "fleet-1".into(),
                 node: 1,
                 voter: Some((1, 0xfedc_ba98_7654_3210)),
             },
         ),
-        ("welcome".to_owned(), Said::Welcome { voter: 2 }),
-        ("denied".to_owned(), Said::Denied { voter: u64::MAX }),
+        ("welcome".to_owned(), NodeMessage::Welcome { voter: 2 }),
+        ("denied".to_owned(), NodeMessage::Denied { voter: u64::MAX }),
         (
             "question without commands".to_owned(),
-            Said::Ask {
-                question: 1,
-                known: 0,
-                boot: 1_700_000_000_000_000,
+            NodeMessage::ReadRequest {
+                request_id: 1,
+                known_revision: 0,
+                incarnation: 1_700_000_000_000_000,
                 commands: Vec::new(),
             },
         ),
         (
             "question with commands".to_owned(),
-            Said::Ask {
-                question: 17,
-                known: 4710,
-                boot: 1_700_000_000_000_000,
+            NodeMessage::ReadRequest {
+                request_id: 17,
+                known_revision: 4710,
+                incarnation: 1_700_000_000_000_000,
                 commands: commands().into_iter().map(|(_, command)| command).collect(),
             },
         ),
-        ("empty answer".to_owned(), Said::Answer(Box::default())),
+        (
+            "empty answer".to_owned(),
+            NodeMessage::ReadResponse(Box::default()),
+        ),
         (
             "full answer".to_owned(),
-            Said::Answer(Box::new(full_answer())),
+            NodeMessage::ReadResponse(Box::new(full_answer())),
         ),
         (
             "nobody was heard".to_owned(),
-            Said::Heard { nodes: Vec::new() },
+            NodeMessage::ContactReport { nodes: Vec::new() },
         ),
         (
             "nodes were heard".to_owned(),
-            Said::Heard {
+            NodeMessage::ContactReport {
                 nodes: vec![(4, 1_700_000_000_000_000), (5, u64::MAX)],
             },
         ),
     ];
     for (number, outcome) in outcomes().into_iter().enumerate() {
-        let answer = Answer {
-            changed: Some((number as u64, outcome)),
-            ..Answer::default()
+        let answer = ReadResponse {
+            last_change: Some((number as u64, outcome)),
+            ..ReadResponse::default()
         };
         let label = format!("answer with outcome {number}");
-        messages.push((label, Said::Answer(Box::new(answer))));
+        messages.push((label, NodeMessage::ReadResponse(Box::new(answer))));
     }
     messages
 }
@@ -104,7 +108,7 @@
     let mut text = String::new();
     let mut stream = Vec::new();
     for (label, message) in messages() {
-        let bytes = encode(&Frame::Said(Box::new(message)));
+        let bytes = encode(&Frame::Node(Box::new(message)));
         text += &frame_lines(&label, &bytes);
         stream.extend(bytes);
     }
@@ -112,7 +116,7 @@
     let mut rest = stream.as_slice();
     for (label, message) in messages() {
         let decoded = decode(rest).expect("a frame").expect("a whole frame");
-        let (Frame::Said(said), used) = decoded else {
+        let (Frame::Node(said), used) = decoded else {
             panic!("{label}: decoded to another kind");
         };
         assert!(*said == message, "{label}: decoded to another message");
@@ -139,7 +143,7 @@
 #[test]
 fn held_seats_of_an_answer() {
     let mut text = String::new();
-    for part in full_answer().held() {
+    for part in full_answer().held_seats() {
         let (pool, tenant) = (part.pool, part.tenant);
         let (seats, recalled) = (part.seats, part.recalled);
         writeln!(
@@ -160,7 +164,7 @@
         bytes.extend(body.as_bytes());
         bytes
     };
-    let length = LONGEST as u32;
+    let length = MAX_FRAME_BYTES as u32;
     let long_head = |length: u32| [length.to_be_bytes().as_slice(), b"R"].concat();
     let cases = [
         ("nothing", Vec::new()),
@@ -184,14 +188,14 @@
         ("more after it", said(r#"{"Welcome":{"voter":2}}{}"#)),
     ];
     let mut text = format!(
-        "longest frame: {LONGEST}\nlongest of a node that does not vote: {LONGEST_QUESTION}\n\
-         commands at most: {MOST_COMMANDS}\n"
+        "longest frame: {MAX_FRAME_BYTES}\nlongest of a node that does not vote: {MAX_REQUEST_BYTES}\n\
+         commands at most: {MAX_COMMANDS_PER_REQUEST}\n"
     );
     for (label, bytes) in cases {
         let outcome = match decode(&bytes) {
             Ok(None) => "not whole yet".to_owned(),
             Ok(Some((Frame::Raft(body), used))) => format!("{used} bytes, raft {}", hex(&body)),
-            Ok(Some((Frame::Said(said), used))) => format!("{used} bytes, {}", json(&*said)),
+            Ok(Some((Frame::Node(said), used))) => format!("{used} bytes, {}", json(&*said)),
             Err(error) => format!("error: {error}"),
         };
         writeln!(text, "{label}: {}\n  => {outcome}", bytes.escape_ascii())
--- a/crates/consensus/tests/golden/records.rs
+++ b/crates/consensus/tests/golden/records.rs
@@ -2,7 +2,9 @@
 
 use crate::samples::{bodies, change, command, commands, outcomes, records};
 use crate::{assert_golden, decoded_line, json_line};
-use marbledeck_consensus::{Body, Change, Command, Outcome, Rates, Record, Site, Stream, What};
+use marbledeck_consensus::{
+    Change, Command, CommandSequence, Operation, Outcome, Rates, Record, RecordBody, Site,
+};
 
 #[test]
 fn records_encode_and_decode() {
@@ -24,15 +26,15 @@
             "unknown key",
             r#"{"version":1,"body":null,"changed":2,"more":3}"#,
         ),
-        decoded_line::<Body>(
+        decoded_line::<RecordBody>(
             "pool with defaults",
             r#"{"pool":{"seats":1,"longest_run_ms":2}}"#,
         ),
-        decoded_line::<Body>(
+        decoded_line::<RecordBody>(
             "site with defaults",
             r#"{"site":{"address":"127.0.0.1:7001","catalog":{}}}"#,
         ),
-        decoded_line::<Body>("unknown body", r#"{"colour":"red"}"#),
+        decoded_line::<RecordBody>("unknown body", r#"{"colour":"red"}"#),
         decoded_line::<Rates>("rates, unknown key", r#"{"per_s":{},"per_m":{}}"#),
         decoded_line::<Rates>("rates, whole number", r#"{"per_s":{"news":3}}"#),
         decoded_line::<Site>(
@@ -68,19 +70,19 @@
     let mut text = String::new();
     for (label, command) in commands() {
         text += &json_line(label, &command);
-        let node_may = if command.is_a_nodes() {
+        let node_may = if command.is_allowed_for_nodes() {
             "may"
         } else {
             "may not"
         };
         text += &format!("  a node {node_may} ask for it\n");
-        text += &json_line("  counted by", &command.stream());
+        text += &json_line("  counted by", &command.sequence());
     }
-    let empty = command(4, 1, 1, What::Change(Change::default()));
+    let empty = command(4, 1, 1, Operation::Change(Change::default()));
     text += &json_line("empty change", &empty);
     let lines = [
-        json_line("stream", &Stream::Seats),
-        json_line("stream", &Stream::Changes),
+        json_line("stream", &CommandSequence::Seats),
+        json_line("stream", &CommandSequence::Changes),
         decoded_line::<Command>(
             "keys in another order",
             r#"{"what":{"Seats":{"Reclaim":{"boot":2,"node":1}}},"number":0,"boot":0,"node":0}"#,
--- a/crates/consensus/tests/golden/samples.rs
+++ b/crates/consensus/tests/golden/samples.rs
@@ -1,6 +1,8 @@
 //! One value of every kind that is written or sent.
 
-use marbledeck_consensus::{Body, Change, Command, Outcome, Rates, Record, Refusal, Site, What};
+use marbledeck_consensus::{
+    Change, ChangeError, Command, Operation, Outcome, Rates, Record, RecordBody, Site,
+};
 use marbledeck_federation::Catalog;
 use marbledeck_licensing::{Move, Pool};
 use std::collections::BTreeSet;
@@ -46,13 +48,16 @@
 }
 
 /// A body of every kind, with the name of a record that may hold it.
-pub fn bodies() -> Vec<(&'static str, Body)> {
+pub fn bodies() -> Vec<(&'static str, RecordBody)> {
     vec![
-        ("seats/av1", Body::Pool(pool(40, &[("news", 10)]))),
-        ("settings/rates", Body::Rates(rates())),
-        ("sites/east", Body::Site(site("127.0.0.1:7001"))),
-        ("sites/west", Body::Site(site("[::1]:7002"))),
-        ("workers/out", Body::Out(names(&["worker-7", "worker-1"]))),
+        ("seats/av1", RecordBody::Pool(pool(40, &[("news", 10)]))),
+        ("settings/rates", RecordBody::Rates(rates())),
+        ("sites/east", RecordBody::Site(site("127.0.0.1:7001"))),
+        ("sites/west", RecordBody::Site(site("[::1]:7002"))),
+        (
+            "workers/out",
+            RecordBody::OutOfService(names(&["worker-7", "worker-1"])),
+        ),
     ]
 }
 
@@ -65,7 +70,7 @@
                 version,
                 exclusive: version % 2 == 0,
                 body: Some(body),
-                changed: 10 + version,
+                changed_revision: 10 + version,
             };
             (name.to_owned(), record)
         })
@@ -74,7 +79,7 @@
         version: u64::MAX,
         exclusive: false,
         body: None,
-        changed: u64::MAX,
+        changed_revision: u64::MAX,
     };
     records.push(("seats/opus".to_owned(), removed));
     records
@@ -95,7 +100,7 @@
 }
 
 /// A change that writes these records, with the versions that it expects.
-pub fn put(writes: &[(&str, u64, Option<Body>)], exclusive: &[&str]) -> Change {
+pub fn put(writes: &[(&str, u64, Option<RecordBody>)], exclusive: &[&str]) -> Change {
     let mut change = Change {
         exclusive: names(exclusive),
         ..Change::default()
@@ -123,12 +128,12 @@
     }
 }
 
-pub fn command(node: u32, boot: u64, number: u64, what: What) -> Command {
+pub fn command(node: u32, boot: u64, number: u64, what: Operation) -> Command {
     Command {
         node,
-        boot,
+        incarnation: boot,
         number,
-        what,
+        operation: what,
     }
 }
 
@@ -141,44 +146,44 @@
         ebb: 12,
     };
     vec![
-        ("change", command(4, boot, 1, What::Change(change()))),
+        ("change", command(4, boot, 1, Operation::Change(change()))),
         (
             "want",
-            command(4, boot, 2, What::Seats(want("av1", "news", 3))),
+            command(4, boot, 2, Operation::Seats(want("av1", "news", 3))),
         ),
         (
             "give back",
-            command(4, boot, u64::MAX, What::Seats(give_back("av1", "", 2))),
+            command(4, boot, u64::MAX, Operation::Seats(give_back("av1", "", 2))),
         ),
-        ("reclaim", command(0, 0, 0, What::Seats(reclaim))),
-        ("free", command(0, 0, 0, What::Seats(free))),
+        ("reclaim", command(0, 0, 0, Operation::Seats(reclaim))),
+        ("free", command(0, 0, 0, Operation::Seats(free))),
     ]
 }
 
-pub fn refusals() -> Vec<Refusal> {
+pub fn refusals() -> Vec<ChangeError> {
     let record = || "seats/av1".to_owned();
     vec![
-        Refusal::Version {
+        ChangeError::VersionMismatch {
             record: record(),
-            has: 3,
+            actual: 3,
             expected: 2,
         },
-        Refusal::Unnamed { record: record() },
-        Refusal::Name {
+        ChangeError::MissingExpectedVersion { record: record() },
+        ChangeError::InvalidRecord {
             record: record(),
-            what: "it cannot hold this".to_owned(),
+            reason: "it cannot hold this".to_owned(),
         },
-        Refusal::Value {
+        ChangeError::InvalidValue {
             record: record(),
             key: "seats".to_owned(),
-            what: "want 1,000,000 at most".to_owned(),
+            reason: "want 1,000,000 at most".to_owned(),
         },
-        Refusal::Size("wants 1 to 64 records".to_owned()),
-        Refusal::Stale { node: 4 },
+        ChangeError::InvalidSize("wants 1 to 64 records".to_owned()),
+        ChangeError::StaleIncarnation { node: 4 },
     ]
 }
 
 pub fn outcomes() -> Vec<Outcome> {
-    let refused = refusals().into_iter().map(Outcome::Refused);
+    let refused = refusals().into_iter().map(Outcome::Rejected);
     [Outcome::Done].into_iter().chain(refused).collect()
 }
--- a/crates/consensus/tests/golden/state.rs
+++ b/crates/consensus/tests/golden/state.rs
@@ -2,8 +2,8 @@
 
 use crate::samples::{command, give_back, names, pool, put, rates, site, want};
 use crate::{assert_golden, json, json_line};
-use marbledeck_consensus::wire::Answer;
-use marbledeck_consensus::{Body, Book, Command, What};
+use marbledeck_consensus::wire::ReadResponse;
+use marbledeck_consensus::{Command, Operation, RecordBody, ReplicatedState};
 use marbledeck_licensing::Move;
 
 /// Commands that bring every part of the state about: records that are written, exclusive and removed; seats that are
@@ -11,33 +11,46 @@
 pub fn history() -> Vec<(&'static str, Command)> {
     let pools = put(
         &[
-            ("seats/aac", 0, Some(Body::Pool(pool(3, &[])))),
-            ("seats/av1", 0, Some(Body::Pool(pool(10, &[])))),
+            ("seats/aac", 0, Some(RecordBody::Pool(pool(3, &[])))),
+            ("seats/av1", 0, Some(RecordBody::Pool(pool(10, &[])))),
         ],
         &[],
     );
     let settings = put(
         &[
-            ("settings/rates", 0, Some(Body::Rates(rates()))),
-            ("workers/out", 0, Some(Body::Out(names(&["worker-1"])))),
+            ("settings/rates", 0, Some(RecordBody::Rates(rates()))),
+            (
+                "workers/out",
+                0,
+                Some(RecordBody::OutOfService(names(&["worker-1"]))),
+            ),
         ],
         &["settings/rates"],
     );
     let sites = put(
         &[
-            ("sites/east", 0, Some(Body::Site(site("127.0.0.1:7001")))),
-            ("sites/west", 0, Some(Body::Site(site("[::1]:7002")))),
+            (
+                "sites/east",
+                0,
+                Some(RecordBody::Site(site("127.0.0.1:7001"))),
+            ),
+            ("sites/west", 0, Some(RecordBody::Site(site("[::1]:7002")))),
         ],
         &["sites/west"],
     );
     let guarantee = put(
-        &[("seats/av1", 1, Some(Body::Pool(pool(10, &[("news", 4)]))))],
+        &[(
+            "seats/av1",
+            1,
+            Some(RecordBody::Pool(pool(10, &[("news", 4)]))),
+        )],
         &[],
     );
     let removal = put(&[("seats/aac", 1, None)], &[]);
     let outdated = put(&[("workers/out", 0, None)], &[]);
-    let change = |node, boot, number, change| command(node, boot, number, What::Change(change));
-    let seats = |node, boot, number, what| command(node, boot, number, What::Seats(what));
+    let change =
+        |node, boot, number, change| command(node, boot, number, Operation::Change(change));
+    let seats = |node, boot, number, what| command(node, boot, number, Operation::Seats(what));
     vec![
         ("pools", change(1, 100, 1, pools)),
         ("settings", change(1, 100, 2, settings)),
@@ -95,10 +108,10 @@
 
 #[test]
 fn state_after_each_command() {
-    let mut book = Book::default();
+    let mut book = ReplicatedState::default();
     let mut text = json_line("empty", &book);
     for (label, command) in history() {
-        let mut decoded: Book = serde_json::from_str(&json(&book)).expect("a snapshot");
+        let mut decoded: ReplicatedState = serde_json::from_str(&json(&book)).expect("a snapshot");
         let outcome = book.apply(&command);
         assert!(
             decoded.apply(&command) == outcome && decoded == book,
@@ -113,7 +126,7 @@
 /// What nodes are told of the state at the history's end.
 #[test]
 fn answers_from_the_state() {
-    let mut book = Book::default();
+    let mut book = ReplicatedState::default();
     for (_, command) in history() {
         book.apply(&command);
     }
@@ -127,7 +140,7 @@
     ];
     let mut text = String::new();
     for (question, (label, node, boot, known)) in askers.into_iter().enumerate() {
-        let answer = Answer::of(&book, node, boot, question as u64, known);
+        let answer = ReadResponse::new(&book, node, boot, question as u64, known);
         text += &json_line(label, &answer);
     }
     assert_golden("answers", &text);
--- a/crates/consensus/tests/golden/stored_file.rs
+++ b/crates/consensus/tests/golden/stored_file.rs
@@ -9,7 +9,7 @@
 use flate2::read::GzDecoder;
 use flate2::write::GzEncoder;
 use flate2::Compression;
-use marbledeck_consensus::{Durable, Voter, What};
+use marbledeck_consensus::{Operation, PersistedState, Voter};
 use marbledeck_storage::{Disk, Loaded, Write};
 use std::fmt::Write as _;
 use std::fs::File;
@@ -65,31 +65,31 @@
 /// A fleet of this one voter, with what it stores.
 struct Single {
     voter: Voter,
-    durable: Durable,
+    durable: PersistedState,
 }
 
 impl Single {
-    fn start(durable: Durable) -> Self {
+    fn start(durable: PersistedState) -> Self {
         let voter = Voter::new(1, &[1], 1, &durable).expect("a voter");
         Single { voter, durable }
     }
 
     fn settle(&mut self) {
         loop {
-            let work = self.voter.work();
-            if work.saves.is_empty() {
+            let work = self.voter.poll_effects();
+            if work.persist_requests.is_empty() {
                 return;
             }
-            for save in work.saves {
+            for save in work.persist_requests {
                 store(&mut self.durable, &save);
-                self.voter.saved(save.ticket);
+                self.voter.handle_persisted(save.ticket);
             }
         }
     }
 
     fn elect(&mut self) {
         for _ in 0..MOST_TICKS {
-            if self.voter.leads() {
+            if self.voter.is_leader() {
                 return;
             }
             self.voter.tick();
@@ -114,13 +114,13 @@
         ..Write::default()
     };
     disk.write(&[known]).expect("written");
-    let mut single = Single::start(Durable::default());
+    let mut single = Single::start(PersistedState::default());
     single.elect();
     for (_, command) in history() {
         single.voter.propose(&command);
         single.settle();
     }
-    let hard = single.durable.hard.clone().expect("a vote");
+    let hard = single.durable.hard_state.clone().expect("a vote");
     let log = Write {
         ticket: 2,
         values: vec![value(HARD_STATE, &hard)],
@@ -134,11 +134,11 @@
     single.settle();
     for number in 3..=5 {
         let want = want("av1", "news", number as u32);
-        let command = command(2, 200, number, What::Seats(want));
+        let command = command(2, 200, number, Operation::Seats(want));
         single.voter.propose(&command);
         single.settle();
     }
-    let hard = single.durable.hard.clone().expect("a vote");
+    let hard = single.durable.hard_state.clone().expect("a vote");
     let snapshot = single.durable.snapshot.clone().expect("a snapshot");
     let (first_kept, _) = single.durable.entries.first().expect("entries");
     let last = Write {
@@ -161,14 +161,14 @@
     text
 }
 
-fn durable(loaded: Loaded) -> Durable {
+fn durable(loaded: Loaded) -> PersistedState {
     let value = |name: &str| {
         let mut values = loaded.values.iter();
         let found = values.find(|(known, _)| known == name);
         found.map(|(_, value)| value.clone())
     };
-    Durable {
-        hard: value(HARD_STATE),
+    PersistedState {
+        hard_state: value(HARD_STATE),
         snapshot: value(SNAPSHOT),
         entries: loaded.entries.clone(),
     }
@@ -180,7 +180,7 @@
     assert_golden("stored_file", &loaded_text(&loaded));
     let mut single = Single::start(durable(loaded));
     single.elect();
-    assert_golden("stored_state", &json(single.voter.book()));
+    assert_golden("stored_state", &json(single.voter.state()));
 }
 
 #[test]
--- a/crates/consensus/tests/golden/texts.rs
+++ b/crates/consensus/tests/golden/texts.rs
@@ -2,7 +2,9 @@
 
 use crate::assert_golden;
 use crate::samples::{bodies, change, names, pool, put, rates, refusals, site};
-use marbledeck_consensus::{AgreementError, Body, Change, Durable, Rates, Refusal, Voter};
+use marbledeck_consensus::{
+    Change, ChangeError, ConsensusError, PersistedState, Rates, RecordBody, Voter,
+};
 use marbledeck_federation::Catalog;
 use marbledeck_licensing::Pool;
 use std::fmt::Write as _;
@@ -20,11 +22,11 @@
 fn errors_and_their_advice() {
     let what = || "what is wrong".to_owned();
     let errors = [
-        AgreementError::Message(what()),
-        AgreementError::Stranger { from: 4, to: 1 },
-        AgreementError::Stored(what()),
-        AgreementError::Stopped(what()),
-        AgreementError::Fleet(what()),
+        ConsensusError::MalformedMessage(what()),
+        ConsensusError::UnknownSender { from: 4, to: 1 },
+        ConsensusError::CorruptState(what()),
+        ConsensusError::Stopped(what()),
+        ConsensusError::InvalidConfiguration(what()),
     ];
     let mut text = String::new();
     for error in errors {
@@ -33,7 +35,7 @@
     assert_golden("error_texts", &text);
 }
 
-fn single(name: &str, body: Body) -> Change {
+fn single(name: &str, body: RecordBody) -> Change {
     put(&[(name, 0, Some(body))], &[])
 }
 
@@ -41,18 +43,18 @@
 #[test]
 fn changes_that_are_refused_without_the_state() {
     let rate = |rate: f64| {
-        Body::Rates(Rates {
+        RecordBody::Rates(Rates {
             per_s: [("news".to_owned(), rate)].into(),
         })
     };
     let run = |longest_run_ms: u64| {
-        Body::Pool(Pool {
+        RecordBody::Pool(Pool {
             longest_run_ms,
             ..pool(1, &[])
         })
     };
     let catalog = |catalog: Catalog| {
-        Body::Site(marbledeck_consensus::Site {
+        RecordBody::Site(marbledeck_consensus::Site {
             catalog,
             ..site("127.0.0.1:7001")
         })
@@ -60,7 +62,7 @@
     let many_names = (0..=10_000).map(|n| format!("worker-{n}"));
     let many_rates = (0..=10_000).map(|n| (format!("tenant-{n}"), 1.0));
     let long_name = format!("seats/{}", "x".repeat(128));
-    let mut not_written = single("workers/out", Body::Out(names(&[])));
+    let mut not_written = single("workers/out", RecordBody::OutOfService(names(&[])));
     not_written.exclusive = names(&["seats/av1"]);
     let unnamed = Change {
         put: [("workers/out".to_owned(), None)].into(),
@@ -69,11 +71,11 @@
     let numbered = |n: usize| (format!("seats/pool-{n}"), n as u64);
     let many_records = Change {
         expect: (0..129).map(numbered).collect(),
-        ..single("workers/out", Body::Out(names(&[])))
+        ..single("workers/out", RecordBody::OutOfService(names(&[])))
     };
     let huge = single(
         "workers/out",
-        Body::Out(names(&["x".repeat(1 << 20).as_str()])),
+        RecordBody::OutOfService(names(&["x".repeat(1 << 20).as_str()])),
     );
     let cases = [
         ("every kind of body", change()),
@@ -84,7 +86,7 @@
         ("exclusive and not written", not_written),
         (
             "a name without a folder",
-            single("rates", Body::Rates(rates())),
+            single("rates", RecordBody::Rates(rates())),
         ),
         ("a name that is a folder", single("seats/", run(1))),
         ("an unknown folder", single("colours/red", run(1))),
@@ -101,24 +103,27 @@
             "too many rates",
             single(
                 "settings/rates",
-                Body::Rates(Rates {
+                RecordBody::Rates(Rates {
                     per_s: many_rates.collect(),
                 }),
             ),
         ),
         (
             "too many workers",
-            single("workers/out", Body::Out(many_names.collect())),
+            single(
+                "workers/out",
+                RecordBody::OutOfService(many_names.collect()),
+            ),
         ),
         (
             "too many seats",
-            single("seats/av1", Body::Pool(pool(1_000_001, &[]))),
+            single("seats/av1", RecordBody::Pool(pool(1_000_001, &[]))),
         ),
         (
             "more guaranteed than there are",
             single(
                 "seats/av1",
-                Body::Pool(pool(9, &[("news", 5), ("sport", 5)])),
+                RecordBody::Pool(pool(9, &[("news", 5), ("sport", 5)])),
             ),
         ),
         ("no run", single("seats/av1", run(0))),
@@ -148,7 +153,7 @@
     let mut text = String::new();
     for (label, change) in cases {
         let word = change.check().map_or_else(
-            |refusal: Refusal| refusal.to_string(),
+            |refusal: ChangeError| refusal.to_string(),
             |()| "may be taken".to_owned(),
         );
         writeln!(text, "{label}: {word}").expect("a string takes it");
@@ -168,29 +173,29 @@
 /// What is said of voters and stored bytes of which no voter can be made.
 #[test]
 fn voters_that_cannot_be_made() {
-    let nothing = Durable::default;
-    let stored = |durable: Durable| (1, vec![1, 2, 3], durable);
+    let nothing = PersistedState::default;
+    let stored = |durable: PersistedState| (1, vec![1, 2, 3], durable);
     let cases = [
         ("not one of the voters", (4, vec![1, 2, 3], nothing())),
         ("two voters", (1, vec![1, 2], nothing())),
         ("number 0", (0, vec![0, 1, 2], nothing())),
         (
             "less than was committed",
-            stored(Durable {
-                hard: Some(vec![0x18, 9]),
+            stored(PersistedState {
+                hard_state: Some(vec![0x18, 9]),
                 ..nothing()
             }),
         ),
         (
             "an entry at another index",
-            stored(Durable {
+            stored(PersistedState {
                 entries: vec![(2, vec![0x18, 3])],
                 ..nothing()
             }),
         ),
         (
             "an entry is missing",
-            stored(Durable {
+            stored(PersistedState {
                 entries: vec![(2, vec![0x18, 2])],
                 ..nothing()
             }),
--- a/crates/consensus/tests/golden/voters.rs
+++ b/crates/consensus/tests/golden/voters.rs
@@ -3,7 +3,10 @@
 use crate::samples::{command, want};
 use crate::state::history;
 use crate::{assert_golden, hex, json};
-use marbledeck_consensus::{Book, Command, Durable, Save, Voter, What};
+use marbledeck_consensus::{
+    AppliedCommand, Command, EncodedSnapshot, Operation, OutgoingMessage, PersistRequest,
+    PersistedState, ReplicatedState, Voter,
+};
 use marbledeck_licensing::Move;
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
@@ -39,15 +42,19 @@
 }
 
 /// Stores a save as the node has it in its store: what a snapshot replaces goes, and what an entry overwrites.
-pub fn store(durable: &mut Durable, save: &Save) {
-    if let Some(hard) = &save.hard {
-        durable.hard = Some(hard.clone());
+pub fn store(durable: &mut PersistedState, save: &PersistRequest) {
+    if let Some(hard) = &save.hard_state {
+        durable.hard_state = Some(hard.clone());
     }
-    if let Some((index, snapshot)) = &save.snapshot {
+    if let Some(EncodedSnapshot {
+        index,
+        bytes: snapshot,
+    }) = &save.snapshot
+    {
         durable.snapshot = Some(snapshot.clone());
         durable
             .entries
-            .retain(|(at, _)| !save.replaces && at > index);
+            .retain(|(at, _)| !save.replaces_log && at > index);
     }
     if let Some((first, _)) = save.entries.first() {
         durable.entries.retain(|(at, _)| at < first);
@@ -58,7 +65,7 @@
 /// Three voters, whose messages arrive at once and in order.
 struct Group {
     voters: BTreeMap<u64, Voter>,
-    stores: BTreeMap<u64, Durable>,
+    stores: BTreeMap<u64, PersistedState>,
     /// No message to this one or from it arrives.
     cut_off: Option<u64>,
     transcript: String,
@@ -67,7 +74,7 @@
 }
 
 impl Group {
-    fn start(stores: BTreeMap<u64, Durable>, boot: u64) -> Self {
+    fn start(stores: BTreeMap<u64, PersistedState>, boot: u64) -> Self {
         let voters = stores.iter().map(|(id, durable)| {
             let voter = Voter::new(*id, &VOTERS, boot, durable).expect("a voter");
             (*id, voter)
@@ -98,29 +105,36 @@
 
     /// Everything that a voter wants done now; tells whether there was anything.
     fn work(&mut self, id: u64, messages: &mut Vec<(u64, u64, Vec<u8>)>) -> bool {
-        let work = self.voter(id).work();
-        let busy = !work.saves.is_empty() || !work.send.is_empty();
-        for save in &work.saves {
+        let work = self.voter(id).poll_effects();
+        let busy = !work.persist_requests.is_empty() || !work.messages.is_empty();
+        for save in &work.persist_requests {
             self.save(id, save);
         }
-        if let Some(question) = work.confirmed {
+        if let Some(question) = work.confirmed_read {
             self.line(&format!("{id} confirms question {question}"));
         }
-        for (command, outcome) in &work.applied {
+        for AppliedCommand { command, outcome } in &work.applied {
             let (command, outcome) = (json(command), json(outcome));
             self.line(&format!("{id} applies {command}: {outcome}"));
         }
-        let sent = work.send.into_iter().map(|(to, bytes)| (id, to, bytes));
+        let sent = work
+            .messages
+            .into_iter()
+            .map(|OutgoingMessage { to, bytes }| (id, to, bytes));
         messages.extend(sent);
         busy
     }
 
-    fn save(&mut self, id: u64, save: &Save) {
-        if let Some(hard) = &save.hard {
+    fn save(&mut self, id: u64, save: &PersistRequest) {
+        if let Some(hard) = &save.hard_state {
             self.line(&format!("{id} stores hard state {}", hex(hard)));
         }
-        if let Some((index, snapshot)) = &save.snapshot {
-            let how = if save.replaces {
+        if let Some(EncodedSnapshot {
+            index,
+            bytes: snapshot,
+        }) = &save.snapshot
+        {
+            let how = if save.replaces_log {
                 "for the log"
             } else {
                 "besides the log"
@@ -134,7 +148,7 @@
             self.line(&format!("{id} stores entry {index} {}", hex(entry)));
         }
         store(self.stores.get_mut(&id).expect("its store"), save);
-        self.voter(id).saved(save.ticket);
+        self.voter(id).handle_persisted(save.ticket);
     }
 
     /// Goes on until nobody has anything to do.
@@ -164,7 +178,7 @@
             self.kinds.insert(kind);
         }
         self.line(&format!("{from} to {to}, {kind}: {}", hex(bytes)));
-        let received = self.voter(to).receive(from, bytes);
+        let received = self.voter(to).handle_message(from, bytes);
         received.expect("a message between voters");
     }
 
@@ -177,7 +191,7 @@
     /// random; what is sent does not depend on it.
     fn elect(&mut self, id: u64) {
         for _ in 0..MOST_TICKS {
-            if self.voter(id).leads() {
+            if self.voter(id).is_leader() {
                 return;
             }
             self.tick(id);
@@ -190,14 +204,14 @@
         self.settle();
     }
 
-    fn book(&self, id: u64) -> &Book {
-        self.voters[&id].book()
+    fn book(&self, id: u64) -> &ReplicatedState {
+        self.voters[&id].state()
     }
 
     /// What is in each voter's store.
     fn stored(&mut self) {
         for (id, durable) in self.stores.clone() {
-            let hard = durable.hard.as_deref().map_or(String::new(), hex);
+            let hard = durable.hard_state.as_deref().map_or(String::new(), hex);
             let snapshot = durable.snapshot.as_deref().map_or(String::new(), hex);
             self.line(&format!("{id} has hard state {hard}"));
             self.line(&format!("{id} has snapshot {snapshot}"));
@@ -214,12 +228,12 @@
         pool: "none".into(),
         ebb: 0,
     };
-    command(0, 0, 0, What::Seats(free))
+    command(0, 0, 0, Operation::Seats(free))
 }
 
 #[test]
 fn messages_between_voters_and_what_they_store() {
-    let empty = VOTERS.map(|id| (id, Durable::default()));
+    let empty = VOTERS.map(|id| (id, PersistedState::default()));
     let mut group = Group::start(empty.into(), BOOT);
     group.section("election of voter 1");
     group.elect(1);
@@ -231,20 +245,20 @@
     }
 
     group.section("a reading at the leader, and a sign of life");
-    group.voter(1).ask(1);
+    group.voter(1).request_read(1);
     group.tick(1);
     group.tick(1);
 
     group.section("a reading at a follower");
-    group.voter(2).ask(1);
+    group.voter(2).request_read(1);
     group.tick(2);
 
     group.section("voter 3 misses an entry");
     group.cut_off = Some(3);
-    let missed = command(2, 200, 3, What::Seats(want("av1", "news", 1)));
+    let missed = command(2, 200, 3, Operation::Seats(want("av1", "news", 1)));
     group.propose(1, &missed);
     group.cut_off = None;
-    let next = command(2, 200, 4, What::Seats(want("av1", "news", 2)));
+    let next = command(2, 200, 4, Operation::Seats(want("av1", "news", 2)));
     group.propose(1, &next);
 
     group.section("voter 3 misses more than the log keeps");
@@ -257,7 +271,7 @@
         group.settle();
     }
     group.recording = true;
-    let after = command(2, 200, 5, What::Seats(want("av1", "news", 3)));
+    let after = command(2, 200, 5, Operation::Seats(want("av1", "news", 3)));
     group.propose(1, &after);
     group.cut_off = None;
     for _ in 0..MOST_TICKS {
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -2,9 +2,10 @@
 //! record. Questions and commands are lost, repeated and late; nodes crash and start anew; the leader changes; a node that
 //! does nothing for a while stands still. The book, the reader, the desk and the warden are the real ones.
 
-use marbledeck_consensus::wire::Answer;
+use marbledeck_consensus::wire::ReadResponse;
 use marbledeck_consensus::{
-    Acting, Body, Book, Change, Command, Reader, Record, Terms, Warden, What,
+    Change, Command, LeaseReclaimer, LeaseTerms, LeasedReader, Operation, ReadTicket, Record,
+    RecordBody, RecordValidity, ReplicatedState,
 };
 use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::{Desk, Licence, Move, Pool, Reading};
@@ -14,9 +15,9 @@
 
 const TICK: u64 = 1_000_000;
 /// A reading holds for a tick, and a call runs for one at most.
-const TERMS: Terms = Terms {
-    lease: Micros(TICK),
-    drift: 0.0,
+const TERMS: LeaseTerms = LeaseTerms {
+    duration: Micros(TICK),
+    clock_drift: 0.0,
 };
 const RUN: u64 = 1;
 const SEAT: &[Licence] = &[Licence(0)];
@@ -39,7 +40,7 @@
 
 #[derive(Clone, Debug, Hash, PartialEq)]
 struct Node {
-    reader: Shown<Reader>,
+    reader: Shown<LeasedReader>,
     desk: Shown<Desk>,
     boot: u64,
     /// Its calls whose end it has not heard: when each was sent, and when it ends at its worker.
@@ -54,10 +55,10 @@
         question: u64,
         known: u64,
     },
-    Answer {
+    ReadResponse {
         node: u32,
         boot: u64,
-        answer: Shown<Answer>,
+        answer: Shown<ReadResponse>,
     },
     Command(Shown<Command>),
 }
@@ -65,8 +66,8 @@
 #[derive(Clone, Debug, Hash, PartialEq)]
 struct State {
     at: u64,
-    book: Shown<Book>,
-    warden: Shown<Warden>,
+    book: Shown<ReplicatedState>,
+    warden: Shown<LeaseReclaimer>,
     nodes: Vec<Node>,
     msgs: Vec<Msg>,
     /// When the calls that run at workers end.
@@ -82,7 +83,7 @@
     Tick,
     Ask(usize),
     /// A question reaches a voter, and is answered with what holds then.
-    Answer(usize),
+    ReadResponse(usize),
     Deliver(usize),
     Lose(usize),
     Repeat(usize),
@@ -109,25 +110,25 @@
 }
 
 impl Node {
-    fn read(&mut self, time: Micros, answer: &Answer) {
+    fn read(&mut self, time: Micros, answer: &ReadResponse) {
         let reader = &mut self.reader.0;
-        if !reader.answered(time, answer) {
+        if !reader.apply_response(time, answer) {
             return;
         }
-        let pools = match reader.acting(time, "seats/av1") {
-            Acting::On(Record {
-                body: Some(Body::Pool(pool)),
+        let pools = match reader.validity(time, "seats/av1") {
+            RecordValidity::Active(Record {
+                body: Some(RecordBody::Pool(pool)),
                 ..
             }) => {
                 vec![("av1".to_owned(), Micros(pool.longest_run_ms * 1000))]
             }
             _ => Vec::new(),
         };
-        let (until, parts) = (reader.until(), answer.held());
+        let (until, parts) = (reader.lease_expiry(), answer.held_seats());
         self.desk.0.read(&Reading {
-            free: answer.free.clone(),
+            free: answer.free_seats.clone(),
             until,
-            done: answer.moved,
+            done: answer.last_seat_operation,
             parts,
             pools,
         });
@@ -137,15 +138,15 @@
 fn node() -> Node {
     let desk = Desk::new(vec!["av1".into()], Vec::new(), Micros(100 * TICK));
     Node {
-        reader: Shown(Reader::new(TERMS)),
+        reader: Shown(LeasedReader::new(TERMS)),
         desk: Shown(desk),
         boot: 1,
         calls: Vec::new(),
     }
 }
 
-fn put(record: &str, version: u64, body: Body) -> What {
-    What::Change(Change {
+fn put(record: &str, version: u64, body: RecordBody) -> Operation {
+    Operation::Change(Change {
         expect: [(record.to_owned(), version)].into(),
         put: [(record.to_owned(), Some(body))].into(),
         exclusive: [record.to_owned()].into(),
@@ -163,18 +164,18 @@
 }
 
 impl State {
-    fn command(&mut self, what: What) {
+    fn command(&mut self, what: Operation) {
         self.book.0.apply(&Command {
             node: 0,
-            boot: 0,
+            incarnation: 0,
             number: 0,
-            what,
+            operation: what,
         });
     }
 
     fn version(&self, node: &Node) -> Option<u64> {
-        match node.reader.0.acting(now(self.at), "workers/out") {
-            Acting::On(record) => Some(record.version),
+        match node.reader.0.validity(now(self.at), "workers/out") {
+            RecordValidity::Active(record) => Some(record.version),
             _ => None,
         }
     }
@@ -187,8 +188,8 @@
     fn init_states(&self) -> Vec<State> {
         let mut state = State {
             at: 0,
-            book: Shown(Book::default()),
-            warden: Shown(Warden::new(now(0), TERMS)),
+            book: Shown(ReplicatedState::default()),
+            warden: Shown(LeaseReclaimer::new(now(0), TERMS)),
             nodes: vec![node(), node()],
             msgs: Vec::new(),
             running: Vec::new(),
@@ -202,11 +203,11 @@
             guaranteed: BTreeMap::new(),
             longest_run_ms: RUN * TICK / 1000,
         };
-        let What::Change(mut change) = put("seats/av1", 0, Body::Pool(pool)) else {
+        let Operation::Change(mut change) = put("seats/av1", 0, RecordBody::Pool(pool)) else {
             unreachable!("a change was made");
         };
         change.exclusive.clear();
-        state.command(What::Change(change));
+        state.command(Operation::Change(change));
         if self.held {
             let want = Move::Want {
                 pool: "av1".into(),
@@ -215,24 +216,34 @@
             };
             state.book.0.apply(&Command {
                 node: 0,
-                boot: 1,
+                incarnation: 1,
                 number: 1,
-                what: What::Seats(want),
+                operation: Operation::Seats(want),
             });
         }
         if self.changes > 0 {
-            state.command(put("workers/out", 0, Body::Out(Default::default())));
+            state.command(put(
+                "workers/out",
+                0,
+                RecordBody::OutOfService(Default::default()),
+            ));
         }
         // Both have a reading to begin with; the second node lacks a seat.
         for n in 0..2 {
-            let (question, known) = state.nodes[n].reader.0.ask(before());
-            let answer = Answer::of(&state.book.0, n as u32, 1, question, known);
+            let ReadTicket {
+                request_id: question,
+                known_revision: known,
+            } = state.nodes[n].reader.0.begin_read(before());
+            let answer = ReadResponse::new(&state.book.0, n as u32, 1, question, known);
             state.nodes[n].read(before(), &answer);
         }
         let _ = state.nodes[1].desk.0.look(before(), SEAT, 0);
         for n in 0..2 {
-            let (question, known) = state.nodes[n].reader.0.ask(now(0));
-            let answer = Answer::of(&state.book.0, n as u32, 1, question, known);
+            let ReadTicket {
+                request_id: question,
+                known_revision: known,
+            } = state.nodes[n].reader.0.begin_read(now(0));
+            let answer = ReadResponse::new(&state.book.0, n as u32, 1, question, known);
             state.nodes[n].read(now(0), &answer);
         }
         vec![state]
@@ -269,8 +280,8 @@
         }
         for (m, msg) in state.msgs.iter().enumerate() {
             match msg {
-                Msg::Question { .. } => actions.push(Act::Answer(m)),
-                Msg::Answer { .. } => actions.push(Act::Deliver(m)),
+                Msg::Question { .. } => actions.push(Act::ReadResponse(m)),
+                Msg::ReadResponse { .. } => actions.push(Act::Deliver(m)),
                 Msg::Command(_) => {
                     actions.push(Act::Deliver(m));
                     if state.msgs.len() < self.msgs && !self.held {
@@ -306,13 +317,16 @@
                 if let Some((number, what)) = node.desk.0.command(time) {
                     let command = Command {
                         node: n as u32,
-                        boot: node.boot,
+                        incarnation: node.boot,
                         number,
-                        what: What::Seats(what),
+                        operation: Operation::Seats(what),
                     };
                     state.msgs.push(Msg::Command(Shown(command)));
                 }
-                let (question, known) = node.reader.0.ask(time);
+                let ReadTicket {
+                    request_id: question,
+                    known_revision: known,
+                } = node.reader.0.begin_read(time);
                 let boot = node.boot;
                 state.msgs.push(Msg::Question {
                     node: n as u32,
@@ -321,7 +335,7 @@
                     known,
                 });
             }
-            Act::Answer(m) => {
+            Act::ReadResponse(m) => {
                 let Msg::Question {
                     node,
                     boot,
@@ -331,8 +345,8 @@
                 else {
                     return None;
                 };
-                let answer = Answer::of(&state.book.0, node, boot, question, known);
-                state.msgs.push(Msg::Answer {
+                let answer = ReadResponse::new(&state.book.0, node, boot, question, known);
+                state.msgs.push(Msg::ReadResponse {
                     node,
                     boot,
                     answer: Shown(answer),
@@ -340,7 +354,7 @@
             }
             Act::Deliver(m) => match state.msgs.remove(m) {
                 Msg::Command(command) => drop(state.book.0.apply(&command.0)),
-                Msg::Answer { node, boot, answer } => {
+                Msg::ReadResponse { node, boot, answer } => {
                     let node = &mut state.nodes[node as usize];
                     if node.boot == boot {
                         node.read(time, &answer.0);
@@ -371,25 +385,25 @@
                 state.crashes += 1;
             }
             Act::Lead => {
-                state.warden = Shown(Warden::new(time, TERMS));
+                state.warden = Shown(LeaseReclaimer::new(time, TERMS));
                 state.leaders += 1;
             }
             Act::Suspect(n) => {
                 let boot = state.nodes[n].boot;
-                state.command(What::Seats(Move::Reclaim {
+                state.command(Operation::Seats(Move::Reclaim {
                     node: n as u32,
                     boot,
                 }));
                 // It looks at what ebbs at once.
-                let _ = state.warden.0.due(time, &state.book.0);
+                let _ = state.warden.0.poll_operations(time, &state.book.0);
             }
             Act::Watch => {
-                for what in state.warden.0.due(time, &last.book.0) {
+                for what in state.warden.0.poll_operations(time, &last.book.0) {
                     state.command(what);
                 }
             }
             Act::Change => {
-                let out = Body::Out([format!("w{}", state.changes)].into());
+                let out = RecordBody::OutOfService([format!("w{}", state.changes)].into());
                 state.command(put("workers/out", state.changes + 1, out));
                 state.changes += 1;
             }
--- a/crates/consensus/tests/book.rs
+++ b/crates/consensus/tests/state.rs
@@ -1,28 +1,28 @@
-//! The records and what changes them.
+//! The replicated state: commands, validation of changes, and damaged input from peers and stores.
 
-use marbledeck_consensus::wire::{self, Frame, Said};
+use marbledeck_consensus::wire::{self, Frame, NodeMessage};
 use marbledeck_consensus::{
-    AgreementError, Body, Book, Change, Command, Durable, Outcome, Rates, Refusal, Stream, Voter,
-    What,
+    Change, ChangeError, Command, CommandSequence, ConsensusError, Operation, Outcome,
+    PersistedState, Rates, RecordBody, ReplicatedState, Voter,
 };
 use marbledeck_licensing::Pool;
 use std::collections::BTreeMap;
 
-fn pool(seats: u32) -> Option<Body> {
-    Some(Body::Pool(Pool {
+fn pool(seats: u32) -> Option<RecordBody> {
+    Some(RecordBody::Pool(Pool {
         seats,
         guaranteed: BTreeMap::new(),
         longest_run_ms: 1000,
     }))
 }
 
-fn rates(of: f64) -> Option<Body> {
-    Some(Body::Rates(Rates {
+fn rates(of: f64) -> Option<RecordBody> {
+    Some(RecordBody::Rates(Rates {
         per_s: [("au".to_owned(), of)].into(),
     }))
 }
 
-fn change(puts: Vec<(&str, u64, Option<Body>)>) -> Change {
+fn change(puts: Vec<(&str, u64, Option<RecordBody>)>) -> Change {
     Change {
         expect: puts
             .iter()
@@ -39,55 +39,57 @@
 fn command(number: u64, boot: u64, change: Change) -> Command {
     Command {
         node: 3,
-        boot,
+        incarnation: boot,
         number,
-        what: What::Change(change),
+        operation: Operation::Change(change),
     }
 }
 
 #[test]
 fn a_change_over_several_records_holds_whole_or_not_at_all() {
-    let mut book = Book::default();
+    let mut state = ReplicatedState::default();
     let both = change(vec![
         ("seats/av1", 0, pool(5)),
         ("settings/rates", 0, rates(1.0)),
     ]);
-    assert_eq!(book.apply(&command(1, 1, both.clone())), Outcome::Done);
+    assert_eq!(state.apply(&command(1, 1, both.clone())), Outcome::Done);
     assert_eq!(
-        (book.version("seats/av1"), book.version("settings/rates")),
+        (state.version("seats/av1"), state.version("settings/rates")),
         (1, 1)
     );
-    // One of two has moved on: nothing of it holds.
+    // One of the two versions is outdated: nothing is applied.
     let half = change(vec![
         ("seats/av1", 1, pool(9)),
         ("settings/rates", 0, rates(2.0)),
     ]);
-    let refused = book.apply(&command(2, 1, half));
+    let refused = state.apply(&command(2, 1, half));
     assert_eq!(
         refused,
-        Outcome::Refused(Refusal::Version {
+        Outcome::Rejected(ChangeError::VersionMismatch {
             record: "settings/rates".into(),
-            has: 1,
+            actual: 1,
             expected: 0
         })
     );
-    assert_eq!(book.version("seats/av1"), 1);
-    // The same again changes nothing and is told the same; so does what a replaced process still sends.
-    assert_eq!(book.apply(&command(1, 1, both.clone())), refused);
+    assert_eq!(state.version("seats/av1"), 1);
+    // A repeat changes nothing and returns the outcome of the last command; so does a command of a replaced process.
+    assert_eq!(state.apply(&command(1, 1, both.clone())), refused);
     assert_eq!(
-        book.last(3, 1, Stream::Changes).map(|(number, _)| number),
+        state
+            .last_command(3, 1, CommandSequence::Changes)
+            .map(|last| last.number),
         Some(2)
     );
     assert_eq!(
-        book.apply(&command(1, 2, change(vec![("seats/av1", 1, None)]))),
+        state.apply(&command(1, 2, change(vec![("seats/av1", 1, None)]))),
         Outcome::Done
     );
     assert_eq!(
-        book.apply(&command(9, 1, both)),
-        Outcome::Refused(Refusal::Stale { node: 3 })
+        state.apply(&command(9, 1, both)),
+        Outcome::Rejected(ChangeError::StaleIncarnation { node: 3 })
     );
     // What was removed keeps its version.
-    assert_eq!((book.version("seats/av1"), book.pools().count()), (2, 0));
+    assert_eq!((state.version("seats/av1"), state.pools().count()), (2, 0));
 }
 
 #[test]
@@ -115,7 +117,7 @@
         guaranteed: [("au".to_owned(), 2)].into(),
         longest_run_ms: 1,
     };
-    let parts = Some(Body::Pool(parts));
+    let parts = Some(RecordBody::Pool(parts));
     assert_eq!(
         bad(vec![("seats/av1", 0, parts)]),
         "seats/av1: guaranteed: the parts are more than there are seats"
@@ -124,39 +126,45 @@
         put: [("workers/out".to_owned(), None)].into(),
         ..Change::default()
     };
-    assert!(matches!(unnamed.check(), Err(Refusal::Unnamed { .. })));
-    assert!(matches!(Change::default().check(), Err(Refusal::Size(_))));
+    assert!(matches!(
+        unnamed.check(),
+        Err(ChangeError::MissingExpectedVersion { .. })
+    ));
+    assert!(matches!(
+        Change::default().check(),
+        Err(ChangeError::InvalidSize(_))
+    ));
 }
 
-/// Each variant says in a sentence what an operator can do.
+/// Each variant has advice for operators.
 #[test]
 fn every_error_says_what_to_do() {
-    let word = || String::from("x");
+    let sample = || String::from("x");
     let refusals = [
-        Refusal::Version {
-            record: word(),
-            has: 1,
+        ChangeError::VersionMismatch {
+            record: sample(),
+            actual: 1,
             expected: 2,
         },
-        Refusal::Unnamed { record: word() },
-        Refusal::Name {
-            record: word(),
-            what: word(),
+        ChangeError::MissingExpectedVersion { record: sample() },
+        ChangeError::InvalidRecord {
+            record: sample(),
+            reason: sample(),
         },
-        Refusal::Value {
-            record: word(),
-            key: word(),
-            what: word(),
+        ChangeError::InvalidValue {
+            record: sample(),
+            key: sample(),
+            reason: sample(),
         },
-        Refusal::Size(word()),
-        Refusal::Stale { node: 1 },
+        ChangeError::InvalidSize(sample()),
+        ChangeError::StaleIncarnation { node: 1 },
     ];
     let errors = [
-        AgreementError::Message(word()),
-        AgreementError::Stranger { from: 1, to: 2 },
-        AgreementError::Stored(word()),
-        AgreementError::Stopped(word()),
-        AgreementError::Fleet(word()),
+        ConsensusError::MalformedMessage(sample()),
+        ConsensusError::UnknownSender { from: 1, to: 2 },
+        ConsensusError::CorruptState(sample()),
+        ConsensusError::Stopped(sample()),
+        ConsensusError::InvalidConfiguration(sample()),
     ];
     let all = refusals.iter().map(|r| (r.to_string(), r.advice()));
     for (text, advice) in all.chain(errors.iter().map(|e| (e.to_string(), e.advice()))) {
@@ -167,10 +175,10 @@
     }
 }
 
-/// Whatever bytes come: no frame, an error, or a frame, and never a panic. A length is looked at before anything else.
+/// Any bytes decode to nothing, an error or a frame, without a panic. The length is checked before anything else.
 #[test]
 fn bytes_of_a_peer_do_no_harm() {
-    let hello = Frame::Said(Box::new(Said::Hello {
+    let hello = Frame::Node(Box::new(NodeMessage::Hello {
         fleet: "f".into(),
         node: 1,
         voter: None,
@@ -180,7 +188,7 @@
         assert!(matches!(wire::decode(&whole[..cut]), Ok(None)));
     }
     assert!(
-        matches!(wire::decode(&whole), Ok(Some((Frame::Said(_), used))) if used == whole.len())
+        matches!(wire::decode(&whole), Ok(Some((Frame::Node(_), used))) if used == whole.len())
     );
     let mut long = whole.clone();
     long[0] = 0xff;
@@ -191,14 +199,14 @@
     frame.extend(&deep);
     assert!(wire::decode(&frame).is_err());
     let mut rng = oorandom::Rand64::new(7);
-    let mut voter = Voter::new(1, &[1, 2, 3], 1, &Durable::default()).expect("a voter");
+    let mut voter = Voter::new(1, &[1, 2, 3], 1, &PersistedState::default()).expect("a voter");
     for _ in 0..20_000 {
         let mut bytes: Vec<u8> = (0..rng.rand_range(0..40))
             .map(|_| rng.rand_u64() as u8)
             .collect();
         let _ = wire::decode(&bytes);
-        let _ = voter.receive(2, &bytes);
-        // Of the library's own form, with fields that make no sense.
+        let _ = voter.handle_message(2, &bytes);
+        // Messages of the library with invalid fields.
         bytes = vec![
             0x08,
             (rng.rand_u64() % 20) as u8,
@@ -217,31 +225,31 @@
             0x40,
             rng.rand_u64() as u8 & 0x7f,
         ]);
-        let _ = voter.receive(2, &bytes);
-        drop(voter.work());
+        let _ = voter.handle_message(2, &bytes);
+        drop(voter.poll_effects());
     }
 }
 
 #[test]
 fn a_store_that_lacks_what_it_had_committed_is_not_used() {
-    let bad = Durable {
-        hard: Some(vec![0x18, 9]),
-        ..Durable::default()
+    let bad = PersistedState {
+        hard_state: Some(vec![0x18, 9]),
+        ..PersistedState::default()
     };
     assert!(matches!(
         Voter::new(1, &[1, 2, 3], 1, &bad),
-        Err(AgreementError::Stored(_))
+        Err(ConsensusError::CorruptState(_))
     ));
-    let hole = Durable {
+    let hole = PersistedState {
         entries: vec![(2, vec![0x18, 2])],
-        ..Durable::default()
+        ..PersistedState::default()
     };
     assert!(matches!(
         Voter::new(1, &[1, 2, 3], 1, &hole),
-        Err(AgreementError::Stored(_))
+        Err(ConsensusError::CorruptState(_))
     ));
     assert!(matches!(
-        Voter::new(4, &[1, 2, 3], 1, &Durable::default()),
-        Err(AgreementError::Fleet(_))
+        Voter::new(4, &[1, 2, 3], 1, &PersistedState::default()),
+        Err(ConsensusError::InvalidConfiguration(_))
     ));
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,7 +3,7 @@
 
 use crate::core::Catalogue;
 use crate::discovery::Listing;
-use marbledeck_consensus::Terms;
+use marbledeck_consensus::LeaseTerms;
 use marbledeck_dispatcher::{CellId, Micros, Settings};
 use marbledeck_eureka::{Form, Keys};
 use marbledeck_membership::{SelfPreservation, SourceReport, Status};
@@ -531,7 +531,7 @@
     pub voters: Vec<VoterConfig>,
     /// Where a voter keeps what it must not forget.
     pub store: PathBuf,
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The voters' step of time.
     pub tick: Micros,
 }
@@ -542,12 +542,12 @@
 impl AgreementConfig {
     /// How often a node asks for a reading: six times in a lease.
     pub fn ask_every(&self) -> Micros {
-        Micros(self.terms.lease.0 / 6)
+        Micros(self.terms.duration.0 / 6)
     }
 
     /// How long a voter may take for an answer: a third of a lease, so that another can be asked in time.
     pub fn patience(&self) -> Micros {
-        Micros(self.terms.lease.0 / 3)
+        Micros(self.terms.duration.0 / 3)
     }
 
     /// Connections that a voter takes.
@@ -630,9 +630,9 @@
             from,
             voters,
             store,
-            terms: Terms {
-                lease: Micros(self.lease_ms as u64 * 1000),
-                drift: DRIFT,
+            terms: LeaseTerms {
+                duration: Micros(self.lease_ms as u64 * 1000),
+                clock_drift: DRIFT,
             },
             tick: Micros(self.tick_ms as u64 * 1000),
         })
--- a/crates/node/src/consensus/apply.rs
+++ b/crates/node/src/consensus/apply.rs
@@ -1,7 +1,7 @@
 //! What the records mean to this node: rates, workers out of service, seats.
 
 use crate::service::Context;
-use marbledeck_consensus::{Acting, Body, Record};
+use marbledeck_consensus::{Record, RecordBody, RecordValidity};
 use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::Reading;
 use marbledeck_membership::{SourceId, SourceReport, Status};
@@ -23,14 +23,14 @@
 
 fn out_of(record: &Record) -> Option<&BTreeSet<String>> {
     match &record.body {
-        Some(Body::Out(out)) => Some(out),
+        Some(RecordBody::OutOfService(out)) => Some(out),
         _ => None,
     }
 }
 
 fn rates_of(record: &Record) -> BTreeMap<String, f64> {
     match &record.body {
-        Some(Body::Rates(rates)) => rates.per_s.clone(),
+        Some(RecordBody::Rates(rates)) => rates.per_s.clone(),
         _ => BTreeMap::new(),
     }
 }
@@ -58,7 +58,7 @@
         let Some(reader) = &context.agreed.reader else {
             return;
         };
-        let (held, due) = (reader.holds(now), self.next.is_some_and(|at| now >= at));
+        let (held, due) = (reader.has_lease(now), self.next.is_some_and(|at| now >= at));
         if context.agreed.readings == self.readings && held == self.held && !due {
             return;
         }
@@ -69,13 +69,16 @@
         }
         let fresh = context.agreed.readings != self.readings;
         (self.readings, self.held) = (context.agreed.readings, held);
-        let until = Some(reader.until()).filter(|until| *until > now);
-        self.next = until.into_iter().chain(reader.next_change(now)).min();
+        let until = Some(reader.lease_expiry()).filter(|until| *until > now);
+        self.next = until.into_iter().chain(reader.next_activation(now)).min();
 
         // A list that may have changed: nobody goes back in before the new one is in force.
-        let out: BTreeSet<String> = match reader.acting(now, "workers/out") {
-            Acting::On(record) => out_of(record).cloned().unwrap_or_default(),
-            Acting::Without(record, before) => {
+        let out: BTreeSet<String> = match reader.validity(now, "workers/out") {
+            RecordValidity::Active(record) => out_of(record).cloned().unwrap_or_default(),
+            RecordValidity::Unconfirmed {
+                latest: record,
+                previous: before,
+            } => {
                 let both = [Some(record), before];
                 both.into_iter()
                     .flatten()
@@ -84,22 +87,26 @@
                     .cloned()
                     .collect()
             }
-            Acting::Between => self.out.clone(),
-            Acting::Never => BTreeSet::new(),
+            RecordValidity::Pending => self.out.clone(),
+            RecordValidity::Unknown => BTreeSet::new(),
         };
-        let rates = match reader.acting(now, "settings/rates") {
-            Acting::On(record) => Some(rates_of(record)),
-            Acting::Without(record, Some(before)) => {
-                Some(stricter(rates_of(record), &rates_of(before)))
-            }
-            Acting::Without(record, None) => Some(rates_of(record)),
-            Acting::Between | Acting::Never => None,
+        let rates = match reader.validity(now, "settings/rates") {
+            RecordValidity::Active(record) => Some(rates_of(record)),
+            RecordValidity::Unconfirmed {
+                latest: record,
+                previous: Some(before),
+            } => Some(stricter(rates_of(record), &rates_of(before))),
+            RecordValidity::Unconfirmed {
+                latest: record,
+                previous: None,
+            } => Some(rates_of(record)),
+            RecordValidity::Pending | RecordValidity::Unknown => None,
         };
         let pools: Vec<(String, Micros)> = reader
-            .names()
-            .filter_map(|name| match reader.acting(now, name) {
-                Acting::On(Record {
-                    body: Some(Body::Pool(pool)),
+            .record_names()
+            .filter_map(|name| match reader.validity(now, name) {
+                RecordValidity::Active(Record {
+                    body: Some(RecordBody::Pool(pool)),
                     ..
                 }) => {
                     let name = name.strip_prefix("seats/")?.to_owned();
@@ -109,11 +116,11 @@
             })
             .collect();
         if let Some(licensing) = context.core.licensing.as_mut().filter(|_| fresh || due) {
-            let (until, parts) = (reader.until(), context.agreed.answer.held());
+            let (until, parts) = (reader.lease_expiry(), context.agreed.answer.held_seats());
             licensing.desk.read(&Reading {
-                free: context.agreed.answer.free.clone(),
+                free: context.agreed.answer.free_seats.clone(),
                 until,
-                done: context.agreed.answer.moved,
+                done: context.agreed.answer.last_seat_operation,
                 parts,
                 pools,
             });
--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -9,8 +9,10 @@
 use crate::config::AgreementConfig;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Context, Service};
-use marbledeck_consensus::wire::{self, Answer, Frame, Said, MOST_COMMANDS};
-use marbledeck_consensus::{Change, Command, Outcome, Reader, What};
+use marbledeck_consensus::wire::{
+    self, Frame, NodeMessage, ReadResponse, MAX_COMMANDS_PER_REQUEST,
+};
+use marbledeck_consensus::{Change, Command, LeasedReader, Operation, Outcome, ReadTicket};
 use marbledeck_dispatcher::Micros;
 use std::collections::{HashMap, VecDeque};
 use std::fmt::Write as _;
@@ -19,8 +21,8 @@
 
 /// What a connection between voters may hold each way, or from a voter: a frame, and the beginning of the next; and one
 /// that a node has made.
-const HELD: usize = wire::LONGEST + 64 * 1024;
-const HELD_OF_NODE: usize = wire::LONGEST_QUESTION + 64 * 1024;
+const HELD: usize = wire::MAX_FRAME_BYTES + 64 * 1024;
+const HELD_OF_NODE: usize = wire::MAX_REQUEST_BYTES + 64 * 1024;
 /// Connections taken in one turn, and frames of one connection handled in one turn.
 const ACCEPTS: usize = 16;
 const FRAMES: usize = 64;
@@ -153,8 +155,8 @@
     }
 
     /// What this node may act on, to begin with nothing.
-    pub fn reader(&self) -> Reader {
-        Reader::new(self.config.terms)
+    pub fn reader(&self) -> LeasedReader {
+        LeasedReader::new(self.config.terms)
     }
 
     fn say(&mut self, token: Token, frame: &Frame, net: &mut Net) {
@@ -240,18 +242,18 @@
         let token = net.connect(addr, self.peer).ok()?;
         net.widen(token, HELD);
         // What a machine that has vanished never acknowledges: the connection ends, and another is tried.
-        net.give_up_after(token, self.config.terms.lease);
+        net.give_up_after(token, self.config.terms.duration);
         self.hosts.insert(token, Host { voter });
         let own = self
             .voting
             .as_ref()
             .map(|voting| (u64::from(self.config.node), voting.store));
-        let hello = Said::Hello {
+        let hello = NodeMessage::Hello {
             fleet: self.config.fleet.clone(),
             node: self.config.node,
             voter: own,
         };
-        self.say(token, &Frame::Said(Box::new(hello)), net);
+        self.say(token, &Frame::Node(Box::new(hello)), net);
         Some(token)
     }
 
@@ -291,20 +293,20 @@
         if let Some(host) = self.hosts.get(&token) {
             let of = host.voter;
             return match frame {
-                Frame::Said(said) => match *said {
-                    Said::Welcome { voter } if voter == of => {
+                Frame::Node(said) => match *said {
+                    NodeMessage::Welcome { voter } if voter == of => {
                         if let Some(voting) = &mut self.voting {
                             voting.welcomed(voter);
                         }
                         true
                     }
-                    Said::Denied { voter } if voter == of => {
+                    NodeMessage::Denied { voter } if voter == of => {
                         if let Some(voting) = &mut self.voting {
                             voting.denied(voter);
                         }
                         true
                     }
-                    Said::Answer(answer) => {
+                    NodeMessage::ReadResponse(answer) => {
                         self.answered(now, *answer, context);
                         true
                     }
@@ -317,8 +319,8 @@
             return false;
         };
         match (frame, guest.node) {
-            (Frame::Said(said), None) => match *said {
-                Said::Hello { fleet, node, voter } => {
+            (Frame::Node(said), None) => match *said {
+                NodeMessage::Hello { fleet, node, voter } => {
                     let fits =
                         fleet == self.config.fleet && (1..=self.config.nodes).contains(&node);
                     let voter = voter.filter(|(number, _)| {
@@ -360,12 +362,12 @@
                     }
                 }
             }
-            (Frame::Said(said), Some(node)) => match (*said, &mut self.voting) {
+            (Frame::Node(said), Some(node)) => match (*said, &mut self.voting) {
                 (
-                    Said::Ask {
-                        question,
-                        known,
-                        boot,
+                    NodeMessage::ReadRequest {
+                        request_id,
+                        known_revision,
+                        incarnation,
                         commands,
                     },
                     Some(voting),
@@ -373,19 +375,19 @@
                     let asker = Asker {
                         of: Some(token),
                         node,
-                        question,
-                        known,
-                        boot,
+                        question: request_id,
+                        known: known_revision,
+                        boot: incarnation,
                     };
-                    voting.ask(asker, commands.into_iter().take(MOST_COMMANDS));
+                    voting.ask(asker, commands.into_iter().take(MAX_COMMANDS_PER_REQUEST));
                     true
                 }
-                (Said::Ask { .. }, None) => false,
-                (Said::Heard { nodes }, Some(voting)) if guest.voter.is_some() => {
+                (NodeMessage::ReadRequest { .. }, None) => false,
+                (NodeMessage::ContactReport { nodes }, Some(voting)) if guest.voter.is_some() => {
                     voting.heard(now, &nodes);
                     true
                 }
-                (Said::Heard { .. }, _) => true,
+                (NodeMessage::ContactReport { .. }, _) => true,
                 _ => false,
             },
         }
@@ -436,13 +438,16 @@
             .licensing
             .as_mut()
             .and_then(|licensing| licensing.desk.command(now));
-        let moves = moves.map(|(number, what)| self.command(number, What::Seats(what)));
+        let moves = moves.map(|(number, what)| self.command(number, Operation::Seats(what)));
         let change = self.changes.front().map(|(_, command)| command.clone());
         let commands: Vec<Command> = moves.into_iter().chain(change).collect();
         let Some(reader) = &mut context.agreed.reader else {
             return;
         };
-        let (question, known) = reader.ask(now);
+        let ReadTicket {
+            request_id: question,
+            known_revision: known,
+        } = reader.begin_read(now);
         let until = now + self.config.patience();
         self.question = Some(Question {
             until,
@@ -450,13 +455,13 @@
         });
         match to {
             Some((token, _)) => {
-                let ask = Said::Ask {
-                    question,
-                    known,
-                    boot: self.boot,
+                let ask = NodeMessage::ReadRequest {
+                    request_id: question,
+                    known_revision: known,
+                    incarnation: self.boot,
                     commands,
                 };
-                self.say(token, &Frame::Said(Box::new(ask)), &mut context.net);
+                self.say(token, &Frame::Node(Box::new(ask)), &mut context.net);
             }
             None => {
                 let asker = Asker {
@@ -473,20 +478,20 @@
         }
     }
 
-    fn command(&self, number: u64, what: What) -> Command {
+    fn command(&self, number: u64, what: Operation) -> Command {
         Command {
             node: self.config.node,
-            boot: self.boot,
+            incarnation: self.boot,
             number,
-            what,
+            operation: what,
         }
     }
 
-    fn answered(&mut self, now: Micros, answer: Answer, context: &mut Context) {
+    fn answered(&mut self, now: Micros, answer: ReadResponse, context: &mut Context) {
         let Some(reader) = &mut context.agreed.reader else {
             return;
         };
-        if !reader.answered(now, &answer) {
+        if !reader.apply_response(now, &answer) {
             return;
         }
         self.question = None;
@@ -497,12 +502,12 @@
             );
         }
         if let (Some((number, outcome)), Some((caller, command))) =
-            (&answer.changed, self.changes.front())
+            (&answer.last_change, self.changes.front())
         {
             if *number == command.number {
                 let word = match outcome {
                     Outcome::Done => format!("ACK done; revision {}\n", answer.revision),
-                    Outcome::Refused(why) => format!("NAK {why}: {}\n", why.advice()),
+                    Outcome::Rejected(why) => format!("NAK {why}: {}\n", why.advice()),
                 };
                 self.replies.push_back((*caller, word));
                 self.changes.pop_front();
@@ -524,11 +529,11 @@
             if let Some(guest) = self.guests.get_mut(&token) {
                 let voter = u64::from(self.config.node);
                 let said = match known {
-                    true => Said::Welcome { voter },
-                    false => Said::Denied { voter },
+                    true => NodeMessage::Welcome { voter },
+                    false => NodeMessage::Denied { voter },
                 };
                 guest.voter = Some(number).filter(|_| known);
-                self.say(token, &Frame::Said(Box::new(said)), &mut context.net);
+                self.say(token, &Frame::Node(Box::new(said)), &mut context.net);
             }
         }
         for (to, frame) in work.send {
@@ -540,7 +545,7 @@
             match asker {
                 Some(token) => self.say(
                     token,
-                    &Frame::Said(Box::new(Said::Answer(Box::new(answer)))),
+                    &Frame::Node(Box::new(NodeMessage::ReadResponse(Box::new(answer)))),
                     &mut context.net,
                 ),
                 None => self.answered(now, answer, context),
@@ -554,13 +559,15 @@
         let Some(reader) = &context.agreed.reader else {
             return text;
         };
-        for name in reader.names() {
-            use marbledeck_consensus::Acting;
-            let (state, record) = match reader.acting(now, name) {
-                Acting::On(record) => ("in force", Some(record)),
-                Acting::Between => ("not yet in force", None),
-                Acting::Without(record, _) => ("as last known", Some(record)),
-                Acting::Never => ("unknown", None),
+        for name in reader.record_names() {
+            use marbledeck_consensus::RecordValidity;
+            let (state, record) = match reader.validity(now, name) {
+                RecordValidity::Active(record) => ("in force", Some(record)),
+                RecordValidity::Pending => ("not yet in force", None),
+                RecordValidity::Unconfirmed { latest: record, .. } => {
+                    ("as last known", Some(record))
+                }
+                RecordValidity::Unknown => ("unknown", None),
             };
             let version = record.map_or(0, |record| record.version);
             let body = record.map(|record| serde_json::to_string(&record.body).unwrap_or_default());
@@ -578,7 +585,7 @@
                 );
             }
         }
-        let left = (reader.until() - now).0 / 1000;
+        let left = (reader.lease_expiry() - now).0 / 1000;
         let voter = self
             .voting
             .as_ref()
@@ -603,7 +610,7 @@
                 Err(why) => Some(format!("{why}: {}", why.advice())),
                 Ok(()) => {
                     self.numbered += 1;
-                    let command = self.command(self.numbered, What::Change(change));
+                    let command = self.command(self.numbered, Operation::Change(change));
                     self.changes.push_back((caller, command));
                     None
                 }
--- a/crates/node/src/consensus/voting.rs
+++ b/crates/node/src/consensus/voting.rs
@@ -3,8 +3,11 @@
 use crate::clock::millis;
 use crate::config::AgreementConfig;
 use crate::net::{Net, Peer, Token};
-use marbledeck_consensus::wire::{Answer, Frame, Said};
-use marbledeck_consensus::{AgreementError, Command, Durable, Save, Terms, Voter, Warden};
+use marbledeck_consensus::wire::{Frame, NodeMessage, ReadResponse};
+use marbledeck_consensus::{
+    Command, ConsensusError, EncodedSnapshot, LeaseReclaimer, LeaseTerms, LogPosition,
+    PersistRequest, PersistedState, Voter,
+};
 use marbledeck_dispatcher::Micros;
 use marbledeck_storage::{Done, Loaded, Store, StoreError, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -41,7 +44,7 @@
 #[derive(Default)]
 pub struct Out {
     pub send: Vec<(u64, Frame)>,
-    pub answers: Vec<(Option<Token>, Answer)>,
+    pub answers: Vec<(Option<Token>, ReadResponse)>,
     /// A voter that has said hello, and whether its store is the one that is known.
     pub noted: Vec<(Token, u64, bool)>,
 }
@@ -77,8 +80,8 @@
     next: u64,
     heard: BTreeMap<u32, u64>,
     next_heard: Micros,
-    warden: Option<Warden>,
-    terms: Terms,
+    warden: Option<LeaseReclaimer>,
+    terms: LeaseTerms,
     span: Micros,
     due: Micros,
 }
@@ -141,14 +144,14 @@
             advice: e.advice(),
             again: matches!(e, StoreError::InUse),
         })?;
-        let mut durable = Durable {
+        let mut durable = PersistedState {
             entries,
-            ..Durable::default()
+            ..PersistedState::default()
         };
         let (mut proven, mut stores) = (false, BTreeMap::new());
         for (name, value) in values {
             match name.as_str() {
-                HARD => durable.hard = Some(value),
+                HARD => durable.hard_state = Some(value),
                 SNAPSHOT => durable.snapshot = Some(value),
                 PROVEN => proven = true,
                 name => {
@@ -203,18 +206,18 @@
 
     /// Whether it votes, and can be asked.
     pub fn takes_part(&self) -> bool {
-        self.proven && !self.denied && self.voter.stopped().is_none()
+        self.proven && !self.denied && self.voter.stop_reason().is_none()
     }
 
     /// In words, for an operator.
     pub fn state(&self) -> String {
-        let (term, at) = self.voter.place();
+        let LogPosition { term, index: at } = self.voter.position();
         let how = match (
-            self.voter.stopped(),
+            self.voter.stop_reason(),
             self.denied,
             self.proven,
             self.stalled,
-            self.voter.leads(),
+            self.voter.is_leader(),
         ) {
             (Some(why), ..) => format!("has stopped: {why}"),
             (_, true, ..) => {
@@ -226,7 +229,7 @@
             ),
             (.., true, _) => "takes no part: its disk takes nothing".to_owned(),
             (.., true) => "leads".to_owned(),
-            _ => format!("follows {}", self.voter.leader()),
+            _ => format!("follows {}", self.voter.leader_id()),
         };
         format!(
             "voter {} {how}, term {term}, log at {at}, {} entries",
@@ -280,9 +283,9 @@
     ///
     /// # Errors
     /// It makes no sense.
-    pub fn receive(&mut self, from: u64, bytes: &[u8]) -> Result<(), AgreementError> {
+    pub fn receive(&mut self, from: u64, bytes: &[u8]) -> Result<(), ConsensusError> {
         match self.takes_part() {
-            true => self.voter.receive(from, bytes),
+            true => self.voter.handle_message(from, bytes),
             false => Ok(()),
         }
     }
@@ -294,18 +297,21 @@
         }
         self.heard.insert(asker.node, asker.boot);
         // What this one knows to be done already need not be done again.
-        let own = |c: &Command| c.node == asker.node && c.boot == asker.boot && c.is_a_nodes();
+        let own = |c: &Command| {
+            c.node == asker.node && c.incarnation == asker.boot && c.is_allowed_for_nodes()
+        };
         for command in commands.filter(own) {
-            let last = self
-                .voter
-                .book()
-                .last(command.node, command.boot, command.stream());
-            if command.number > 0 && last.is_none_or(|(last, _)| last < command.number) {
+            let last = self.voter.state().last_command(
+                command.node,
+                command.incarnation,
+                command.sequence(),
+            );
+            if command.number > 0 && last.is_none_or(|last| last.number < command.number) {
                 self.voter.propose(&command);
             }
         }
         self.next += 1;
-        self.voter.ask(self.next);
+        self.voter.request_read(self.next);
         // A node waits for its last question only.
         if let Some(before) = self.last_ask.insert(asker.node, self.next) {
             self.asks.remove(&before);
@@ -317,7 +323,7 @@
         if let Some(warden) = &mut self.warden {
             nodes
                 .iter()
-                .for_each(|(node, boot)| warden.heard(now, *node, *boot));
+                .for_each(|(node, boot)| warden.record_contact(now, *node, *boot));
         }
     }
 
@@ -341,10 +347,10 @@
             return;
         }
         self.voter.tick();
-        match (&self.warden, self.voter.leads()) {
+        match (&self.warden, self.voter.is_leader()) {
             (None, true) => {
                 log::info!("agreement: this voter leads");
-                self.warden = Some(Warden::new(now, self.terms));
+                self.warden = Some(LeaseReclaimer::new(now, self.terms));
             }
             (Some(_), false) => {
                 log::info!("agreement: this voter leads no more");
@@ -353,12 +359,12 @@
             _ => {}
         }
         if let Some(warden) = &mut self.warden {
-            for what in warden.due(now, self.voter.book()) {
+            for what in warden.poll_operations(now, self.voter.state()) {
                 self.voter.propose(&Command {
                     node: 0,
-                    boot: 0,
+                    incarnation: 0,
                     number: 0,
-                    what,
+                    operation: what,
                 });
             }
         }
@@ -370,7 +376,7 @@
         self.purposes.push_back((self.writes, purpose));
         if !self.backlog.is_empty() || !self.disk.write(write.clone()) {
             // The disk is far behind: nothing more is taken in before it has caught up.
-            self.voter.stall();
+            self.voter.suspend();
             self.backlog.push_back(write);
         }
     }
@@ -398,7 +404,7 @@
                     if !std::mem::replace(&mut self.stalled, true) {
                         log::error!("agreement: {e}: {}", e.advice());
                     }
-                    self.voter.stall();
+                    self.voter.suspend();
                 }
             }
         }
@@ -406,7 +412,7 @@
 
     fn written(&mut self, now: Micros, purpose: Purpose) {
         match purpose {
-            Purpose::Voter(ticket) => self.voter.saved(ticket),
+            Purpose::Voter(ticket) => self.voter.handle_persisted(ticket),
             // Those that have said hello are answered now.
             Purpose::Note(voter) => self
                 .stores
@@ -449,17 +455,17 @@
             self.asks.clear();
             return out;
         }
-        let work = self.voter.work();
-        for save in work.saves {
+        let work = self.voter.poll_effects();
+        for save in work.persist_requests {
             let (ticket, write) = (save.ticket, stored(save));
             self.write(Purpose::Voter(ticket), write);
         }
         out.send.extend(
-            work.send
+            work.messages
                 .into_iter()
-                .map(|(to, bytes)| (to, Frame::Raft(bytes))),
+                .map(|message| (message.to, Frame::Raft(message.bytes))),
         );
-        let later = self.asks.split_off(&(work.confirmed.unwrap_or(0) + 1));
+        let later = self.asks.split_off(&(work.confirmed_read.unwrap_or(0) + 1));
         for asker in std::mem::replace(&mut self.asks, later).into_values() {
             let Asker {
                 of,
@@ -468,7 +474,7 @@
                 known,
                 boot,
             } = asker;
-            let answer = Answer::of(self.voter.book(), node, boot, question, known);
+            let answer = ReadResponse::new(self.voter.state(), node, boot, question, known);
             out.answers.push((of, answer));
         }
         if now >= self.next_heard {
@@ -478,14 +484,14 @@
             let said = |to: &u64| {
                 (
                     *to,
-                    Frame::Said(Box::new(Said::Heard {
+                    Frame::Node(Box::new(NodeMessage::ContactReport {
                         nodes: nodes.clone(),
                     })),
                 )
             };
             out.send.extend(self.others.iter().map(said));
         }
-        if let Some(why) = self.voter.stopped().filter(|_| !self.reported) {
+        if let Some(why) = self.voter.stop_reason().filter(|_| !self.reported) {
             log::error!(
                 "agreement: the consensus has stopped here: {why}. Restart the node; if it stops again, set its store aside"
             );
@@ -496,17 +502,21 @@
 }
 
 /// What is to be durable, as the store has it.
-fn stored(save: Save) -> Write {
+fn stored(save: PersistRequest) -> Write {
     let mut write = Write {
         entries: save.entries,
         ..Write::default()
     };
     write
         .values
-        .extend(save.hard.map(|hard| (HARD.to_owned(), Some(hard))));
-    if let Some((index, snapshot)) = save.snapshot {
+        .extend(save.hard_state.map(|hard| (HARD.to_owned(), Some(hard))));
+    if let Some(EncodedSnapshot {
+        index,
+        bytes: snapshot,
+    }) = save.snapshot
+    {
         write.values.push((SNAPSHOT.to_owned(), Some(snapshot)));
-        write.drop_to = Some(if save.replaces { u64::MAX } else { index });
+        write.drop_to = Some(if save.replaces_log { u64::MAX } else { index });
     }
     write
 }
--- a/crates/node/src/federation.rs
+++ b/crates/node/src/federation.rs
@@ -5,7 +5,7 @@
 use crate::core::Verdict;
 use crate::net::{Net, Peer, Ready, Token};
 use crate::service::{Agreed, Context, Service};
-use marbledeck_consensus::{Acting, Body, Record};
+use marbledeck_consensus::{Record, RecordBody, RecordValidity};
 use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_federation::{check, Catalog, Errand, Fit, Heard, Known, Manifest, Step};
 use marbledeck_submission::frame;
@@ -48,22 +48,22 @@
     let names = agreed
         .reader
         .iter()
-        .flat_map(|reader| reader.names().map(move |name| (reader, name)));
+        .flat_map(|reader| reader.record_names().map(move |name| (reader, name)));
     for (reader, record) in names {
         let Some(name) = record.strip_prefix("sites/") else {
             continue;
         };
-        match reader.acting(now, record) {
-            Acting::On(Record {
-                body: Some(Body::Site(site)),
+        match reader.validity(now, record) {
+            RecordValidity::Active(Record {
+                body: Some(RecordBody::Site(site)),
                 ..
             }) => known.push(Site {
                 name,
                 address: site.address,
                 catalog: &site.catalog,
             }),
-            Acting::On(_) | Acting::Never => {}
-            Acting::Between | Acting::Without(..) => unknown.push(name),
+            RecordValidity::Active(_) | RecordValidity::Unknown => {}
+            RecordValidity::Pending | RecordValidity::Unconfirmed { .. } => unknown.push(name),
         }
     }
     (known, unknown)
@@ -164,7 +164,7 @@
             || agreed
                 .reader
                 .as_ref()
-                .is_none_or(|reader| !reader.holds(now))
+                .is_none_or(|reader| !reader.has_lease(now))
         {
             return Err(Problem::later("what sites offer cannot be known now", 1000));
         }
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -12,8 +12,8 @@
 use crate::handover::Side;
 use crate::net::{Net, Ready, Token};
 use crate::workers::Workers;
-use marbledeck_consensus::wire::Answer;
-use marbledeck_consensus::Reader;
+use marbledeck_consensus::wire::ReadResponse;
+use marbledeck_consensus::LeasedReader;
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use serde_json::Value;
 
@@ -36,11 +36,11 @@
 #[derive(Default)]
 pub struct Agreed {
     /// What this node may act on; none where the part is off.
-    pub reader: Option<Reader>,
+    pub reader: Option<LeasedReader>,
     /// Counts the readings.
     pub readings: u64,
     /// What the last one told of this node's own.
-    pub answer: Answer,
+    pub answer: ReadResponse,
 }
 
 /// One kind of peer. What a service has no use for has a default.
