--- a/crates/consensus/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -346,6 +346,10 @@
         }
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "to be split by kind of message or action"
+    )]
     fn deliver(&mut self, msg: Msg) {
         match msg {
             Msg::Raft { from, to, bytes } => {
@@ -462,6 +466,10 @@
     }
 
     /// Every node that runs asks, takes seats and acts.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "to be split by kind of message or action"
+    )]
     fn live(&mut self) {
         let at = self.at;
         for n in 0..self.nodes.len() {
@@ -547,6 +555,10 @@
         );
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "to be split by kind of message or action"
+    )]
     fn fault(&mut self, faults: Faults) {
         let (at, voters) = (self.at, self.seats.len() as u64);
         if self.rng.chance(faults.cuts) {
@@ -871,6 +883,10 @@
 
 /// The messages that promise anything wait for the disk.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split by kind of message or action"
+)]
 fn nothing_leaves_before_it_is_durable() {
     let ids = [1, 2, 3];
     let mut a = Voter::new(1, &ids, 1, &PersistedState::default()).expect("a voter");
@@ -1011,6 +1027,10 @@
 /// --ignored --nocapture`.
 #[test]
 #[ignore = "figures"]
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split by kind of message or action"
+)]
 fn figures() {
     for nodes in [10, 100, 300] {
         let mut world = World::new(1, 5, nodes);
--- a/crates/consensus/tests/golden/frames.rs
+++ b/crates/consensus/tests/golden/frames.rs
@@ -28,6 +28,7 @@
 }
 
 /// A message of every kind, but for those of the consensus library.
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn messages() -> Vec<(String, NodeMessage)> {
     let mut messages = vec![
         (
--- a/crates/consensus/tests/golden/state.rs
+++ b/crates/consensus/tests/golden/state.rs
@@ -8,6 +8,7 @@
 
 /// Commands that bring every part of the state about: records that are written, exclusive and removed; seats that are
 /// held, owed and draining; nodes with a last command of each stream, and one that was refused.
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 pub fn history() -> Vec<(&'static str, Command)> {
     let pools = put(
         &[
--- a/crates/consensus/tests/golden/texts.rs
+++ b/crates/consensus/tests/golden/texts.rs
@@ -41,6 +41,7 @@
 
 /// Changes that no state would take, with what their sender is told.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn changes_that_are_refused_without_the_state() {
     let rate = |rate: f64| {
         RecordBody::Rates(Rates {
--- a/crates/consensus/tests/golden/voters.rs
+++ b/crates/consensus/tests/golden/voters.rs
@@ -232,6 +232,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one history, step by step")]
 fn messages_between_voters_and_what_they_store() {
     let empty = VOTERS.map(|id| (id, PersistedState::default()));
     let mut group = Group::start(empty.into(), BOOT);
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -302,6 +302,10 @@
         }
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "to be split by kind of message or action"
+    )]
     fn next_state(&self, last: &State, action: Act) -> Option<State> {
         let mut state = last.clone();
         let time = now(state.at);
