--- a/crates/consensus/src/command.rs
+++ b/crates/consensus/src/command.rs
@@ -2,7 +2,7 @@
 
 use crate::change::Change;
 use crate::error::ChangeError;
-use marbledeck_licensing::Move;
+use marbledeck_licensing::LedgerCommand;
 use serde::{Deserialize, Serialize};
 
 /// The sequences in which the commands of a node are numbered. A node has one command of each in flight at most.
@@ -22,7 +22,7 @@
     /// Changes records.
     Change(Change),
     /// Changes who holds licence seats.
-    Seats(Move),
+    Seats(LedgerCommand),
 }
 
 /// An entry of the replicated log.
@@ -45,8 +45,10 @@
     pub fn is_allowed_for_nodes(&self) -> bool {
         match &self.operation {
             Operation::Change(change) => change.check().is_ok(),
-            Operation::Seats(Move::Want { .. } | Move::Return { .. }) => true,
-            Operation::Seats(Move::Reclaim { .. } | Move::Free { .. }) => false,
+            Operation::Seats(LedgerCommand::Request { .. } | LedgerCommand::Return { .. }) => true,
+            Operation::Seats(LedgerCommand::Reclaim { .. } | LedgerCommand::FreeDrained { .. }) => {
+                false
+            }
         }
     }
 
--- a/crates/consensus/src/lease_reclaimer.rs
+++ b/crates/consensus/src/lease_reclaimer.rs
@@ -4,7 +4,7 @@
 use crate::lease::LeaseTerms;
 use crate::state::ReplicatedState;
 use marbledeck_dispatcher::Micros;
-use marbledeck_licensing::Move;
+use marbledeck_licensing::{DrainingSeats, Holder, LedgerCommand};
 use std::collections::BTreeMap;
 
 /// A node's latest known contact with any voter.
@@ -61,14 +61,16 @@
         // reach the leader.
         let max_silence = Micros(2 * self.terms.max_overlap().0);
         let mut operations = Vec::new();
-        for (node, incarnation) in state.seats().holders() {
+        for Holder { node, incarnation } in state.seats().holders() {
             let contact = self.contacts.get(&node).copied().unwrap_or(Contact {
                 incarnation,
                 time: self.started,
             });
             if contact.incarnation > incarnation || now - contact.time > max_silence {
-                let boot = incarnation;
-                operations.push(Operation::Seats(Move::Reclaim { node, boot }));
+                operations.push(Operation::Seats(LedgerCommand::Reclaim {
+                    node,
+                    incarnation,
+                }));
             }
         }
         operations
@@ -78,8 +80,13 @@
     fn free_drained_seats(&mut self, now: Micros, state: &ReplicatedState) -> Vec<Operation> {
         let mut operations = Vec::new();
         let mut known = std::mem::take(&mut self.draining_since);
-        for (pool, ebb, lease) in state.seats().ebbing() {
-            let key = (pool.to_owned(), ebb);
+        for draining in state.seats().draining() {
+            let DrainingSeats {
+                pool,
+                draining_id,
+                lease,
+            } = draining;
+            let key = (pool.to_owned(), draining_id);
             let since = known.remove(&key).unwrap_or(now);
             self.draining_since.insert(key, since);
             // The holder's last lease must have ended, and then the last attempt that it began under it.
@@ -88,7 +95,10 @@
             );
             if now - since > self.terms.activation_delay() + longest_run {
                 let pool = pool.to_owned();
-                operations.push(Operation::Seats(Move::Free { pool, ebb }));
+                operations.push(Operation::Seats(LedgerCommand::FreeDrained {
+                    pool,
+                    draining_id,
+                }));
             }
         }
         operations
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -7,7 +7,7 @@
 use crate::error::ConsensusError;
 use crate::record::Record;
 use crate::state::ReplicatedState;
-use marbledeck_licensing::{Part, Pool};
+use marbledeck_licensing::{HeldSeats, Pool, SeatAllocation};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -120,8 +120,13 @@
         let last = |sequence| state.last_command(node, incarnation, sequence);
         let last_change = last(CommandSequence::Changes);
         let pools: BTreeMap<&str, &Pool> = state.pools().collect();
-        let held = state.seats().holds(node, incarnation).into_iter();
-        let seats = held.map(|(name, tenant, seats)| {
+        let held = state.seats().held_by(node, incarnation).into_iter();
+        let seats = held.map(|held| {
+            let HeldSeats {
+                pool: name,
+                tenant,
+                seats,
+            } = held;
             let pool = pools.get(name.as_str());
             let recalled = pool.map_or(0, |pool| state.seats().recalled(&name, pool, &tenant));
             (name, tenant, seats, recalled)
@@ -145,9 +150,9 @@
     }
 
     /// The seats that the node holds.
-    pub fn held_seats(&self) -> Vec<Part> {
+    pub fn held_seats(&self) -> Vec<SeatAllocation> {
         let seats = self.seats.iter().cloned();
-        let held = seats.map(|(pool, tenant, seats, recalled)| Part {
+        let held = seats.map(|(pool, tenant, seats, recalled)| SeatAllocation {
             pool,
             tenant,
             seats,
--- a/crates/consensus/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -8,7 +8,7 @@
     RecordValidity, ReplicatedState, Voter,
 };
 use marbledeck_dispatcher::Micros;
-use marbledeck_licensing::{Desk, Licence, Pool, Reading};
+use marbledeck_licensing::{ConfirmedSeats, LicenceId, NumberedCommand, Pool, SeatAllocator};
 use std::collections::{BTreeMap, BinaryHeap};
 
 const STEP: u64 = 10_000;
@@ -97,7 +97,7 @@
 
 struct Seat {
     voter: Option<Voter>,
-    warden: Option<LeaseReclaimer>,
+    reclaimer: Option<LeaseReclaimer>,
     disk: Disk,
     boot: u64,
     asks: BTreeMap<u64, (usize, u64, u64, u64)>,
@@ -107,7 +107,7 @@
 
 struct Node {
     reader: LeasedReader,
-    desk: Desk,
+    allocator: SeatAllocator,
     boot: u64,
     up: bool,
     stopped_until: u64,
@@ -209,7 +209,7 @@
         let ids: Vec<u64> = (1..=voters).collect();
         let seat = |id: u64| Seat {
             voter: Some(Voter::new(id, &ids, 1, &PersistedState::default()).expect("a voter")),
-            warden: None,
+            reclaimer: None,
             disk: Disk::default(),
             boot: 1,
             asks: BTreeMap::new(),
@@ -219,7 +219,7 @@
         let seats = ids.iter().map(|id| seat(*id)).collect();
         let node = |rng: &mut Rng| Node {
             reader: LeasedReader::new(TERMS),
-            desk: Desk::new(vec!["codec".into()], Vec::new(), Micros(2_000_000)),
+            allocator: SeatAllocator::new(vec!["codec".into()], Vec::new(), Micros(2_000_000)),
             boot: 1,
             up: true,
             stopped_until: 0,
@@ -290,10 +290,10 @@
         let work = voter.poll_effects();
         let leads = voter.is_leader();
         let at = self.at;
-        if leads && self.seats[v].warden.is_none() {
-            self.seats[v].warden = Some(LeaseReclaimer::new(Micros(at), TERMS));
+        if leads && self.seats[v].reclaimer.is_none() {
+            self.seats[v].reclaimer = Some(LeaseReclaimer::new(Micros(at), TERMS));
         } else if !leads {
-            self.seats[v].warden = None;
+            self.seats[v].reclaimer = None;
         }
         for save in work.persist_requests {
             let seat = &mut self.seats[v];
@@ -396,11 +396,11 @@
                         _ => Vec::new(),
                     };
                     let (until, parts) = (node.reader.lease_expiry(), answer.held_seats());
-                    node.desk.read(&Reading {
-                        free: answer.free_seats.clone(),
-                        until,
-                        done: answer.last_seat_operation,
-                        parts,
+                    node.allocator.apply_confirmed(&ConfirmedSeats {
+                        free_seats: answer.free_seats.clone(),
+                        lease_expiry: until,
+                        last_applied_command: answer.last_seat_operation,
+                        allocations: parts,
                         pools: pool,
                     });
                     if let (Some(change), Some((number, outcome))) =
@@ -424,9 +424,9 @@
             }
             Msg::Heard { to, nodes } => {
                 let at = self.at;
-                if let Some(warden) = &mut self.seats[to as usize - 1].warden {
+                if let Some(reclaimer) = &mut self.seats[to as usize - 1].reclaimer {
                     for (node, boot) in nodes {
-                        warden.record_contact(Micros(at), node, boot);
+                        reclaimer.record_contact(Micros(at), node, boot);
                     }
                 }
             }
@@ -440,8 +440,8 @@
                 voter.tick();
             }
             let (at, seat) = (self.at, &mut self.seats[v]);
-            if let (Some(voter), Some(warden)) = (&mut seat.voter, &mut seat.warden) {
-                for what in warden.poll_operations(Micros(at), voter.state()) {
+            if let (Some(voter), Some(reclaimer)) = (&mut seat.voter, &mut seat.reclaimer) {
+                for what in reclaimer.poll_operations(Micros(at), voter.state()) {
                     voter.propose(&Command {
                         node: 0,
                         incarnation: 0,
@@ -452,10 +452,10 @@
             }
             if self.at.is_multiple_of(500_000) && seat.voter.is_some() {
                 let nodes: Vec<(u32, u64)> = std::mem::take(&mut seat.heard).into_iter().collect();
-                if let Some(warden) = &mut seat.warden {
-                    nodes
-                        .iter()
-                        .for_each(|(node, boot)| warden.record_contact(Micros(at), *node, *boot));
+                if let Some(reclaimer) = &mut seat.reclaimer {
+                    for (node, boot) in &nodes {
+                        reclaimer.record_contact(Micros(at), *node, *boot);
+                    }
                 }
                 for to in (1..=self.seats.len() as u64).filter(|to| *to != id) {
                     let nodes = nodes.clone();
@@ -490,12 +490,12 @@
             }
             while let Some(at_call) = node.calls.iter().position(|(end, ..)| *end <= at) {
                 let (_, sent, known) = node.calls.swap_remove(at_call);
-                node.desk.end(sent, &[Licence(0)], 0, known);
+                node.allocator.release(sent, &[LicenceId(0)], 0, known);
             }
             // Where demand moves, it is a quarter of the nodes at a time that has it.
             let wants = !self.greedy || (n as u64 + at / 10_000_000).is_multiple_of(4);
             if wants && self.rng.chance(if self.greedy { 0.5 } else { 0.05 }) {
-                match node.desk.take(now, &[Licence(0)], 0) {
+                match node.allocator.acquire(now, &[LicenceId(0)], 0) {
                     Ok(()) => {
                         self.grants += 1;
                         // It runs at its worker whatever becomes of the node.
@@ -521,12 +521,17 @@
                     request_id: question,
                     known_revision: known,
                 } = node.reader.begin_read(now);
-                let moves = node.desk.command(now).map(|(number, what)| Command {
-                    node: n as u32,
-                    incarnation: node.boot,
-                    number,
-                    operation: Operation::Seats(what),
-                });
+                let moves = node.allocator.poll_command(now).map(
+                    |NumberedCommand {
+                         number,
+                         command: what,
+                     }| Command {
+                        node: n as u32,
+                        incarnation: node.boot,
+                        number,
+                        operation: Operation::Seats(what),
+                    },
+                );
                 let commands: Vec<Command> = moves.into_iter().chain(node.change.clone()).collect();
                 let (to, boot) = (node.voter, node.boot);
                 self.asked += 1;
@@ -579,7 +584,7 @@
         if self.rng.chance(faults.kills) {
             let v = self.rng.below(voters) as usize;
             let seat = &mut self.seats[v];
-            (seat.voter, seat.warden) = (None, None);
+            (seat.voter, seat.reclaimer) = (None, None);
             seat.asks.clear();
             seat.disk.waiting.clear();
             seat.disk.queued.clear();
@@ -598,7 +603,8 @@
             let node = &mut self.nodes[n];
             node.boot += 1;
             node.reader = LeasedReader::new(TERMS);
-            node.desk = Desk::new(vec!["codec".into()], Vec::new(), Micros(2_000_000));
+            node.allocator =
+                SeatAllocator::new(vec!["codec".into()], Vec::new(), Micros(2_000_000));
             node.calls.clear();
             node.change = None;
             node.seen.clear();
@@ -818,7 +824,7 @@
             node.reader.validity(now, "settings/rates"),
             RecordValidity::Unconfirmed { .. } | RecordValidity::Unknown
         ));
-        assert!(node.desk.take(now, &[Licence(0)], 0).is_err());
+        assert!(node.allocator.acquire(now, &[LicenceId(0)], 0).is_err());
     }
     assert!(granted > 0 || before > 0);
     // A majority again, with what it had written: all goes on.
@@ -844,9 +850,9 @@
     let held = |world: &World, n: u32| -> u32 {
         let book = world.newest().expect("a book");
         book.seats()
-            .holds(n, 1)
+            .held_by(n, 1)
             .iter()
-            .map(|(.., seats)| seats)
+            .map(|held| held.seats)
             .sum()
     };
     let n = (0..4).max_by_key(|n| held(&world, *n)).expect("four");
@@ -862,10 +868,10 @@
             "its block was never reclaimed"
         );
     }
-    // What ebbs is still taken.
-    assert!(world.newest().expect("a book").seats().ebbing().count() > 0);
+    // Draining seats are still taken.
+    assert!(world.newest().expect("a book").seats().draining().count() > 0);
     let reclaimed = world.at;
-    while world.newest().expect("a book").seats().ebbing().count() > 0 {
+    while world.newest().expect("a book").seats().draining().count() > 0 {
         let at = world.at;
         world.run(at + STEP, no_faults(), |_| {});
         assert!(
--- a/crates/consensus/tests/golden/samples.rs
+++ b/crates/consensus/tests/golden/samples.rs
@@ -4,7 +4,7 @@
     Change, ChangeError, Command, Operation, Outcome, Rates, Record, RecordBody, Site,
 };
 use marbledeck_federation::Catalog;
-use marbledeck_licensing::{Move, Pool};
+use marbledeck_licensing::{LedgerCommand, Pool};
 use std::collections::BTreeSet;
 
 pub fn names(of: &[&str]) -> BTreeSet<String> {
@@ -112,16 +112,16 @@
     change
 }
 
-pub fn want(pool: &str, tenant: &str, seats: u32) -> Move {
-    Move::Want {
+pub fn want(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
+    LedgerCommand::Request {
         pool: pool.into(),
         tenant: tenant.into(),
         seats,
     }
 }
 
-pub fn give_back(pool: &str, tenant: &str, seats: u32) -> Move {
-    Move::Return {
+pub fn give_back(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
+    LedgerCommand::Return {
         pool: pool.into(),
         tenant: tenant.into(),
         seats,
@@ -140,10 +140,13 @@
 /// A command of every kind.
 pub fn commands() -> Vec<(&'static str, Command)> {
     let boot = 1_700_000_000_000_000;
-    let reclaim = Move::Reclaim { node: 4, boot };
-    let free = Move::Free {
+    let reclaim = LedgerCommand::Reclaim {
+        node: 4,
+        incarnation: boot,
+    };
+    let free = LedgerCommand::FreeDrained {
         pool: "av1".into(),
-        ebb: 12,
+        draining_id: 12,
     };
     vec![
         ("change", command(4, boot, 1, Operation::Change(change()))),
--- a/crates/consensus/tests/golden/state.rs
+++ b/crates/consensus/tests/golden/state.rs
@@ -4,7 +4,7 @@
 use crate::{assert_golden, json, json_line};
 use marbledeck_consensus::wire::ReadResponse;
 use marbledeck_consensus::{Command, Operation, RecordBody, ReplicatedState};
-use marbledeck_licensing::Move;
+use marbledeck_licensing::LedgerCommand;
 
 /// Commands that bring every part of the state about: records that are written, exclusive and removed; seats that are
 /// held, owed and draining; nodes with a last command of each stream, and one that was refused.
@@ -80,7 +80,15 @@
         ("an outdated change", change(3, 300, 1, outdated)),
         (
             "node 3 is gone",
-            seats(0, 0, 0, Move::Reclaim { node: 3, boot: 300 }),
+            seats(
+                0,
+                0,
+                0,
+                LedgerCommand::Reclaim {
+                    node: 3,
+                    incarnation: 300,
+                },
+            ),
         ),
         (
             "node 1 starts anew",
@@ -96,9 +104,9 @@
                 0,
                 0,
                 0,
-                Move::Free {
+                LedgerCommand::FreeDrained {
                     pool: "aac".into(),
-                    ebb: 0,
+                    draining_id: 0,
                 },
             ),
         ),
--- a/crates/consensus/tests/golden/voters.rs
+++ b/crates/consensus/tests/golden/voters.rs
@@ -7,7 +7,7 @@
     AppliedCommand, Command, EncodedSnapshot, Operation, OutgoingMessage, PersistRequest,
     PersistedState, ReplicatedState, Voter,
 };
-use marbledeck_licensing::Move;
+use marbledeck_licensing::LedgerCommand;
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
 use std::collections::{BTreeMap, BTreeSet};
@@ -224,9 +224,9 @@
 
 /// Changes nothing but the count of commands.
 pub fn idle_command() -> Command {
-    let free = Move::Free {
+    let free = LedgerCommand::FreeDrained {
         pool: "none".into(),
-        ebb: 0,
+        draining_id: 0,
     };
     command(0, 0, 0, Operation::Seats(free))
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,6 +1,6 @@
 //! Readings, activation and seats in every order of what can happen, up to a bound: two nodes, one seat, an exclusive
 //! record. Questions and commands are lost, repeated and late; nodes crash and start anew; the leader changes; a node that
-//! does nothing for a while stands still. The book, the reader, the desk and the warden are the real ones.
+//! does nothing for a while stands still. The book, the reader, the allocator and the reclaimer are the real ones.
 
 use marbledeck_consensus::wire::ReadResponse;
 use marbledeck_consensus::{
@@ -8,7 +8,9 @@
     RecordBody, RecordValidity, ReplicatedState,
 };
 use marbledeck_dispatcher::Micros;
-use marbledeck_licensing::{Desk, Licence, Move, Pool, Reading};
+use marbledeck_licensing::{
+    ConfirmedSeats, Holder, LedgerCommand, LicenceId, NumberedCommand, Pool, SeatAllocator,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -20,7 +22,7 @@
     clock_drift: 0.0,
 };
 const RUN: u64 = 1;
-const SEAT: &[Licence] = &[Licence(0)];
+const SEAT: &[LicenceId] = &[LicenceId(0)];
 
 /// By what it shows: everything of it counts.
 #[derive(Clone, Debug)]
@@ -41,7 +43,7 @@
 #[derive(Clone, Debug, Hash, PartialEq)]
 struct Node {
     reader: Shown<LeasedReader>,
-    desk: Shown<Desk>,
+    allocator: Shown<SeatAllocator>,
     boot: u64,
     /// Its calls whose end it has not heard: when each was sent, and when it ends at its worker.
     calls: Vec<(u64, u64)>,
@@ -67,7 +69,7 @@
 struct State {
     at: u64,
     book: Shown<ReplicatedState>,
-    warden: Shown<LeaseReclaimer>,
+    reclaimer: Shown<LeaseReclaimer>,
     nodes: Vec<Node>,
     msgs: Vec<Msg>,
     /// When the calls that run at workers end.
@@ -125,21 +127,21 @@
             _ => Vec::new(),
         };
         let (until, parts) = (reader.lease_expiry(), answer.held_seats());
-        self.desk.0.read(&Reading {
-            free: answer.free_seats.clone(),
-            until,
-            done: answer.last_seat_operation,
-            parts,
+        self.allocator.0.apply_confirmed(&ConfirmedSeats {
+            free_seats: answer.free_seats.clone(),
+            lease_expiry: until,
+            last_applied_command: answer.last_seat_operation,
+            allocations: parts,
             pools,
         });
     }
 }
 
 fn node() -> Node {
-    let desk = Desk::new(vec!["av1".into()], Vec::new(), Micros(100 * TICK));
+    let allocator = SeatAllocator::new(vec!["av1".into()], Vec::new(), Micros(100 * TICK));
     Node {
         reader: Shown(LeasedReader::new(TERMS)),
-        desk: Shown(desk),
+        allocator: Shown(allocator),
         boot: 1,
         calls: Vec::new(),
     }
@@ -189,7 +191,7 @@
         let mut state = State {
             at: 0,
             book: Shown(ReplicatedState::default()),
-            warden: Shown(LeaseReclaimer::new(now(0), TERMS)),
+            reclaimer: Shown(LeaseReclaimer::new(now(0), TERMS)),
             nodes: vec![node(), node()],
             msgs: Vec::new(),
             running: Vec::new(),
@@ -209,7 +211,7 @@
         change.exclusive.clear();
         state.command(Operation::Change(change));
         if self.held {
-            let want = Move::Want {
+            let want = LedgerCommand::Request {
                 pool: "av1".into(),
                 tenant: String::new(),
                 seats: 1,
@@ -237,7 +239,7 @@
             let answer = ReadResponse::new(&state.book.0, n as u32, 1, question, known);
             state.nodes[n].read(before(), &answer);
         }
-        let _ = state.nodes[1].desk.0.look(before(), SEAT, 0);
+        let _ = state.nodes[1].allocator.0.check(before(), SEAT, 0);
         for n in 0..2 {
             let ReadTicket {
                 request_id: question,
@@ -258,12 +260,10 @@
                 actions.push(Act::Ask(n));
             }
             if self.held
-                && state
-                    .book
-                    .0
-                    .seats()
-                    .holders()
-                    .contains(&(n as u32, node.boot))
+                && state.book.0.seats().holders().contains(&Holder {
+                    node: n as u32,
+                    incarnation: node.boot,
+                })
             {
                 actions.push(Act::Suspect(n));
             }
@@ -318,7 +318,11 @@
             Act::Ask(n) => {
                 state.asks += u8::from(self.held);
                 let node = &mut state.nodes[n];
-                if let Some((number, what)) = node.desk.0.command(time) {
+                if let Some(NumberedCommand {
+                    number,
+                    command: what,
+                }) = node.allocator.0.poll_command(time)
+                {
                     let command = Command {
                         node: n as u32,
                         incarnation: node.boot,
@@ -370,7 +374,7 @@
             Act::Repeat(m) => state.msgs.push(state.msgs[m].clone()),
             Act::Call(n) => {
                 let node = &mut state.nodes[n];
-                if node.desk.0.take(time, SEAT, 0).is_ok() {
+                if node.allocator.0.acquire(time, SEAT, 0).is_ok() {
                     let end = state.at + RUN;
                     node.calls.push((state.at, end));
                     state.running.push(end);
@@ -381,7 +385,7 @@
                 let over = |(_, end): &(u64, u64)| !known || *end <= state.at;
                 let at = node.calls.iter().position(over)?;
                 let (sent, _) = node.calls.remove(at);
-                node.desk.0.end(now(sent), SEAT, 0, known);
+                node.allocator.0.release(now(sent), SEAT, 0, known);
             }
             Act::Crash(n) => {
                 let boot = state.nodes[n].boot + 1;
@@ -389,20 +393,20 @@
                 state.crashes += 1;
             }
             Act::Lead => {
-                state.warden = Shown(LeaseReclaimer::new(time, TERMS));
+                state.reclaimer = Shown(LeaseReclaimer::new(time, TERMS));
                 state.leaders += 1;
             }
             Act::Suspect(n) => {
                 let boot = state.nodes[n].boot;
-                state.command(Operation::Seats(Move::Reclaim {
+                state.command(Operation::Seats(LedgerCommand::Reclaim {
                     node: n as u32,
-                    boot,
+                    incarnation: boot,
                 }));
-                // It looks at what ebbs at once.
-                let _ = state.warden.0.poll_operations(time, &state.book.0);
+                // It observes the draining seats at once.
+                let _ = state.reclaimer.0.poll_operations(time, &state.book.0);
             }
             Act::Watch => {
-                for what in state.warden.0.poll_operations(time, &last.book.0) {
+                for what in state.reclaimer.0.poll_operations(time, &last.book.0) {
                     state.command(what);
                 }
             }
--- a/crates/licensing/src/lib.rs
+++ b/crates/licensing/src/lib.rs
@@ -1,11 +1,25 @@
-//! Licence seats over all nodes. The [`Ledger`] is what the nodes have agreed on: how many seats of a pool each of them
-//! holds; it changes by [`Move`]s, alike at every voter, and knows no clock. The [`Desk`] is what one node grants of its
-//! own part, without a message. No input or output; `docs/design/agreement.md` states the guarantees, 8 to 11.
+//! Licence seats over all nodes of a fleet.
+//!
+//! The [`Ledger`] is the part of the replicated state that says how many seats of each pool every node holds. It is
+//! changed by [`LedgerCommand`]s in the same way at every voter, and reads no clock. A [`SeatAllocator`], one at each
+//! node, grants that node's seats to attempts without a message.
+//!
+//! No input or output. `docs/design/agreement.md` states the guarantees, 8 to 11.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod desk;
+mod allocator;
+mod command;
+mod error;
 mod ledger;
+mod pool;
+mod pool_leases;
+mod tenant_seats;
 
-pub use desk::{Desk, Licence, NoSeat, Part, Reading};
-pub use ledger::{Block, Ebb, Ledger, Move, Pool};
+pub use allocator::{
+    ConfirmedSeats, LicenceId, NumberedCommand, SeatAllocation, SeatAllocator, SeatUsage,
+};
+pub use command::LedgerCommand;
+pub use error::SeatError;
+pub use ledger::{DrainingSeats, HeldSeats, Holder, Ledger};
+pub use pool::Pool;
+pub use pool_leases::{DrainingLease, SeatLease};
--- a/crates/licensing/tests/golden.rs
+++ b/crates/licensing/tests/golden.rs
@@ -1,10 +1,13 @@
-//! Golden forms of pools, of the moves of seats as they are written into the log, and of the ledger in a snapshot.
+//! Golden forms of pools, of the commands for seats as they are written into the log, and of the ledger in a snapshot.
 //!
 //! The snapshots were written before any rename of the code. A test here may follow a renamed item; a snapshot that
 //! changes is a change of what is stored and sent.
 
 use marbledeck_dispatcher::Micros;
-use marbledeck_licensing::{Block, Desk, Ebb, Ledger, Move, NoSeat, Part, Pool, Reading};
+use marbledeck_licensing::{
+    ConfirmedSeats, DrainingLease, Ledger, LedgerCommand, NumberedCommand, Pool, SeatAllocation,
+    SeatAllocator, SeatError, SeatLease,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Write as _;
@@ -44,16 +47,16 @@
     }
 }
 
-fn want(pool: &str, tenant: &str, seats: u32) -> Move {
-    Move::Want {
+fn want(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
+    LedgerCommand::Request {
         pool: pool.into(),
         tenant: tenant.into(),
         seats,
     }
 }
 
-fn give_back(pool: &str, tenant: &str, seats: u32) -> Move {
-    Move::Return {
+fn give_back(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
+    LedgerCommand::Return {
         pool: pool.into(),
         tenant: tenant.into(),
         seats,
@@ -84,21 +87,21 @@
 
 #[test]
 fn moves_encode_and_decode() {
-    let reclaim = Move::Reclaim {
+    let reclaim = LedgerCommand::Reclaim {
         node: 3,
-        boot: u64::MAX,
+        incarnation: u64::MAX,
     };
-    let free = Move::Free {
+    let free = LedgerCommand::FreeDrained {
         pool: "av1".into(),
-        ebb: 12,
+        draining_id: 12,
     };
-    let block = Block {
+    let lease = SeatLease {
         node: 3,
-        boot: 1_700_000_000_000_000,
+        incarnation: 1_700_000_000_000_000,
         tenant: "news".into(),
         seats: 4,
     };
-    let ebb = Ebb {
+    let draining = DrainingLease {
         node: 3,
         tenant: "news".into(),
         seats: 4,
@@ -110,20 +113,21 @@
         json_line("give back", &give_back("av1", "news", 2)),
         json_line("reclaim", &reclaim),
         json_line("free", &free),
-        json_line("block", &block),
-        json_line("draining seats", &ebb),
-        decoded_line::<Move>("unknown variant", r#"{"Lend":{"pool":"av1"}}"#),
-        decoded_line::<Move>(
+        json_line("block", &lease),
+        json_line("draining seats", &draining),
+        decoded_line::<LedgerCommand>("unknown variant", r#"{"Lend":{"pool":"av1"}}"#),
+        decoded_line::<LedgerCommand>(
             "unknown key",
             r#"{"Free":{"pool":"av1","ebb":1,"colour":2}}"#,
         ),
-        decoded_line::<Move>("missing key", r#"{"Free":{"pool":"av1"}}"#),
+        decoded_line::<LedgerCommand>("missing key", r#"{"Free":{"pool":"av1"}}"#),
     ];
     assert_golden("moves", &lines.concat());
 }
 
-/// The ledger after each move of a history, as a snapshot holds it; it must decode to an equal one, which goes on alike.
+/// The ledger after each command of a history, as a snapshot holds it; it must decode to an equal one, which goes on alike.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn ledger_after_each_move() {
     let before = [("aac", pool(3, &[])), ("av1", pool(10, &[]))];
     let after = [("aac", pool(3, &[])), ("av1", pool(10, &[("news", 4)]))];
@@ -145,16 +149,19 @@
             "node 2 is reclaimed",
             0,
             0,
-            Move::Reclaim { node: 2, boot: 200 },
+            LedgerCommand::Reclaim {
+                node: 2,
+                incarnation: 200,
+            },
             &after,
         ),
         (
             "draining seats are free",
             0,
             0,
-            Move::Free {
+            LedgerCommand::FreeDrained {
                 pool: "av1".into(),
-                ebb: 0,
+                draining_id: 0,
             },
             &after,
         ),
@@ -162,15 +169,15 @@
     ];
     let mut ledger = Ledger::default();
     let mut text = json_line("empty", &ledger);
-    for (label, node, boot, what, pools) in history {
+    for (label, node, incarnation, command, pools) in history {
         let json = serde_json::to_string(&ledger).expect("encoded");
         let mut decoded: Ledger = serde_json::from_str(&json).expect("decoded");
         let find = |name: &str| {
             let mut named = pools.iter().filter(|(pool, _)| *pool == name);
             named.next().map(|(_, pool)| pool)
         };
-        ledger.apply(node, boot, &what, find);
-        decoded.apply(node, boot, &what, find);
+        ledger.apply(node, incarnation, &command, find);
+        decoded.apply(node, incarnation, &command, find);
         assert!(
             decoded == ledger,
             "{label}: the decoded one went another way"
@@ -194,46 +201,51 @@
 fn commands_of_a_node() {
     let licences = vec!["av1".to_owned()];
     let tenants = vec!["news".to_owned(), "sport".to_owned()];
-    let mut desk = Desk::new(licences, tenants, Micros(1_000_000));
-    let reading = |done: u64, seats: u32, recalled: u32| Reading {
-        until: Micros(60_000_000),
-        done,
-        parts: vec![Part {
+    let mut allocator = SeatAllocator::new(licences, tenants, Micros(1_000_000));
+    let confirmed = |done: u64, seats: u32, recalled: u32| ConfirmedSeats {
+        lease_expiry: Micros(60_000_000),
+        last_applied_command: done,
+        allocations: vec![SeatAllocation {
             pool: "av1".into(),
             tenant: "news".into(),
             seats,
             recalled,
         }],
         pools: vec![("av1".into(), Micros(1_000_000))],
-        free: vec![("av1".into(), 5)],
+        free_seats: vec![("av1".into(), 5)],
     };
     let mut text = String::new();
-    let mut tell = |label: &str, command: Option<(u64, Move)>| {
-        let word = command.map_or("nothing".to_owned(), |(number, what)| {
-            let json = serde_json::to_string(&what).expect("encoded");
-            format!("command {number}: {json}")
-        });
-        writeln!(text, "{label}: {word}").expect("a string takes it");
+    let mut record = |label: &str, command: Option<NumberedCommand>| {
+        let outcome = command.map_or(
+            "nothing".to_owned(),
+            |NumberedCommand { number, command }| {
+                let json = serde_json::to_string(&command).expect("encoded");
+                format!("command {number}: {json}")
+            },
+        );
+        writeln!(text, "{label}: {outcome}").expect("a string takes it");
     };
-    let licence = [desk.licence("av1").expect("a licence of the settings")];
-    desk.read(&reading(0, 0, 0));
-    tell("at first", desk.command(Micros(1)));
-    let _ = desk.take(Micros(2), &licence, 0);
-    tell("a job found no seat", desk.command(Micros(3)));
-    tell("asked again", desk.command(Micros(4)));
-    desk.read(&reading(1, 4, 0));
-    tell("carried out", desk.command(Micros(5)));
-    desk.read(&reading(1, 4, 3));
-    tell("asked back", desk.command(Micros(6)));
+    let licence = [allocator
+        .find_licence("av1")
+        .expect("a licence of the settings")];
+    allocator.apply_confirmed(&confirmed(0, 0, 0));
+    record("at first", allocator.poll_command(Micros(1)));
+    let _ = allocator.acquire(Micros(2), &licence, 0);
+    record("a job found no seat", allocator.poll_command(Micros(3)));
+    record("asked again", allocator.poll_command(Micros(4)));
+    allocator.apply_confirmed(&confirmed(1, 4, 0));
+    record("carried out", allocator.poll_command(Micros(5)));
+    allocator.apply_confirmed(&confirmed(1, 4, 3));
+    record("asked back", allocator.poll_command(Micros(6)));
     assert_golden("node_commands", &text);
 }
 
 #[test]
 fn reasons_and_their_advice() {
     let reasons = [
-        NoSeat::Taken("av1".into()),
-        NoSeat::Unconfirmed("av1".into()),
-        NoSeat::NoPool("av1".into()),
+        SeatError::NoneFree("av1".into()),
+        SeatError::Unconfirmed("av1".into()),
+        SeatError::UnknownPool("av1".into()),
     ];
     let mut text = String::new();
     for reason in reasons {
--- a/crates/node/src/consensus/apply.rs
+++ b/crates/node/src/consensus/apply.rs
@@ -3,7 +3,7 @@
 use crate::service::Context;
 use marbledeck_consensus::{Record, RecordBody, RecordValidity};
 use marbledeck_dispatcher::Micros;
-use marbledeck_licensing::Reading;
+use marbledeck_licensing::ConfirmedSeats;
 use marbledeck_membership::{SourceId, SourceReport, Status};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -117,11 +117,11 @@
             .collect();
         if let Some(licensing) = context.core.licensing.as_mut().filter(|_| fresh || due) {
             let (until, parts) = (reader.lease_expiry(), context.agreed.answer.held_seats());
-            licensing.desk.read(&Reading {
-                free: context.agreed.answer.free_seats.clone(),
-                until,
-                done: context.agreed.answer.last_seat_operation,
-                parts,
+            licensing.desk.apply_confirmed(&ConfirmedSeats {
+                free_seats: context.agreed.answer.free_seats.clone(),
+                lease_expiry: until,
+                last_applied_command: context.agreed.answer.last_seat_operation,
+                allocations: parts,
                 pools,
             });
         }
--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -14,6 +14,7 @@
 };
 use marbledeck_consensus::{Change, Command, LeasedReader, Operation, Outcome, ReadTicket};
 use marbledeck_dispatcher::Micros;
+use marbledeck_licensing::SeatUsage;
 use std::collections::{HashMap, VecDeque};
 use std::fmt::Write as _;
 use std::io;
@@ -437,8 +438,9 @@
             .core
             .licensing
             .as_mut()
-            .and_then(|licensing| licensing.desk.command(now));
-        let moves = moves.map(|(number, what)| self.command(number, Operation::Seats(what)));
+            .and_then(|licensing| licensing.desk.poll_command(now));
+        let moves =
+            moves.map(|numbered| self.command(numbered.number, Operation::Seats(numbered.command)));
         let change = self.changes.front().map(|(_, command)| command.clone());
         let commands: Vec<Command> = moves.into_iter().chain(change).collect();
         let Some(reader) = &mut context.agreed.reader else {
@@ -578,7 +580,13 @@
             );
         }
         if let Some(licensing) = &context.core.licensing {
-            for (pool, tenant, seats, in_use) in licensing.desk.figures() {
+            for SeatUsage {
+                pool,
+                tenant,
+                held: seats,
+                in_use,
+            } in licensing.desk.usage()
+            {
                 let _ = writeln!(
                     text,
                     "seats {pool} {tenant:?}: {in_use} of {seats} in use here"
--- a/crates/node/src/core/licensing.rs
+++ b/crates/node/src/core/licensing.rs
@@ -5,20 +5,20 @@
 use super::{Catalogue, Core, Malformed};
 use crate::config::SeatsConfig;
 use marbledeck_dispatcher::{ClassId, Micros, Outcome, RequestId};
-use marbledeck_licensing::{Desk, Licence};
+use marbledeck_licensing::{LicenceId, SeatAllocator};
 use std::rc::Rc;
 
 /// The seats of this node.
 pub struct Licensing {
-    pub desk: Desk,
+    pub desk: SeatAllocator,
     /// The licences that each class needs, whatever its jobs say.
-    pub by_class: Vec<Vec<Licence>>,
+    pub by_class: Vec<Vec<LicenceId>>,
 }
 
 /// What an invocation needs for each of its calls.
 #[derive(Clone, Debug, Default)]
 pub struct Needs {
-    pub licences: Rc<[Licence]>,
+    pub licences: Rc<[LicenceId]>,
     /// The place of its tenant.
     pub tenant: usize,
 }
@@ -42,10 +42,10 @@
                 "seats: classes.{class}: the settings have no such class"
             ));
         }
-        let desk = Desk::new(licences, catalogue.tenants().to_vec(), idle);
-        let of = |class: &str| -> Vec<Licence> {
+        let desk = SeatAllocator::new(licences, catalogue.tenants().to_vec(), idle);
+        let of = |class: &str| -> Vec<LicenceId> {
             let names = classes.get(class).into_iter().flatten();
-            names.filter_map(|name| desk.licence(name)).collect()
+            names.filter_map(|name| desk.find_licence(name)).collect()
         };
         let by_class = catalogue.names().map(of).collect();
         Ok(Licensing { desk, by_class })
@@ -56,7 +56,7 @@
         let of_class = self.by_class.get(class.0 as usize);
         let mut licences = of_class.cloned().unwrap_or_default();
         for name in named {
-            let known = self.desk.licence(name);
+            let known = self.desk.find_licence(name);
             licences.push(known.ok_or_else(|| Malformed::UnknownLicence((*name).to_owned()))?);
         }
         licences.sort_unstable();
@@ -88,7 +88,7 @@
             };
         };
         let needs = licensing.needs(class, tenant, named)?;
-        match licensing.desk.look(now, &needs.licences, needs.tenant) {
+        match licensing.desk.check(now, &needs.licences, needs.tenant) {
             Ok(()) => Ok(needs),
             Err(why) => Err(Malformed::NoSeat(why)),
         }
@@ -102,7 +102,7 @@
         let Some(licensing) = &mut self.licensing else {
             return false;
         };
-        let taken = licensing.desk.take(now, &needs.licences, needs.tenant);
+        let taken = licensing.desk.acquire(now, &needs.licences, needs.tenant);
         if let Err(why) = &taken {
             log::debug!("seats: {why}");
         }
@@ -122,7 +122,7 @@
                 Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => false,
             };
             let Needs { licences, tenant } = needs;
-            licensing.desk.end(sent, licences, *tenant, known);
+            licensing.desk.release(sent, licences, *tenant, known);
         }
     }
 
@@ -136,6 +136,6 @@
     pub fn seated_until(&self) -> Option<Micros> {
         self.licensing
             .as_ref()
-            .map(|licensing| licensing.desk.until())
+            .map(|licensing| licensing.desk.lease_expiry())
     }
 }
--- a/crates/node/src/core/validation.rs
+++ b/crates/node/src/core/validation.rs
@@ -6,7 +6,7 @@
 use marbledeck_dispatcher::{
     Class, ClassId, Event, Idempotency, Job, Micros, RequestId, Settings, TenantId,
 };
-use marbledeck_licensing::NoSeat;
+use marbledeck_licensing::SeatError;
 use marbledeck_platform_settings::PlatformSettings;
 use std::fmt;
 
@@ -41,7 +41,7 @@
     /// No pool of seats has this name.
     UnknownLicence(String),
     /// A licence has no seat now.
-    NoSeat(NoSeat),
+    NoSeat(SeatError),
 }
 
 impl fmt::Display for Malformed {
--- a/crates/node/tests/golden/operator_file.rs
+++ b/crates/node/tests/golden/operator_file.rs
@@ -465,7 +465,11 @@
         let _ = writeln!(text, "agreement.from: {address}");
     }
     let _ = writeln!(text, "agreement.store: '{}'", agreement.store.display());
-    let _ = writeln!(text, "agreement.lease_ms: {} us", agreement.terms.duration.0);
+    let _ = writeln!(
+        text,
+        "agreement.lease_ms: {} us",
+        agreement.terms.duration.0
+    );
     let _ = writeln!(text, "agreement.tick_ms: {} us", agreement.tick.0);
     for voter in &agreement.voters {
         let _ = writeln!(
--- a/crates/node/tests/seats.rs
+++ b/crates/node/tests/seats.rs
@@ -1,7 +1,7 @@
 //! Seats as the core takes them for calls, without any socket.
 
 use marbledeck_dispatcher::{Micros, Outcome, WorkerEntry, WorkerId, WorkerListKind};
-use marbledeck_licensing::{Part, Reading};
+use marbledeck_licensing::{ConfirmedSeats, SeatAllocation};
 use marbledeck_node::config::SeatsConfig;
 use marbledeck_node::core::licensing::Licensing;
 use marbledeck_node::core::{
@@ -36,17 +36,17 @@
         idle: Micros(60_000_000),
     };
     let mut licensing = Licensing::new(config, core.catalogue()).expect("classes that there are");
-    let part = |pool: &str, seats| Part {
+    let part = |pool: &str, seats| SeatAllocation {
         pool: pool.into(),
         tenant: String::new(),
         seats,
         recalled: 0,
     };
-    licensing.desk.read(&Reading {
-        free: Vec::new(),
-        until: Micros(10_000_000),
-        done: 0,
-        parts: vec![part("av1", 1), part("aac", 2)],
+    licensing.desk.apply_confirmed(&ConfirmedSeats {
+        free_seats: Vec::new(),
+        lease_expiry: Micros(10_000_000),
+        last_applied_command: 0,
+        allocations: vec![part("av1", 1), part("aac", 2)],
         pools: vec![("av1".into(), RUN), ("aac".into(), RUN)],
     });
     core.licensing = Some(licensing);
