--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
 
 test: binding
 	MARBLEDECK_BINDING=$(CURDIR)/$(BINDING) cargo test --locked
-	RUSTFLAGS="--cfg loom" cargo test --locked --release --target-dir target/loom -p marbledeck-storage --test mailbox
+	RUSTFLAGS="--cfg loom" cargo test --locked --release --target-dir target/loom -p marbledeck-storage --test channel
 
 binding: $(BINDING)/ready
 
--- a/crates/consensus/tests/golden/stored_file.rs
+++ b/crates/consensus/tests/golden/stored_file.rs
@@ -10,7 +10,7 @@
 use flate2::write::GzEncoder;
 use flate2::Compression;
 use marbledeck_consensus::{Operation, PersistedState, Voter};
-use marbledeck_storage::{Disk, Loaded, Write};
+use marbledeck_storage::{StoreFile, StoredContents, WriteBatch};
 use std::fmt::Write as _;
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -102,16 +102,16 @@
 /// Writes a voter's file: the numbers of the other voters' stores, a log, a snapshot, and entries after it.
 fn write_file(folder: &Path) {
     let value = |name: &str, value: &[u8]| (name.to_owned(), Some(value.to_vec()));
-    let (mut disk, _) = Disk::open(folder, STORE_NUMBER).expect("a new file");
+    let (mut disk, _) = StoreFile::open(folder, STORE_NUMBER).expect("a new file");
     let known = vec![
         value(PROVEN, &[1]),
         value("voter/2", &0x2222_2222_2222_2222_u64.to_be_bytes()),
         value("voter/3", &0x3333_3333_3333_3333_u64.to_be_bytes()),
     ];
-    let known = Write {
+    let known = WriteBatch {
         ticket: 1,
         values: known,
-        ..Write::default()
+        ..WriteBatch::default()
     };
     disk.write(&[known]).expect("written");
     let mut single = Single::start(PersistedState::default());
@@ -121,11 +121,11 @@
         single.settle();
     }
     let hard = single.durable.hard_state.clone().expect("a vote");
-    let log = Write {
+    let log = WriteBatch {
         ticket: 2,
         values: vec![value(HARD_STATE, &hard)],
         entries: single.durable.entries.clone(),
-        ..Write::default()
+        ..WriteBatch::default()
     };
     disk.write(&[log]).expect("written");
     for _ in 0..MANY {
@@ -141,17 +141,17 @@
     let hard = single.durable.hard_state.clone().expect("a vote");
     let snapshot = single.durable.snapshot.clone().expect("a snapshot");
     let (first_kept, _) = single.durable.entries.first().expect("entries");
-    let last = Write {
+    let last = WriteBatch {
         ticket: 3,
         values: vec![value(HARD_STATE, &hard), value(SNAPSHOT, &snapshot)],
-        drop_to: Some(first_kept - 1),
+        drop_entries_to: Some(first_kept - 1),
         entries: single.durable.entries.clone(),
     };
     disk.write(&[last]).expect("written");
 }
 
-fn loaded_text(loaded: &Loaded) -> String {
-    let mut text = format!("number: {:016x}\n", loaded.number);
+fn loaded_text(loaded: &StoredContents) -> String {
+    let mut text = format!("number: {:016x}\n", loaded.store_number);
     for (name, value) in &loaded.values {
         writeln!(text, "value {name}: {}", hex(value)).expect("a string takes it");
     }
@@ -161,7 +161,7 @@
     text
 }
 
-fn durable(loaded: Loaded) -> PersistedState {
+fn durable(loaded: StoredContents) -> PersistedState {
     let value = |name: &str| {
         let mut values = loaded.values.iter();
         let found = values.find(|(known, _)| known == name);
@@ -176,7 +176,7 @@
 
 /// Opens the file in this folder, has a voter go on from it, and compares all of it with the snapshots.
 fn assert_file_holds(folder: &Path) {
-    let (_, loaded) = Disk::open(folder, 1).expect("the file");
+    let (_, loaded) = StoreFile::open(folder, 1).expect("the file");
     assert_golden("stored_file", &loaded_text(&loaded));
     let mut single = Single::start(durable(loaded));
     single.elect();
--- a/crates/node/src/consensus/voting.rs
+++ b/crates/node/src/consensus/voting.rs
@@ -9,7 +9,7 @@
     PersistRequest, PersistedState, Voter,
 };
 use marbledeck_dispatcher::Micros;
-use marbledeck_storage::{Done, Loaded, Store, StoreError, Write};
+use marbledeck_storage::{CompletionEvent, Store, StoreError, StoredContents, WriteBatch};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::Read;
 use std::os::unix::net::UnixStream;
@@ -60,8 +60,8 @@
     pub pipe: Token,
     writes: u64,
     purposes: VecDeque<(u64, Purpose)>,
-    /// Writes for which the thread's mailbox had no room.
-    backlog: VecDeque<Write>,
+    /// Writes for which the thread's queue had no room.
+    backlog: VecDeque<WriteBatch>,
     stalled: bool,
     /// That the consensus has stopped here was said.
     reported: bool,
@@ -134,8 +134,8 @@
         let opened = Store::open(&config.store, draw(), pipe);
         let (
             disk,
-            Loaded {
-                number: store,
+            StoredContents {
+                store_number: store,
                 values,
                 entries,
             },
@@ -256,9 +256,9 @@
         if !self.proven && !self.denied && self.welcomes.len() == self.others.len() {
             self.write(
                 Purpose::Proven,
-                Write {
+                WriteBatch {
                     values: vec![(PROVEN.to_owned(), Some(vec![1]))],
-                    ..Write::default()
+                    ..WriteBatch::default()
                 },
             );
         }
@@ -338,7 +338,7 @@
         // After a standstill, one tick is enough: what was missed is not made up for.
         self.due = now + self.span;
         while let Some(write) = self.backlog.pop_front() {
-            if !self.disk.write(write.clone()) {
+            if self.disk.submit(write.clone()).is_err() {
                 self.backlog.push_front(write);
                 break;
             }
@@ -370,11 +370,11 @@
         }
     }
 
-    fn write(&mut self, purpose: Purpose, mut write: Write) {
+    fn write(&mut self, purpose: Purpose, mut write: WriteBatch) {
         self.writes += 1;
         write.ticket = self.writes;
         self.purposes.push_back((self.writes, purpose));
-        if !self.backlog.is_empty() || !self.disk.write(write.clone()) {
+        if !self.backlog.is_empty() || self.disk.submit(write.clone()).is_err() {
             // The disk is far behind: nothing more is taken in before it has caught up.
             self.voter.suspend();
             self.backlog.push_back(write);
@@ -385,9 +385,9 @@
     pub fn stored(&mut self, now: Micros) {
         let mut bytes = [0; 64];
         while matches!(self.out.read(&mut bytes), Ok(n) if n > 0) {}
-        for done in self.disk.take_done() {
+        for done in self.disk.take_events() {
             match done {
-                Done::Written(ticket) => {
+                CompletionEvent::Persisted(ticket) => {
                     if std::mem::take(&mut self.stalled) {
                         log::info!(
                             "agreement: the disk takes writes again; this voter takes part again"
@@ -400,7 +400,7 @@
                         self.written(now, purpose);
                     }
                 }
-                Done::Stalled(e) => {
+                CompletionEvent::Stalled(e) => {
                     if !std::mem::replace(&mut self.stalled, true) {
                         log::error!("agreement: {e}: {}", e.advice());
                     }
@@ -440,9 +440,9 @@
                 );
                 self.write(
                     Purpose::Note(voter),
-                    Write {
+                    WriteBatch {
                         values: vec![value],
-                        ..Write::default()
+                        ..WriteBatch::default()
                     },
                 );
                 self.noting.insert(voter, store);
@@ -502,10 +502,10 @@
 }
 
 /// What is to be durable, as the store has it.
-fn stored(save: PersistRequest) -> Write {
-    let mut write = Write {
+fn stored(save: PersistRequest) -> WriteBatch {
+    let mut write = WriteBatch {
         entries: save.entries,
-        ..Write::default()
+        ..WriteBatch::default()
     };
     write
         .values
@@ -516,7 +516,7 @@
     }) = save.snapshot
     {
         write.values.push((SNAPSHOT.to_owned(), Some(snapshot)));
-        write.drop_to = Some(if save.replaces_log { u64::MAX } else { index });
+        write.drop_entries_to = Some(if save.replaces_log { u64::MAX } else { index });
     }
     write
 }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -2,7 +2,7 @@
 //! follow a renamed item; a snapshot that changes is a change of the file.
 
 use flate2::read::GzDecoder;
-use marbledeck_storage::{Disk, StoreError, Write};
+use marbledeck_storage::{StoreError, StoreFile, WriteBatch};
 use redb::{Database, ReadTransaction, ReadableTable, TableDefinition, TableHandle};
 use std::fmt::Write as _;
 use std::fs::File;
@@ -59,8 +59,8 @@
 
 /// All that can be read through the crate.
 fn loaded_text(folder: &Folder) -> String {
-    let (_, loaded) = Disk::open(&folder.0, 1).expect("the file");
-    let mut text = format!("number: {:016x}\n", loaded.number);
+    let (_, loaded) = StoreFile::open(&folder.0, 1).expect("the file");
+    let mut text = format!("number: {:016x}\n", loaded.store_number);
     for (name, value) in &loaded.values {
         writeln!(text, "value {name}: {}", hex(value)).expect("a string takes it");
     }
@@ -106,42 +106,42 @@
 #[test]
 fn a_file_written_before_takes_further_writes() {
     let folder = Folder::with_fixture("further");
-    let (mut disk, loaded) = Disk::open(&folder.0, 1).expect("the file");
+    let (mut file, loaded) = StoreFile::open(&folder.0, 1).expect("the file");
     let (last, _) = loaded.entries.last().expect("entries");
-    let write = Write {
+    let write = WriteBatch {
         ticket: 1,
         values: vec![
             ("hard".to_owned(), Some(vec![7, 8, 9])),
             ("proven".to_owned(), None),
         ],
-        drop_to: Some(last - 1),
+        drop_entries_to: Some(last - 1),
         entries: vec![(last + 1, b"next".to_vec())],
     };
-    disk.write(&[write]).expect("written");
-    drop(disk);
+    file.write(&[write]).expect("written");
+    drop(file);
     assert_golden("fixture_written_on", &loaded_text(&folder));
 }
 
 #[test]
 fn rows_of_a_new_file() {
     let folder = Folder::new("new");
-    let (mut disk, _) = Disk::open(&folder.0, 0x0123_4567_89ab_cdef).expect("a new file");
+    let (mut file, _) = StoreFile::open(&folder.0, 0x0123_4567_89ab_cdef).expect("a new file");
     let value = |name: &str, value: &[u8]| (name.to_owned(), Some(value.to_vec()));
-    let first = Write {
+    let first = WriteBatch {
         ticket: 1,
         values: vec![value("hard", b"first vote"), value("empty", b"")],
         entries: (1..=4).map(|index| (index, vec![index as u8; 3])).collect(),
-        ..Write::default()
+        ..WriteBatch::default()
     };
-    let second = Write {
+    let second = WriteBatch {
         ticket: 2,
         values: vec![value("hard", b"second vote")],
-        drop_to: Some(1),
+        drop_entries_to: Some(1),
         entries: vec![(4, b"of a later term".to_vec()), (u64::MAX, Vec::new())],
     };
-    disk.write(&[first]).expect("written");
-    disk.write(&[second]).expect("written");
-    drop(disk);
+    file.write(&[first]).expect("written");
+    file.write(&[second]).expect("written");
+    drop(file);
     assert_golden("new_file_rows", &rows_text(&folder));
     assert_golden("new_file_loaded", &loaded_text(&folder));
 }
@@ -150,10 +150,10 @@
 fn errors_and_their_advice() {
     let what = || "what is wrong".to_owned();
     let errors = [
-        StoreError::Folder(what()),
+        StoreError::Directory(std::io::Error::other(what())),
         StoreError::InUse,
         StoreError::Damaged(what()),
-        StoreError::Disk(what()),
+        StoreError::WriteFailed(what()),
     ];
     let mut text = String::new();
     for error in errors {
@@ -162,12 +162,12 @@
     assert_golden("error_texts", &text);
 }
 
-/// A row whose checksum is not its own, and a file of another form.
+/// A row with a wrong checksum, and a file of another format.
 #[test]
-fn damage_is_told_in_these_words() {
+fn texts_of_damage_errors() {
     let cases: [(&str, &str, &[u8]); 2] = [
         ("a wrong checksum", "hard", b"vote\0\0\0\0"),
-        // Form 2, with the checksum of that row.
+        // Format 2, with the checksum of that row.
         (
             "another form",
             "form",
@@ -185,11 +185,11 @@
         }
         write.commit().expect("written");
         drop(file);
-        let word = match Disk::open(&folder.0, 1) {
+        let outcome = match StoreFile::open(&folder.0, 1) {
             Ok(_) => "opened".to_owned(),
             Err(error) => error.to_string(),
         };
-        writeln!(text, "{label}: {word}").expect("a string takes it");
+        writeln!(text, "{label}: {outcome}").expect("a string takes it");
     }
     assert_golden("damage_texts", &text);
 }
--- a/crates/storage/tests/store.rs
+++ b/crates/storage/tests/store.rs
@@ -1,6 +1,6 @@
-//! The store: what was told to be durable is there, and nothing else ever is.
+//! The store returns what was reported as durable, and never anything else.
 
-use marbledeck_storage::{Disk, Done, Store, StoreError, Write};
+use marbledeck_storage::{CompletionEvent, Store, StoreError, StoreFile, WriteBatch};
 use std::io::Read;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
@@ -29,53 +29,53 @@
 }
 
 #[test]
-fn what_was_written_is_there_after_a_restart() {
+fn written_values_and_entries_survive_a_restart() {
     let folder = Folder::new("restart");
-    let (mut disk, loaded) = Disk::open(&folder.0, 77).expect("new");
-    assert_eq!((loaded.number, loaded.entries.len()), (77, 0));
+    let (mut file, loaded) = StoreFile::open(&folder.0, 77).expect("new");
+    assert_eq!((loaded.store_number, loaded.entries.len()), (77, 0));
     let value = |name: &str, value: &[u8]| (name.to_owned(), Some(value.to_vec()));
-    disk.write(&[Write {
+    file.write(&[WriteBatch {
         ticket: 1,
         values: vec![value("hard", b"a")],
         entries: entries(1, 9),
-        ..Write::default()
+        ..WriteBatch::default()
     }])
     .expect("written");
     // A later leader's entries replace the end; a snapshot drops the beginning.
-    disk.write(&[Write {
+    file.write(&[WriteBatch {
         entries: vec![(6, b"new".to_vec())],
-        ..Write::default()
+        ..WriteBatch::default()
     }])
     .expect("written");
-    disk.write(&[Write {
-        drop_to: Some(3),
+    file.write(&[WriteBatch {
+        drop_entries_to: Some(3),
         values: vec![value("hard", b"b")],
-        ..Write::default()
+        ..WriteBatch::default()
     }])
     .expect("written");
-    drop(disk);
-    let (_, loaded) = Disk::open(&folder.0, 5).expect("there");
-    assert_eq!(loaded.number, 77);
+    drop(file);
+    let (_, loaded) = StoreFile::open(&folder.0, 5).expect("there");
+    assert_eq!(loaded.store_number, 77);
     assert_eq!(loaded.values, [("hard".to_owned(), b"b".to_vec())]);
     let indexes: Vec<u64> = loaded.entries.iter().map(|(n, _)| *n).collect();
     assert_eq!(indexes, [4, 5, 6]);
     assert_eq!(loaded.entries[2].1, b"new");
 }
 
-/// Cut at many places, or with a byte flipped: what can be opened holds what was written, or less by whole writes; it
-/// never holds anything else.
+/// A file that is cut or has a flipped byte, at many places: where it can be opened, it holds what was written, or less by
+/// complete writes, and never anything else.
 #[test]
 fn a_damaged_file_invents_nothing() {
     let folder = Folder::new("damaged");
-    let (mut disk, _) = Disk::open(&folder.0, 1).expect("new");
+    let (mut file, _) = StoreFile::open(&folder.0, 1).expect("new");
     for n in 1..=8 {
-        disk.write(&[Write {
+        file.write(&[WriteBatch {
             entries: entries(n, n),
-            ..Write::default()
+            ..WriteBatch::default()
         }])
         .expect("written");
     }
-    drop(disk);
+    drop(file);
     let path = folder.0.join("agreement.redb");
     let whole = std::fs::read(&path).expect("there");
     let (mut refused, mut opened) = (0, 0);
@@ -83,13 +83,14 @@
     for cut in [true, false] {
         for &at in &places {
             let mut bytes = whole.clone();
-            match cut {
-                true => bytes.truncate(at),
-                false => bytes[at] ^= 0x10,
+            if cut {
+                bytes.truncate(at);
+            } else {
+                bytes[at] ^= 0x10;
             }
-            // An empty file is a lost one: it has another number, by which the other voters know.
+            // An empty file counts as a new store with another number, by which the other voters recognise the loss.
             std::fs::write(&path, &bytes).expect("written");
-            match Disk::open(&folder.0, 999) {
+            match StoreFile::open(&folder.0, 999) {
                 Ok((_, loaded)) => {
                     opened += 1;
                     let said: Vec<_> = loaded
@@ -98,12 +99,15 @@
                         .filter(|entry| !entries(1, 8).contains(entry))
                         .collect();
                     assert!(said.is_empty(), "at {at}: {said:?}");
-                    assert!(loaded.number == 1 || loaded.entries.is_empty(), "at {at}");
+                    assert!(
+                        loaded.store_number == 1 || loaded.entries.is_empty(),
+                        "at {at}"
+                    );
                 }
                 Err(e) => {
                     refused += 1;
                     assert!(
-                        matches!(e, StoreError::Damaged(_) | StoreError::Folder(_)),
+                        matches!(e, StoreError::Damaged(_) | StoreError::Directory(_)),
                         "{e}"
                     );
                     assert!(e.advice().contains(' '));
@@ -118,22 +122,24 @@
 }
 
 #[test]
-fn the_thread_tells_in_order_and_wakes_the_loop() {
+fn completion_events_come_in_order_and_wake_the_loop() {
     let folder = Folder::new("thread");
     let (mut out, pipe) = UnixStream::pair().expect("a pipe");
     let (store, _) = Store::open(&folder.0, 1, pipe).expect("new");
     for ticket in 1..=50 {
-        assert!(store.write(Write {
-            ticket,
-            entries: entries(ticket, ticket),
-            ..Write::default()
-        }));
+        store
+            .submit(WriteBatch {
+                ticket,
+                entries: entries(ticket, ticket),
+                ..WriteBatch::default()
+            })
+            .expect("the queue has room");
     }
     let (mut last, mut byte) = (0, [0; 1]);
     while last < 50 {
         out.read_exact(&mut byte).expect("a byte");
-        for done in store.take_done() {
-            let Done::Written(ticket) = done else {
+        for done in store.take_events() {
+            let CompletionEvent::Persisted(ticket) = done else {
                 panic!("{done:?}");
             };
             assert!(ticket > last);
@@ -141,13 +147,16 @@
         }
     }
     drop(store);
-    let (_, loaded) = Disk::open(&folder.0, 1).expect("there");
+    let (_, loaded) = StoreFile::open(&folder.0, 1).expect("there");
     assert_eq!(loaded.entries.len(), 50);
 }
 
 #[test]
 fn two_processes_do_not_share_a_store() {
     let folder = Folder::new("shared");
-    let (_first, _) = Disk::open(&folder.0, 1).expect("new");
-    assert!(matches!(Disk::open(&folder.0, 2), Err(StoreError::InUse)));
+    let (_first, _) = StoreFile::open(&folder.0, 1).expect("new");
+    assert!(matches!(
+        StoreFile::open(&folder.0, 2),
+        Err(StoreError::InUse)
+    ));
 }
