--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model/main.rs
@@ -1,84 +1,19 @@
-//! Readings, activation and seats in every order of what can happen, up to a bound: two nodes, one seat, an exclusive
-//! record. Questions and commands are lost, repeated and late; nodes crash and start anew; the leader changes; a node that
-//! does nothing for a while stands still. The book, the reader, the allocator and the reclaimer are the real ones.
+//! Model checking of leased reads, activation and licence seats, in every order of events up to a depth: two nodes, one
+//! seat, an exclusive record. Read requests and commands are lost, repeated and late; nodes crash and restart; the leader
+//! changes; a node without an event stands still. The replicated state, the reader, the allocator and the reclaimer are the
+//! real ones.
+
+mod state;
 
 use marbledeck_consensus::wire::ReadResponse;
 use marbledeck_consensus::{
-    Change, Command, LeaseReclaimer, LeaseTerms, LeasedReader, Operation, ReadTicket, Record,
-    RecordBody, RecordValidity, ReplicatedState,
-};
-use marbledeck_dispatcher::Micros;
-use marbledeck_licensing::{
-    ConfirmedSeats, Holder, LedgerCommand, LicenceId, NumberedCommand, Pool, SeatAllocator,
+    Command, LeaseReclaimer, Operation, ReadTicket, RecordBody, ReplicatedState,
 };
+use marbledeck_licensing::{Holder, LedgerCommand, Pool};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
-use std::hash::{Hash, Hasher};
-
-const TICK: u64 = 1_000_000;
-/// A reading holds for a tick, and a call runs for one at most.
-const TERMS: LeaseTerms = LeaseTerms {
-    duration: Micros(TICK),
-    clock_drift: 0.0,
-};
-const RUN: u64 = 1;
-const SEAT: &[LicenceId] = &[LicenceId(0)];
-
-/// By what it shows: everything of it counts.
-#[derive(Clone, Debug)]
-struct Shown<T>(T);
-
-impl<T: std::fmt::Debug> Hash for Shown<T> {
-    fn hash<H: Hasher>(&self, state: &mut H) {
-        format!("{:?}", self.0).hash(state);
-    }
-}
-
-impl<T: std::fmt::Debug> PartialEq for Shown<T> {
-    fn eq(&self, other: &Self) -> bool {
-        format!("{:?}", self.0) == format!("{:?}", other.0)
-    }
-}
-
-#[derive(Clone, Debug, Hash, PartialEq)]
-struct Node {
-    reader: Shown<LeasedReader>,
-    allocator: Shown<SeatAllocator>,
-    boot: u64,
-    /// Its calls whose end it has not heard: when each was sent, and when it ends at its worker.
-    calls: Vec<(u64, u64)>,
-}
 
-#[derive(Clone, Debug, Hash, PartialEq)]
-enum Msg {
-    Question {
-        node: u32,
-        boot: u64,
-        question: u64,
-        known: u64,
-    },
-    ReadResponse {
-        node: u32,
-        boot: u64,
-        answer: Shown<ReadResponse>,
-    },
-    Command(Shown<Command>),
-}
-
-#[derive(Clone, Debug, Hash, PartialEq)]
-struct State {
-    at: u64,
-    book: Shown<ReplicatedState>,
-    reclaimer: Shown<LeaseReclaimer>,
-    nodes: Vec<Node>,
-    msgs: Vec<Msg>,
-    /// When the calls that run at workers end.
-    running: Vec<u64>,
-    crashes: u8,
-    leaders: u8,
-    changes: u64,
-    asks: u8,
-}
+use state::{before, node, now, put, Msg, Node, Shown, State, RUN, SEAT, TERMS, TICK};
 
 #[derive(Clone, Debug, PartialEq)]
 enum Act {
@@ -111,78 +46,6 @@
     held: bool,
 }
 
-impl Node {
-    fn read(&mut self, time: Micros, answer: &ReadResponse) {
-        let reader = &mut self.reader.0;
-        if !reader.apply_response(time, answer) {
-            return;
-        }
-        let pools = match reader.validity(time, "seats/av1") {
-            RecordValidity::Active(Record {
-                body: Some(RecordBody::Pool(pool)),
-                ..
-            }) => {
-                vec![("av1".to_owned(), Micros(pool.longest_run_ms * 1000))]
-            }
-            _ => Vec::new(),
-        };
-        let (until, parts) = (reader.lease_expiry(), answer.held_seats());
-        self.allocator.0.apply_confirmed(&ConfirmedSeats {
-            free_seats: answer.free_seats.clone(),
-            lease_expiry: until,
-            last_applied_command: answer.last_seat_operation,
-            allocations: parts,
-            pools,
-        });
-    }
-}
-
-fn node() -> Node {
-    let allocator = SeatAllocator::new(vec!["av1".into()], Vec::new(), Micros(100 * TICK));
-    Node {
-        reader: Shown(LeasedReader::new(TERMS)),
-        allocator: Shown(allocator),
-        boot: 1,
-        calls: Vec::new(),
-    }
-}
-
-fn put(record: &str, version: u64, body: RecordBody) -> Operation {
-    Operation::Change(Change {
-        expect: [(record.to_owned(), version)].into(),
-        put: [(record.to_owned(), Some(body))].into(),
-        exclusive: [record.to_owned()].into(),
-    })
-}
-
-/// Long before all that is played.
-fn before() -> Micros {
-    Micros(TICK)
-}
-
-fn now(at: u64) -> Micros {
-    // Not from 0: that is a time before all others.
-    Micros((at + 10) * TICK)
-}
-
-impl State {
-    fn command(&mut self, what: Operation) {
-        self.book.0.apply(&Command {
-            node: 0,
-            incarnation: 0,
-            number: 0,
-            operation: what,
-        });
-    }
-
-    fn version(&self, node: &Node) -> Option<u64> {
-        match node.reader.0.validity(now(self.at), "workers/out") {
-            RecordValidity::Active(record) => Some(record.version),
-            _ => None,
-        }
-    }
-}
-
 impl Model for Fleet {
     type State = State;
     type Action = Act;
@@ -302,91 +165,21 @@
         }
     }
 
-    #[expect(
-        clippy::too_many_lines,
-        reason = "to be split by kind of message or action"
-    )]
     fn next_state(&self, last: &State, action: Act) -> Option<State> {
         let mut state = last.clone();
         let time = now(state.at);
         match action {
-            Act::Tick => {
-                state.at += 1;
-                let at = state.at;
-                state.running.retain(|end| *end > at);
-            }
+            Act::Tick => state.tick(),
             Act::Ask(n) => {
                 state.asks += u8::from(self.held);
-                let node = &mut state.nodes[n];
-                if let Some(NumberedCommand {
-                    number,
-                    command: what,
-                }) = node.allocator.0.poll_command(time)
-                {
-                    let command = Command {
-                        node: n as u32,
-                        incarnation: node.boot,
-                        number,
-                        operation: Operation::Seats(what),
-                    };
-                    state.msgs.push(Msg::Command(Shown(command)));
-                }
-                let ReadTicket {
-                    request_id: question,
-                    known_revision: known,
-                } = node.reader.0.begin_read(time);
-                let boot = node.boot;
-                state.msgs.push(Msg::Question {
-                    node: n as u32,
-                    boot,
-                    question,
-                    known,
-                });
-            }
-            Act::ReadResponse(m) => {
-                let Msg::Question {
-                    node,
-                    boot,
-                    question,
-                    known,
-                } = state.msgs.remove(m)
-                else {
-                    return None;
-                };
-                let answer = ReadResponse::new(&state.book.0, node, boot, question, known);
-                state.msgs.push(Msg::ReadResponse {
-                    node,
-                    boot,
-                    answer: Shown(answer),
-                });
+                state.send_request(n);
             }
-            Act::Deliver(m) => match state.msgs.remove(m) {
-                Msg::Command(command) => drop(state.book.0.apply(&command.0)),
-                Msg::ReadResponse { node, boot, answer } => {
-                    let node = &mut state.nodes[node as usize];
-                    if node.boot == boot {
-                        node.read(time, &answer.0);
-                    }
-                }
-                Msg::Question { .. } => return None,
-            },
+            Act::ReadResponse(m) => state.answer_request(m)?,
+            Act::Deliver(m) => state.deliver(m)?,
             Act::Lose(m) => drop(state.msgs.remove(m)),
             Act::Repeat(m) => state.msgs.push(state.msgs[m].clone()),
-            Act::Call(n) => {
-                let node = &mut state.nodes[n];
-                if node.allocator.0.acquire(time, SEAT, 0).is_ok() {
-                    let end = state.at + RUN;
-                    node.calls.push((state.at, end));
-                    state.running.push(end);
-                }
-            }
-            Act::End(n, known) => {
-                let node = &mut state.nodes[n];
-                let over = |(_, end): &(u64, u64)| !known || *end <= state.at;
-                let at = node.calls.iter().position(over)?;
-                let (sent, _) = node.calls.remove(at);
-                node.allocator.0.release(now(sent), SEAT, 0, known);
-            }
+            Act::Call(n) => state.begin_attempt(n),
+            Act::End(n, known) => state.end_attempt(n, known)?,
             Act::Crash(n) => {
                 let boot = state.nodes[n].boot + 1;
                 state.nodes[n] = Node { boot, ..node() };
@@ -396,18 +189,10 @@
                 state.reclaimer = Shown(LeaseReclaimer::new(time, TERMS));
                 state.leaders += 1;
             }
-            Act::Suspect(n) => {
-                let boot = state.nodes[n].boot;
-                state.command(Operation::Seats(LedgerCommand::Reclaim {
-                    node: n as u32,
-                    incarnation: boot,
-                }));
-                // It observes the draining seats at once.
-                let _ = state.reclaimer.0.poll_operations(time, &state.book.0);
-            }
+            Act::Suspect(n) => state.suspect(n),
             Act::Watch => {
-                for what in state.reclaimer.0.poll_operations(time, &last.book.0) {
-                    state.command(what);
+                for operation in state.reclaimer.0.poll_operations(time, &last.book.0) {
+                    state.command(operation);
                 }
             }
             Act::Change => {
