--- a/crates/consensus/src/lease_reclaimer.rs
+++ b/crates/consensus/src/lease_reclaimer.rs
@@ -55,7 +55,7 @@
         operations
     }
 
-    /// Reclaims the seats of nodes that were restarted, or that no voter has heard from.
+    /// Reclaims the seats of nodes that were restarted, or that no voter had contact with.
     fn reclaim_seats(&self, now: Micros, state: &ReplicatedState) -> Vec<Operation> {
         // A node with a valid lease has contacted a voter within the lease; the same time again lets contact reports
         // reach the leader.
--- a/crates/consensus/tests/fleet/world.rs
+++ b/crates/consensus/tests/fleet/world.rs
@@ -61,7 +61,7 @@
         boot: u64,
         saves: Vec<PersistRequest>,
     },
-    Heard {
+    ContactReport {
         to: u64,
         nodes: Vec<(u32, u64)>,
     },
@@ -106,7 +106,7 @@
     pub boot: u64,
     pub asks: BTreeMap<u64, (usize, u64, u64, u64)>,
     pub next: u64,
-    pub heard: BTreeMap<u32, u64>,
+    pub contacts: BTreeMap<u32, u64>,
 }
 
 pub struct Node {
@@ -194,7 +194,7 @@
             boot: 1,
             asks: BTreeMap::new(),
             next: 0,
-            heard: BTreeMap::new(),
+            contacts: BTreeMap::new(),
         };
         let seats = ids.iter().map(|id| seat(*id)).collect();
         let node = |rng: &mut Rng| Node {
@@ -344,7 +344,8 @@
                 }
             }
             if self.at.is_multiple_of(500_000) && seat.voter.is_some() {
-                let nodes: Vec<(u32, u64)> = std::mem::take(&mut seat.heard).into_iter().collect();
+                let nodes: Vec<(u32, u64)> =
+                    std::mem::take(&mut seat.contacts).into_iter().collect();
                 if let Some(reclaimer) = &mut seat.reclaimer {
                     for (node, boot) in &nodes {
                         reclaimer.record_contact(Micros(at), *node, *boot);
@@ -352,7 +353,7 @@
                 }
                 for to in (1..=self.seats.len() as u64).filter(|to| *to != id) {
                     let nodes = nodes.clone();
-                    self.send(id, to, Msg::Heard { to, nodes });
+                    self.send(id, to, Msg::ContactReport { to, nodes });
                 }
             }
         }
--- a/crates/consensus/tests/fleet/world/deliver.rs
+++ b/crates/consensus/tests/fleet/world/deliver.rs
@@ -26,7 +26,7 @@
             } => self.deliver_request(to, (node, question, known, boot), &commands),
             Msg::ReadResponse { node, boot, answer } => self.deliver_response(node, boot, &answer),
             Msg::Saved { voter, boot, saves } => self.deliver_persisted(voter, boot, &saves),
-            Msg::Heard { to, nodes } => {
+            Msg::ContactReport { to, nodes } => {
                 let at = self.at;
                 if let Some(reclaimer) = &mut self.seats[to as usize - 1].reclaimer {
                     for (node, boot) in nodes {
@@ -43,7 +43,7 @@
         if let Some(voter) = &mut seat.voter {
             seat.next += 1;
             seat.asks.insert(seat.next, request);
-            seat.heard.insert(node as u32, boot);
+            seat.contacts.insert(node as u32, boot);
             voter.request_read(seat.next);
             for command in commands.iter().take(MAX_COMMANDS_PER_REQUEST) {
                 voter.propose(command);
--- a/crates/consensus/tests/golden/state.rs
+++ b/crates/consensus/tests/golden/state.rs
@@ -132,7 +132,7 @@
     assert_golden("state", &text);
 }
 
-/// What nodes are told of the state at the history's end.
+/// The responses that nodes get at the history's end.
 #[test]
 fn answers_from_the_state() {
     let mut book = ReplicatedState::default();
--- a/crates/consensus/tests/golden/texts.rs
+++ b/crates/consensus/tests/golden/texts.rs
@@ -1,4 +1,4 @@
-//! What operators are told of changes that are not taken, and of voters that cannot work.
+//! Error texts for operators: rejected changes, and voters that cannot work.
 
 use crate::assert_golden;
 use crate::samples::{bodies, change, names, pool, put, rates, refusals, site};
@@ -39,7 +39,7 @@
     put(&[(name, 0, Some(body))], &[])
 }
 
-/// Changes that no state would take, with what their sender is told.
+/// Changes that every state rejects, with their errors.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn changes_that_are_refused_without_the_state() {
--- a/crates/consensus/tests/model/state.rs
+++ b/crates/consensus/tests/model/state.rs
@@ -39,7 +39,7 @@
     pub reader: Shown<LeasedReader>,
     pub allocator: Shown<SeatAllocator>,
     pub boot: u64,
-    /// Its calls whose end it has not heard: when each was sent, and when it ends at its worker.
+    /// Its attempts whose end it does not know: when each was sent, and when it ends at its worker.
     pub calls: Vec<(u64, u64)>,
 }
 
