--- a/crates/consensus/tests/golden/state.rs
+++ b/crates/consensus/tests/golden/state.rs
@@ -2,42 +2,56 @@
 
 use crate::samples::{command, give_back, names, pool, put, rates, site, want};
 use crate::{assert_golden, json, json_line};
-use marbledeck_consensus::wire::Answer;
-use marbledeck_consensus::{Body, Book, Command, What};
-use marbledeck_licensing::Move;
+use marbledeck_consensus::wire::ReadResponse;
+use marbledeck_consensus::{Command, Operation, RecordBody, ReplicatedState};
+use marbledeck_licensing::LedgerCommand;
 
 /// Commands that bring every part of the state about: records that are written, exclusive and removed; seats that are
 /// held, owed and draining; nodes with a last command of each stream, and one that was refused.
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 pub fn history() -> Vec<(&'static str, Command)> {
     let pools = put(
         &[
-            ("seats/aac", 0, Some(Body::Pool(pool(3, &[])))),
-            ("seats/av1", 0, Some(Body::Pool(pool(10, &[])))),
+            ("seats/aac", 0, Some(RecordBody::Pool(pool(3, &[])))),
+            ("seats/av1", 0, Some(RecordBody::Pool(pool(10, &[])))),
         ],
         &[],
     );
     let settings = put(
         &[
-            ("settings/rates", 0, Some(Body::Rates(rates()))),
-            ("workers/out", 0, Some(Body::Out(names(&["worker-1"])))),
+            ("settings/rates", 0, Some(RecordBody::Rates(rates()))),
+            (
+                "workers/out",
+                0,
+                Some(RecordBody::OutOfService(names(&["worker-1"]))),
+            ),
         ],
         &["settings/rates"],
     );
     let sites = put(
         &[
-            ("sites/east", 0, Some(Body::Site(site("127.0.0.1:7001")))),
-            ("sites/west", 0, Some(Body::Site(site("[::1]:7002")))),
+            (
+                "sites/east",
+                0,
+                Some(RecordBody::Site(site("127.0.0.1:7001"))),
+            ),
+            ("sites/west", 0, Some(RecordBody::Site(site("[::1]:7002")))),
         ],
         &["sites/west"],
     );
     let guarantee = put(
-        &[("seats/av1", 1, Some(Body::Pool(pool(10, &[("news", 4)]))))],
+        &[(
+            "seats/av1",
+            1,
+            Some(RecordBody::Pool(pool(10, &[("news", 4)]))),
+        )],
         &[],
     );
     let removal = put(&[("seats/aac", 1, None)], &[]);
     let outdated = put(&[("workers/out", 0, None)], &[]);
-    let change = |node, boot, number, change| command(node, boot, number, What::Change(change));
-    let seats = |node, boot, number, what| command(node, boot, number, What::Seats(what));
+    let change =
+        |node, boot, number, change| command(node, boot, number, Operation::Change(change));
+    let seats = |node, boot, number, what| command(node, boot, number, Operation::Seats(what));
     vec![
         ("pools", change(1, 100, 1, pools)),
         ("settings", change(1, 100, 2, settings)),
@@ -66,7 +80,15 @@
         ("an outdated change", change(3, 300, 1, outdated)),
         (
             "node 3 is gone",
-            seats(0, 0, 0, Move::Reclaim { node: 3, boot: 300 }),
+            seats(
+                0,
+                0,
+                0,
+                LedgerCommand::Reclaim {
+                    node: 3,
+                    incarnation: 300,
+                },
+            ),
         ),
         (
             "node 1 starts anew",
@@ -82,9 +104,9 @@
                 0,
                 0,
                 0,
-                Move::Free {
+                LedgerCommand::FreeDrained {
                     pool: "aac".into(),
-                    ebb: 0,
+                    draining_id: 0,
                 },
             ),
         ),
@@ -95,10 +117,10 @@
 
 #[test]
 fn state_after_each_command() {
-    let mut book = Book::default();
+    let mut book = ReplicatedState::default();
     let mut text = json_line("empty", &book);
     for (label, command) in history() {
-        let mut decoded: Book = serde_json::from_str(&json(&book)).expect("a snapshot");
+        let mut decoded: ReplicatedState = serde_json::from_str(&json(&book)).expect("a snapshot");
         let outcome = book.apply(&command);
         assert!(
             decoded.apply(&command) == outcome && decoded == book,
@@ -110,10 +132,10 @@
     assert_golden("state", &text);
 }
 
-/// What nodes are told of the state at the history's end.
+/// The responses that nodes get at the history's end.
 #[test]
 fn answers_from_the_state() {
-    let mut book = Book::default();
+    let mut book = ReplicatedState::default();
     for (_, command) in history() {
         book.apply(&command);
     }
@@ -127,7 +149,7 @@
     ];
     let mut text = String::new();
     for (question, (label, node, boot, known)) in askers.into_iter().enumerate() {
-        let answer = Answer::of(&book, node, boot, question as u64, known);
+        let answer = ReadResponse::new(&book, node, boot, question as u64, known);
         text += &json_line(label, &answer);
     }
     assert_golden("answers", &text);
--- a/crates/consensus/tests/golden/stored_file.rs
+++ b/crates/consensus/tests/golden/stored_file.rs
@@ -9,8 +9,8 @@
 use flate2::read::GzDecoder;
 use flate2::write::GzEncoder;
 use flate2::Compression;
-use marbledeck_consensus::{Durable, Voter, What};
-use marbledeck_storage::{Disk, Loaded, Write};
+use marbledeck_consensus::{Operation, PersistedState, Voter};
+use marbledeck_storage::{StoreFile, StoredContents, WriteBatch};
 use std::fmt::Write as _;
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -65,31 +65,31 @@
 /// A fleet of this one voter, with what it stores.
 struct Single {
     voter: Voter,
-    durable: Durable,
+    durable: PersistedState,
 }
 
 impl Single {
-    fn start(durable: Durable) -> Self {
+    fn start(durable: PersistedState) -> Self {
         let voter = Voter::new(1, &[1], 1, &durable).expect("a voter");
         Single { voter, durable }
     }
 
     fn settle(&mut self) {
         loop {
-            let work = self.voter.work();
-            if work.saves.is_empty() {
+            let work = self.voter.poll_effects();
+            if work.persist_requests.is_empty() {
                 return;
             }
-            for save in work.saves {
+            for save in work.persist_requests {
                 store(&mut self.durable, &save);
-                self.voter.saved(save.ticket);
+                self.voter.handle_persisted(save.ticket);
             }
         }
     }
 
     fn elect(&mut self) {
         for _ in 0..MOST_TICKS {
-            if self.voter.leads() {
+            if self.voter.is_leader() {
                 return;
             }
             self.voter.tick();
@@ -102,30 +102,30 @@
 /// Writes a voter's file: the numbers of the other voters' stores, a log, a snapshot, and entries after it.
 fn write_file(folder: &Path) {
     let value = |name: &str, value: &[u8]| (name.to_owned(), Some(value.to_vec()));
-    let (mut disk, _) = Disk::open(folder, STORE_NUMBER).expect("a new file");
+    let (mut disk, _) = StoreFile::open(folder, STORE_NUMBER).expect("a new file");
     let known = vec![
         value(PROVEN, &[1]),
         value("voter/2", &0x2222_2222_2222_2222_u64.to_be_bytes()),
         value("voter/3", &0x3333_3333_3333_3333_u64.to_be_bytes()),
     ];
-    let known = Write {
+    let known = WriteBatch {
         ticket: 1,
         values: known,
-        ..Write::default()
+        ..WriteBatch::default()
     };
     disk.write(&[known]).expect("written");
-    let mut single = Single::start(Durable::default());
+    let mut single = Single::start(PersistedState::default());
     single.elect();
     for (_, command) in history() {
         single.voter.propose(&command);
         single.settle();
     }
-    let hard = single.durable.hard.clone().expect("a vote");
-    let log = Write {
+    let hard = single.durable.hard_state.clone().expect("a vote");
+    let log = WriteBatch {
         ticket: 2,
         values: vec![value(HARD_STATE, &hard)],
         entries: single.durable.entries.clone(),
-        ..Write::default()
+        ..WriteBatch::default()
     };
     disk.write(&[log]).expect("written");
     for _ in 0..MANY {
@@ -134,24 +134,24 @@
     single.settle();
     for number in 3..=5 {
         let want = want("av1", "news", number as u32);
-        let command = command(2, 200, number, What::Seats(want));
+        let command = command(2, 200, number, Operation::Seats(want));
         single.voter.propose(&command);
         single.settle();
     }
-    let hard = single.durable.hard.clone().expect("a vote");
+    let hard = single.durable.hard_state.clone().expect("a vote");
     let snapshot = single.durable.snapshot.clone().expect("a snapshot");
     let (first_kept, _) = single.durable.entries.first().expect("entries");
-    let last = Write {
+    let last = WriteBatch {
         ticket: 3,
         values: vec![value(HARD_STATE, &hard), value(SNAPSHOT, &snapshot)],
-        drop_to: Some(first_kept - 1),
+        drop_entries_to: Some(first_kept - 1),
         entries: single.durable.entries.clone(),
     };
     disk.write(&[last]).expect("written");
 }
 
-fn loaded_text(loaded: &Loaded) -> String {
-    let mut text = format!("number: {:016x}\n", loaded.number);
+fn loaded_text(loaded: &StoredContents) -> String {
+    let mut text = format!("number: {:016x}\n", loaded.store_number);
     for (name, value) in &loaded.values {
         writeln!(text, "value {name}: {}", hex(value)).expect("a string takes it");
     }
@@ -161,14 +161,14 @@
     text
 }
 
-fn durable(loaded: Loaded) -> Durable {
+fn durable(loaded: StoredContents) -> PersistedState {
     let value = |name: &str| {
         let mut values = loaded.values.iter();
         let found = values.find(|(known, _)| known == name);
         found.map(|(_, value)| value.clone())
     };
-    Durable {
-        hard: value(HARD_STATE),
+    PersistedState {
+        hard_state: value(HARD_STATE),
         snapshot: value(SNAPSHOT),
         entries: loaded.entries.clone(),
     }
@@ -176,11 +176,11 @@
 
 /// Opens the file in this folder, has a voter go on from it, and compares all of it with the snapshots.
 fn assert_file_holds(folder: &Path) {
-    let (_, loaded) = Disk::open(folder, 1).expect("the file");
+    let (_, loaded) = StoreFile::open(folder, 1).expect("the file");
     assert_golden("stored_file", &loaded_text(&loaded));
     let mut single = Single::start(durable(loaded));
     single.elect();
-    assert_golden("stored_state", &json(single.voter.book()));
+    assert_golden("stored_state", &json(single.voter.state()));
 }
 
 #[test]
--- a/crates/node/src/consensus/applied.rs
+++ b/crates/node/src/consensus/applied.rs
@@ -1,9 +1,9 @@
 //! What the records mean to this node: rate limits, workers out of service, licence seats.
 
 use crate::context::Context;
-use marbledeck_consensus::{Acting, Body, Reader, Record};
+use marbledeck_consensus::{LeasedReader, Record, RecordBody, RecordValidity};
 use marbledeck_dispatcher::Micros;
-use marbledeck_licensing::Reading;
+use marbledeck_licensing::ConfirmedSeats;
 use marbledeck_membership::{MembershipChange, SourceId, SourceReport, Status};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -47,7 +47,7 @@
         let Some(reader) = &context.records.reader else {
             return;
         };
-        let is_valid = reader.holds(now);
+        let is_valid = reader.has_lease(now);
         let is_due = self.next_change.is_some_and(|due| now >= due);
         let is_new = context.records.readings != self.readings;
         if !is_new && is_valid == self.was_valid && !is_due {
@@ -56,8 +56,11 @@
         self.log_validity(is_valid, reader);
         self.readings = context.records.readings;
         self.was_valid = is_valid;
-        let valid_until = Some(reader.until()).filter(|until| *until > now);
-        self.next_change = valid_until.into_iter().chain(reader.next_change(now)).min();
+        let valid_until = Some(reader.lease_expiry()).filter(|until| *until > now);
+        self.next_change = valid_until
+            .into_iter()
+            .chain(reader.next_activation(now))
+            .min();
         let out_of_service = self.out_of_service_by_records(now, reader);
         let rates = rates_by_records(now, reader);
         if is_new || is_due {
@@ -69,7 +72,7 @@
         self.apply_out_of_service(now, out_of_service, context);
     }
 
-    fn log_validity(&self, is_valid: bool, reader: &Reader) {
+    fn log_validity(&self, is_valid: bool, reader: &LeasedReader) {
         if self.was_valid && !is_valid {
             log::warn!("agreement: no voter has confirmed this node's reading; the records' fallbacks hold");
         } else if is_valid && !self.was_valid {
@@ -79,16 +82,18 @@
 
     /// The workers that are out of service. Where the list may have changed, nobody goes back in before the new one is
     /// in force.
-    fn out_of_service_by_records(&self, now: Micros, reader: &Reader) -> BTreeSet<String> {
-        match reader.acting(now, OUT_OF_SERVICE_RECORD) {
-            Acting::On(record) => out_of_service_in(record).cloned().unwrap_or_default(),
-            Acting::Without(record, before) => {
-                let both = [Some(record), before];
+    fn out_of_service_by_records(&self, now: Micros, reader: &LeasedReader) -> BTreeSet<String> {
+        match reader.validity(now, OUT_OF_SERVICE_RECORD) {
+            RecordValidity::Active(record) => {
+                out_of_service_in(record).cloned().unwrap_or_default()
+            }
+            RecordValidity::Unconfirmed { latest, previous } => {
+                let both = [Some(latest), previous];
                 let lists = both.into_iter().flatten().filter_map(out_of_service_in);
                 lists.flatten().cloned().collect()
             }
-            Acting::Between => self.out_of_service.clone(),
-            Acting::Never => BTreeSet::new(),
+            RecordValidity::Pending => self.out_of_service.clone(),
+            RecordValidity::Unknown => BTreeSet::new(),
         }
     }
 
@@ -135,25 +140,30 @@
 
 fn out_of_service_in(record: &Record) -> Option<&BTreeSet<String>> {
     match &record.body {
-        Some(Body::Out(out)) => Some(out),
+        Some(RecordBody::OutOfService(out)) => Some(out),
         _ => None,
     }
 }
 
 /// The rates to act on; none where those of before stay.
-fn rates_by_records(now: Micros, reader: &Reader) -> Option<Rates> {
-    match reader.acting(now, RATES_RECORD) {
-        Acting::On(record) | Acting::Without(record, None) => Some(rates_in(record)),
-        Acting::Without(record, Some(before)) => {
-            Some(stricter(rates_in(record), &rates_in(before)))
-        }
-        Acting::Between | Acting::Never => None,
+fn rates_by_records(now: Micros, reader: &LeasedReader) -> Option<Rates> {
+    match reader.validity(now, RATES_RECORD) {
+        RecordValidity::Active(record)
+        | RecordValidity::Unconfirmed {
+            latest: record,
+            previous: None,
+        } => Some(rates_in(record)),
+        RecordValidity::Unconfirmed {
+            latest,
+            previous: Some(previous),
+        } => Some(stricter(rates_in(latest), &rates_in(previous))),
+        RecordValidity::Pending | RecordValidity::Unknown => None,
     }
 }
 
 fn rates_in(record: &Record) -> Rates {
     match &record.body {
-        Some(Body::Rates(rates)) => rates.per_s.clone(),
+        Some(RecordBody::Rates(rates)) => rates.per_s.clone(),
         _ => Rates::new(),
     }
 }
@@ -175,20 +185,20 @@
         return;
     };
     let answer = &context.records.answer;
-    licensing.desk.read(&Reading {
-        free: answer.free.clone(),
-        until: reader.until(),
-        done: answer.moved,
-        parts: answer.held(),
+    licensing.allocator.apply_confirmed(&ConfirmedSeats {
+        free_seats: answer.free_seats.clone(),
+        lease_expiry: reader.lease_expiry(),
+        last_applied_command: answer.last_seat_operation,
+        allocations: answer.held_seats(),
         pools: pools_in_force(now, reader),
     });
 }
 
 /// The licence pools, and how long an attempt under each may run.
-fn pools_in_force(now: Micros, reader: &Reader) -> Vec<(String, Micros)> {
-    let pool = |record: &str| match reader.acting(now, record) {
-        Acting::On(Record {
-            body: Some(Body::Pool(pool)),
+fn pools_in_force(now: Micros, reader: &LeasedReader) -> Vec<(String, Micros)> {
+    let pool = |record: &str| match reader.validity(now, record) {
+        RecordValidity::Active(Record {
+            body: Some(RecordBody::Pool(pool)),
             ..
         }) => {
             let name = record.strip_prefix(POOL_PREFIX)?.to_owned();
@@ -196,5 +206,5 @@
         }
         _ => None,
     };
-    reader.names().filter_map(pool).collect()
+    reader.record_names().filter_map(pool).collect()
 }
--- a/crates/node/src/consensus/config.rs
+++ b/crates/node/src/consensus/config.rs
@@ -2,7 +2,7 @@
 
 use crate::config_error::ConfigError;
 use crate::config_file::{check_ranges, milliseconds, parse_address, RangeCheck};
-use marbledeck_consensus::Terms;
+use marbledeck_consensus::LeaseTerms;
 use marbledeck_dispatcher::Micros;
 use serde::Deserialize;
 use std::net::{IpAddr, SocketAddr};
@@ -80,7 +80,7 @@
     /// Where a voter writes what it must not forget; empty for a node that does not vote.
     pub store: PathBuf,
     /// The leases' terms.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The voters' step of time.
     pub tick: Micros,
 }
@@ -88,12 +88,12 @@
 impl ConsensusConfig {
     /// How often a node asks for a reading.
     pub fn poll_interval(&self) -> Micros {
-        Micros(self.terms.lease.0 / POLLS_PER_LEASE)
+        Micros(self.terms.duration.0 / POLLS_PER_LEASE)
     }
 
     /// How long a voter may take for an answer.
     pub fn answer_timeout(&self) -> Micros {
-        Micros(self.terms.lease.0 / ANSWERS_PER_LEASE)
+        Micros(self.terms.duration.0 / ANSWERS_PER_LEASE)
     }
 
     /// How many connections a voter accepts: one of each node, and two of each voter.
@@ -137,9 +137,9 @@
             from,
             voters,
             store,
-            terms: Terms {
-                lease: milliseconds(self.lease_ms),
-                drift: CLOCK_DRIFT,
+            terms: LeaseTerms {
+                duration: milliseconds(self.lease_ms),
+                clock_drift: CLOCK_DRIFT,
             },
             tick: milliseconds(self.tick_ms),
         })
--- a/crates/node/src/consensus/connections.rs
+++ b/crates/node/src/consensus/connections.rs
@@ -4,13 +4,13 @@
 use super::Consensus;
 use crate::clock::millis;
 use crate::net::{Net, Token};
-use marbledeck_consensus::wire::{self, Frame, Said};
+use marbledeck_consensus::wire::{self, Frame, NodeMessage};
 use marbledeck_dispatcher::Micros;
 
 /// What a connection to or from a voter may hold each way, in bytes: a frame, and the beginning of the next.
-pub(super) const VOTER_BUFFER: usize = wire::LONGEST + FRAME_MARGIN;
+pub(super) const VOTER_BUFFER: usize = wire::MAX_FRAME_BYTES + FRAME_MARGIN;
 /// What a connection that a node has made may hold.
-pub(super) const NODE_BUFFER: usize = wire::LONGEST_QUESTION + FRAME_MARGIN;
+pub(super) const NODE_BUFFER: usize = wire::MAX_REQUEST_BYTES + FRAME_MARGIN;
 const FRAME_MARGIN: usize = 64 * 1024;
 /// Connections accepted in one turn.
 const ACCEPTS_PER_TURN: usize = 16;
@@ -113,15 +113,15 @@
         let token = net.connect(address, self.peer).ok()?;
         net.raise_buffer_limit(token, VOTER_BUFFER);
         // What a machine that has vanished never acknowledges: the connection ends, and another is tried.
-        net.set_user_timeout(token, self.config.terms.lease);
+        net.set_user_timeout(token, self.config.terms.duration);
         self.outgoing.insert(token, voter);
         let own_store = self.voting.as_ref().map(Voting::store_number);
-        let hello = Said::Hello {
+        let hello = NodeMessage::Hello {
             fleet: self.config.fleet.clone(),
             node: self.config.node,
             voter: own_store.map(|store| (self.own_voter(), store)),
         };
-        self.send(token, &Frame::Said(Box::new(hello)), net);
+        self.send(token, &Frame::Node(Box::new(hello)), net);
         Some(token)
     }
 
--- a/crates/node/src/consensus/frames.rs
+++ b/crates/node/src/consensus/frames.rs
@@ -5,7 +5,7 @@
 use super::Consensus;
 use crate::context::Context;
 use crate::net::{Net, Token};
-use marbledeck_consensus::wire::{self, Frame, Said, MOST_COMMANDS};
+use marbledeck_consensus::wire::{self, Frame, NodeMessage, MAX_COMMANDS_PER_REQUEST};
 use marbledeck_dispatcher::Micros;
 
 /// Frames of one connection that are handled in one turn.
@@ -61,7 +61,7 @@
     ) -> Verdict {
         if let Some(voter) = self.outgoing.get(&token) {
             return match frame {
-                Frame::Said(message) => self.handle_voter_message(now, *voter, *message, context),
+                Frame::Node(message) => self.handle_voter_message(now, *voter, *message, context),
                 Frame::Raft(_) => Verdict::Drop,
             };
         }
@@ -69,12 +69,12 @@
             return Verdict::Drop;
         };
         match (frame, connection.node) {
-            (Frame::Said(message), None) => {
+            (Frame::Node(message), None) => {
                 self.handle_first_message(token, *message, &mut context.net)
             }
             (Frame::Raft(_), None) => Verdict::Drop,
             (Frame::Raft(bytes), Some(_)) => self.handle_raft_message(connection.voter, &bytes),
-            (Frame::Said(message), Some(node)) => {
+            (Frame::Node(message), Some(node)) => {
                 let is_voter = connection.voter.is_some();
                 self.handle_node_message(now, token, node, is_voter, *message)
             }
@@ -86,29 +86,34 @@
         &mut self,
         now: Micros,
         voter: u64,
-        message: Said,
+        message: NodeMessage,
         context: &mut Context,
     ) -> Verdict {
         match message {
-            Said::Welcome { voter: sender } if sender == voter => {
+            NodeMessage::Welcome { voter: sender } if sender == voter => {
                 if let Some(voting) = &mut self.voting {
                     voting.handle_welcome(voter);
                 }
             }
-            Said::Denied { voter: sender } if sender == voter => {
+            NodeMessage::Denied { voter: sender } if sender == voter => {
                 if let Some(voting) = &mut self.voting {
                     voting.handle_denial(voter);
                 }
             }
-            Said::Answer(answer) => self.handle_answer(now, *answer, context),
+            NodeMessage::ReadResponse(answer) => self.handle_answer(now, *answer, context),
             _ => return Verdict::Drop,
         }
         Verdict::Keep
     }
 
     /// The first message on an accepted connection states who has made it.
-    fn handle_first_message(&mut self, token: Token, message: Said, net: &mut Net) -> Verdict {
-        let Said::Hello { fleet, node, voter } = message else {
+    fn handle_first_message(
+        &mut self,
+        token: Token,
+        message: NodeMessage,
+        net: &mut Net,
+    ) -> Verdict {
+        let NodeMessage::Hello { fleet, node, voter } = message else {
             return Verdict::Drop;
         };
         if fleet != self.config.fleet || !(1..=self.config.nodes).contains(&node) {
@@ -169,14 +174,14 @@
         token: Token,
         node: u32,
         is_voter: bool,
-        message: Said,
+        message: NodeMessage,
     ) -> Verdict {
         match (message, &mut self.voting) {
             (
-                Said::Ask {
-                    question,
-                    known,
-                    boot,
+                NodeMessage::ReadRequest {
+                    request_id,
+                    known_revision,
+                    incarnation,
                     commands,
                 },
                 Some(voting),
@@ -184,14 +189,17 @@
                 let question = Question {
                     connection: Some(token),
                     node,
-                    number: question,
-                    known_revision: known,
-                    incarnation: boot,
+                    number: request_id,
+                    known_revision,
+                    incarnation,
                 };
-                voting.take_question(question, commands.into_iter().take(MOST_COMMANDS));
+                voting.take_question(
+                    question,
+                    commands.into_iter().take(MAX_COMMANDS_PER_REQUEST),
+                );
                 Verdict::Keep
             }
-            (Said::Heard { nodes }, voting) => {
+            (NodeMessage::ContactReport { nodes }, voting) => {
                 if let Some(voting) = voting.as_mut().filter(|_| is_voter) {
                     voting.note_live_nodes(now, &nodes);
                 }
@@ -211,12 +219,12 @@
             if let Some(connection) = self.accepted.get_mut(&reply.connection) {
                 let voter = u64::from(self.config.node);
                 let message = if reply.is_known {
-                    Said::Welcome { voter }
+                    NodeMessage::Welcome { voter }
                 } else {
-                    Said::Denied { voter }
+                    NodeMessage::Denied { voter }
                 };
                 connection.voter = reply.is_known.then_some(reply.voter);
-                let frame = Frame::Said(Box::new(message));
+                let frame = Frame::Node(Box::new(message));
                 self.send(reply.connection, &frame, &mut context.net);
             }
         }
@@ -228,7 +236,7 @@
         for (connection, answer) in output.answers {
             match connection {
                 Some(token) => {
-                    let frame = Frame::Said(Box::new(Said::Answer(Box::new(answer))));
+                    let frame = Frame::Node(Box::new(NodeMessage::ReadResponse(Box::new(answer))));
                     self.send(token, &frame, &mut context.net);
                 }
                 None => self.handle_answer(now, answer, context),
--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -21,7 +21,7 @@
 use applied::AppliedRecords;
 use config::ConsensusConfig;
 use connections::AcceptedConnection;
-use marbledeck_consensus::Reader;
+use marbledeck_consensus::LeasedReader;
 use marbledeck_dispatcher::Micros;
 use operators::PendingChange;
 use polling::OpenQuestion;
@@ -108,8 +108,8 @@
     }
 
     /// What this node may act on, to begin with nothing.
-    pub fn reader(&self) -> Reader {
-        Reader::new(self.config.terms)
+    pub fn reader(&self) -> LeasedReader {
+        LeasedReader::new(self.config.terms)
     }
 
     /// Begins to vote, where this node is to. A store that another process has is tried again: one that this one
--- a/crates/node/src/consensus/operators.rs
+++ b/crates/node/src/consensus/operators.rs
@@ -4,7 +4,7 @@
 use super::Consensus;
 use crate::context::Context;
 use crate::net::Token;
-use marbledeck_consensus::{Acting, Change, Command, Reader, What};
+use marbledeck_consensus::{Change, Command, LeasedReader, Operation, RecordValidity};
 use marbledeck_dispatcher::Micros;
 use std::fmt::Write as _;
 
@@ -26,18 +26,20 @@
         let Some(reader) = &context.records.reader else {
             return text;
         };
-        for name in reader.names() {
+        for name in reader.record_names() {
             describe_record(now, name, reader, &mut text);
         }
         if let Some(licensing) = &context.core.licensing {
-            for (pool, tenant, seats, in_use) in licensing.desk.figures() {
+            for usage in licensing.allocator.usage() {
+                let (pool, tenant) = (usage.pool, usage.tenant);
                 let _ = writeln!(
                     text,
-                    "seats {pool} {tenant:?}: {in_use} of {seats} in use here"
+                    "seats {pool} {tenant:?}: {} of {} in use here",
+                    usage.in_use, usage.held
                 );
             }
         }
-        let left_ms = (reader.until() - now).0 / 1000;
+        let left_ms = (reader.lease_expiry() - now).0 / 1000;
         let voting = self.voting.as_ref();
         let voter = voting.map_or("no voter".to_owned(), Voting::describe);
         let _ = writeln!(
@@ -67,7 +69,7 @@
             .check()
             .map_err(|error| ChangeError::Invalid(format!("{error}: {}", error.advice())))?;
         self.latest_change += 1;
-        let command = self.command(self.latest_change, What::Change(change));
+        let command = self.command(self.latest_change, Operation::Change(change));
         self.pending_changes
             .push_back(PendingChange { caller, command });
         Ok(())
@@ -85,12 +87,12 @@
     Invalid(String),
 }
 
-fn describe_record(now: Micros, name: &str, reader: &Reader, text: &mut String) {
-    let (state, record) = match reader.acting(now, name) {
-        Acting::On(record) => ("in force", Some(record)),
-        Acting::Between => ("not yet in force", None),
-        Acting::Without(record, _) => ("as last known", Some(record)),
-        Acting::Never => ("unknown", None),
+fn describe_record(now: Micros, name: &str, reader: &LeasedReader, text: &mut String) {
+    let (state, record) = match reader.validity(now, name) {
+        RecordValidity::Active(record) => ("in force", Some(record)),
+        RecordValidity::Pending => ("not yet in force", None),
+        RecordValidity::Unconfirmed { latest: record, .. } => ("as last known", Some(record)),
+        RecordValidity::Unknown => ("unknown", None),
     };
     let version = record.map_or(0, |record| record.version);
     let body = record.map(|record| serde_json::to_string(&record.body).unwrap_or_default());
--- a/crates/node/src/consensus/polling.rs
+++ b/crates/node/src/consensus/polling.rs
@@ -6,8 +6,8 @@
 use super::Consensus;
 use crate::context::Context;
 use crate::net::{Net, Token};
-use marbledeck_consensus::wire::{Answer, Frame, Said};
-use marbledeck_consensus::{Command, Outcome, What};
+use marbledeck_consensus::wire::{Frame, NodeMessage, ReadResponse};
+use marbledeck_consensus::{Command, Operation, Outcome};
 use marbledeck_dispatcher::Micros;
 
 /// A question that is not answered yet.
@@ -44,7 +44,7 @@
         let Some(reader) = &mut context.records.reader else {
             return;
         };
-        let (number, known_revision) = reader.ask(now);
+        let ticket = reader.begin_read(now);
         self.open_question = Some(OpenQuestion {
             deadline: now + self.config.answer_timeout(),
             voter: match respondent {
@@ -55,8 +55,8 @@
         let question = Question {
             connection: None,
             node: self.config.node,
-            number,
-            known_revision,
+            number: ticket.request_id,
+            known_revision: ticket.known_revision,
             incarnation: self.incarnation,
         };
         self.send_question(respondent, question, commands, &mut context.net);
@@ -95,20 +95,21 @@
     /// The commands that go with the question: what licensing wants, and the first change of an operator.
     fn next_commands(&self, now: Micros, context: &mut Context) -> Vec<Command> {
         let licensing = context.core.licensing.as_mut();
-        let seats = licensing.and_then(|licensing| licensing.desk.command(now));
-        let seats = seats.map(|(number, what)| self.command(number, What::Seats(what)));
+        let seats = licensing.and_then(|licensing| licensing.allocator.poll_command(now));
+        let seats =
+            seats.map(|numbered| self.command(numbered.number, Operation::Seats(numbered.command)));
         let change = self.pending_changes.front();
         let change = change.map(|change| change.command.clone());
         seats.into_iter().chain(change).collect()
     }
 
     /// A command of this node's.
-    pub(super) fn command(&self, number: u64, what: What) -> Command {
+    pub(super) fn command(&self, number: u64, operation: Operation) -> Command {
         Command {
             node: self.config.node,
-            boot: self.incarnation,
+            incarnation: self.incarnation,
             number,
-            what,
+            operation,
         }
     }
 
@@ -126,23 +127,28 @@
                 }
             }
             Respondent::Voter { connection, .. } => {
-                let message = Said::Ask {
-                    question: question.number,
-                    known: question.known_revision,
-                    boot: question.incarnation,
+                let message = NodeMessage::ReadRequest {
+                    request_id: question.number,
+                    known_revision: question.known_revision,
+                    incarnation: question.incarnation,
                     commands,
                 };
-                self.send(connection, &Frame::Said(Box::new(message)), net);
+                self.send(connection, &Frame::Node(Box::new(message)), net);
             }
         }
     }
 
     /// An answer has come, from another voter or from this one.
-    pub(super) fn handle_answer(&mut self, now: Micros, answer: Answer, context: &mut Context) {
+    pub(super) fn handle_answer(
+        &mut self,
+        now: Micros,
+        answer: ReadResponse,
+        context: &mut Context,
+    ) {
         let Some(reader) = &mut context.records.reader else {
             return;
         };
-        if !reader.answered(now, &answer) {
+        if !reader.apply_response(now, &answer) {
             return;
         }
         self.open_question = None;
@@ -158,8 +164,8 @@
     }
 
     /// The change that is under way has ended, if the answer has its outcome.
-    fn finish_change(&mut self, now: Micros, answer: &Answer) {
-        let Some((number, outcome)) = &answer.changed else {
+    fn finish_change(&mut self, now: Micros, answer: &ReadResponse) {
+        let Some((number, outcome)) = &answer.last_change else {
             return;
         };
         let is_under_way = |change: &mut super::PendingChange| change.command.number == *number;
@@ -168,7 +174,7 @@
         };
         let reply = match outcome {
             Outcome::Done => format!("ACK done; revision {}\n", answer.revision),
-            Outcome::Refused(reason) => format!("NAK {reason}: {}\n", reason.advice()),
+            Outcome::Rejected(reason) => format!("NAK {reason}: {}\n", reason.advice()),
         };
         self.replies.push_back((change.caller, reply));
         // The next one at once.
--- a/crates/node/src/consensus/voting/disk.rs
+++ b/crates/node/src/consensus/voting/disk.rs
@@ -2,7 +2,7 @@
 
 use super::{Admission, Voting};
 use marbledeck_dispatcher::Micros;
-use marbledeck_storage::{Done, Write};
+use marbledeck_storage::{CompletionEvent, WriteBatch};
 use std::io::Read;
 
 /// What was written.
@@ -19,7 +19,7 @@
     /// Hands over the writes for which there was no room, as far as there is now.
     pub(super) fn write_backlog(&mut self) {
         while let Some(write) = self.backlog.pop_front() {
-            if !self.disk.write(write.clone()) {
+            if self.disk.submit(write.clone()).is_err() {
                 self.backlog.push_front(write);
                 break;
             }
@@ -27,13 +27,13 @@
     }
 
     /// Has something written.
-    pub(super) fn write(&mut self, purpose: Purpose, mut write: Write) {
+    pub(super) fn write(&mut self, purpose: Purpose, mut write: WriteBatch) {
         self.writes += 1;
         write.ticket = self.writes;
         self.purposes.push_back((self.writes, purpose));
-        if !self.backlog.is_empty() || !self.disk.write(write.clone()) {
+        if !self.backlog.is_empty() || self.disk.submit(write.clone()).is_err() {
             // The disk is far behind: nothing more is taken in before it has caught up.
-            self.voter.stall();
+            self.voter.suspend();
             self.backlog.push_back(write);
         }
     }
@@ -42,14 +42,14 @@
     pub(in crate::consensus) fn handle_disk_signal(&mut self, now: Micros) {
         let mut bytes = [0; 64];
         while matches!(self.disk_pipe.read(&mut bytes), Ok(length) if length > 0) {}
-        for done in self.disk.take_done() {
+        for done in self.disk.take_events() {
             match done {
-                Done::Written(ticket) => self.handle_written(now, ticket),
-                Done::Stalled(e) => {
+                CompletionEvent::Persisted(ticket) => self.handle_written(now, ticket),
+                CompletionEvent::Stalled(e) => {
                     if !std::mem::replace(&mut self.is_stalled, true) {
                         log::error!("agreement: {e}: {}", e.advice());
                     }
-                    self.voter.stall();
+                    self.voter.suspend();
                 }
             }
         }
@@ -70,7 +70,7 @@
 
     fn finish_write(&mut self, now: Micros, purpose: Purpose) {
         match purpose {
-            Purpose::Voter(ticket) => self.voter.saved(ticket),
+            Purpose::Voter(ticket) => self.voter.handle_persisted(ticket),
             // Those that have sent who they are, are answered now.
             Purpose::KnownStore(voter) => {
                 let store = self.unwritten_stores.remove(&voter);
--- a/crates/node/src/consensus/voting/error.rs
+++ b/crates/node/src/consensus/voting/error.rs
@@ -1,6 +1,6 @@
 //! Why a node does not vote.
 
-use marbledeck_consensus::AgreementError;
+use marbledeck_consensus::ConsensusError;
 use marbledeck_storage::StoreError;
 use std::io;
 
@@ -15,7 +15,7 @@
     Store(#[from] StoreError),
     /// What is stored makes no voter.
     #[error(transparent)]
-    Voter(#[from] AgreementError),
+    Voter(#[from] ConsensusError),
 }
 
 impl VotingError {
--- a/crates/node/src/consensus/voting/mod.rs
+++ b/crates/node/src/consensus/voting/mod.rs
@@ -12,10 +12,12 @@
 use crate::net::{Net, Peer, Token};
 use admission::{Admission, Hello, HelloReply};
 use disk::Purpose;
-use marbledeck_consensus::wire::{Answer, Frame, Said};
-use marbledeck_consensus::{AgreementError, Command, Terms, Voter, Warden};
+use marbledeck_consensus::wire::{Frame, NodeMessage, ReadResponse};
+use marbledeck_consensus::{
+    Command, ConsensusError, LeaseReclaimer, LeaseTerms, LogPosition, Voter,
+};
 use marbledeck_dispatcher::Micros;
-use marbledeck_storage::{Store, Write};
+use marbledeck_storage::{Store, WriteBatch};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::os::unix::net::UnixStream;
 
@@ -42,7 +44,7 @@
     /// Frames for other voters, by their numbers.
     pub(super) frames: Vec<(u64, Frame)>,
     /// Answers to questions, by the connections that they came over; none for this node's own.
-    pub(super) answers: Vec<(Option<Token>, Answer)>,
+    pub(super) answers: Vec<(Option<Token>, ReadResponse)>,
     /// Answers to voters that have sent who they are.
     pub(super) hello_replies: Vec<HelloReply>,
 }
@@ -62,7 +64,7 @@
     /// What the writes were that are not done yet, by their tickets.
     purposes: VecDeque<(u64, Purpose)>,
     /// Writes for which the thread's mailbox had no room.
-    backlog: VecDeque<Write>,
+    backlog: VecDeque<WriteBatch>,
     /// The disk takes no writes.
     is_stalled: bool,
     /// That consensus has stopped here was logged.
@@ -83,8 +85,8 @@
     live_nodes: BTreeMap<u32, u64>,
     next_live_nodes: Micros,
     /// What only the leader does; none while this one does not lead.
-    leader_duties: Option<Warden>,
-    terms: Terms,
+    leader_duties: Option<LeaseReclaimer>,
+    terms: LeaseTerms,
     tick_interval: Micros,
     next_tick: Micros,
 }
@@ -156,12 +158,12 @@
 
     /// Whether it votes, and can be asked.
     pub(super) fn takes_part(&self) -> bool {
-        matches!(self.admission, Admission::Admitted) && self.voter.stopped().is_none()
+        matches!(self.admission, Admission::Admitted) && self.voter.stop_reason().is_none()
     }
 
     /// A description for operators.
     pub(super) fn describe(&self) -> String {
-        let (term, index) = self.voter.place();
+        let LogPosition { term, index } = self.voter.position();
         format!(
             "voter {} {}, term {term}, log at {index}, {} entries",
             self.id,
@@ -171,7 +173,7 @@
     }
 
     fn describe_role(&self) -> String {
-        if let Some(reason) = self.voter.stopped() {
+        if let Some(reason) = self.voter.stop_reason() {
             return format!("has stopped: {reason}");
         }
         match &self.admission {
@@ -185,8 +187,8 @@
             Admission::Admitted if self.is_stalled => {
                 "takes no part: its disk takes nothing".to_owned()
             }
-            Admission::Admitted if self.voter.leads() => "leads".to_owned(),
-            Admission::Admitted => format!("follows {}", self.voter.leader()),
+            Admission::Admitted if self.voter.is_leader() => "leads".to_owned(),
+            Admission::Admitted => format!("follows {}", self.voter.leader_id()),
         }
     }
 
@@ -194,9 +196,9 @@
     ///
     /// # Errors
     /// It makes no sense.
-    pub(super) fn receive(&mut self, sender: u64, bytes: &[u8]) -> Result<(), AgreementError> {
+    pub(super) fn receive(&mut self, sender: u64, bytes: &[u8]) -> Result<(), ConsensusError> {
         if self.takes_part() {
-            self.voter.receive(sender, bytes)
+            self.voter.handle_message(sender, bytes)
         } else {
             Ok(())
         }
@@ -214,12 +216,15 @@
         let (node, incarnation) = (question.node, question.incarnation);
         self.live_nodes.insert(node, incarnation);
         for command in commands {
-            if command.node == node && command.boot == incarnation && command.is_a_nodes() {
+            if command.node == node
+                && command.incarnation == incarnation
+                && command.is_allowed_for_nodes()
+            {
                 self.propose_new(&command);
             }
         }
         self.latest_question += 1;
-        self.voter.ask(self.latest_question);
+        self.voter.request_read(self.latest_question);
         // A node waits for its last question only.
         let earlier = self.last_questions.insert(node, self.latest_question);
         if let Some(earlier) = earlier {
@@ -230,9 +235,9 @@
 
     /// What this one knows to be done already need not be done again.
     fn propose_new(&mut self, command: &Command) {
-        let book = self.voter.book();
-        let last = book.last(command.node, command.boot, command.stream());
-        if command.number > 0 && last.is_none_or(|(last, _)| last < command.number) {
+        let state = self.voter.state();
+        let last = state.last_command(command.node, command.incarnation, command.sequence());
+        if command.number > 0 && last.is_none_or(|last| last.number < command.number) {
             self.voter.propose(command);
         }
     }
@@ -241,7 +246,7 @@
     pub(super) fn note_live_nodes(&mut self, now: Micros, nodes: &[(u32, u64)]) {
         if let Some(duties) = &mut self.leader_duties {
             for (node, incarnation) in nodes {
-                duties.heard(now, *node, *incarnation);
+                duties.record_contact(now, *node, *incarnation);
             }
         }
     }
@@ -265,22 +270,22 @@
         self.voter.tick();
         self.follow_leadership(now);
         if let Some(duties) = &mut self.leader_duties {
-            for what in duties.due(now, self.voter.book()) {
+            for operation in duties.poll_operations(now, self.voter.state()) {
                 self.voter.propose(&Command {
                     node: 0,
-                    boot: 0,
+                    incarnation: 0,
                     number: 0,
-                    what,
+                    operation,
                 });
             }
         }
     }
 
     fn follow_leadership(&mut self, now: Micros) {
-        match (&self.leader_duties, self.voter.leads()) {
+        match (&self.leader_duties, self.voter.is_leader()) {
             (None, true) => {
                 log::info!("agreement: this voter leads");
-                self.leader_duties = Some(Warden::new(now, self.terms));
+                self.leader_duties = Some(LeaseReclaimer::new(now, self.terms));
             }
             (Some(_), false) => {
                 log::info!("agreement: this voter leads no more");
@@ -298,21 +303,21 @@
             self.questions.clear();
             return output;
         }
-        let work = self.voter.work();
-        for save in work.saves {
-            let ticket = save.ticket;
-            self.write(Purpose::Voter(ticket), store::write_save(save));
+        let effects = self.voter.poll_effects();
+        for request in effects.persist_requests {
+            let ticket = request.ticket;
+            self.write(Purpose::Voter(ticket), store::write_save(request));
         }
-        let messages = work.send.into_iter();
+        let messages = effects.messages.into_iter();
         output
             .frames
-            .extend(messages.map(|(voter, bytes)| (voter, Frame::Raft(bytes))));
-        self.answer_questions(work.confirmed.unwrap_or(0), &mut output);
+            .extend(messages.map(|message| (message.to, Frame::Raft(message.bytes))));
+        self.answer_questions(effects.confirmed_read.unwrap_or(0), &mut output);
         if now >= self.next_live_nodes {
             self.next_live_nodes = now + LIVE_NODES_INTERVAL;
             self.send_live_nodes(now, &mut output);
         }
-        if let Some(reason) = self.voter.stopped().filter(|_| !self.stop_is_logged) {
+        if let Some(reason) = self.voter.stop_reason().filter(|_| !self.stop_is_logged) {
             log::error!(
                 "agreement: the consensus has stopped here: {reason}. Restart the node; if it stops again, set its store aside"
             );
@@ -325,8 +330,8 @@
     fn answer_questions(&mut self, confirmed: u64, output: &mut Output) {
         let later = self.questions.split_off(&(confirmed + 1));
         for question in std::mem::replace(&mut self.questions, later).into_values() {
-            let answer = Answer::of(
-                self.voter.book(),
+            let answer = ReadResponse::new(
+                self.voter.state(),
                 question.node,
                 question.incarnation,
                 question.number,
@@ -343,7 +348,7 @@
         self.note_live_nodes(now, &nodes);
         for voter in &self.others {
             let nodes = nodes.clone();
-            let frame = Frame::Said(Box::new(Said::Heard { nodes }));
+            let frame = Frame::Node(Box::new(NodeMessage::ContactReport { nodes }));
             output.frames.push((*voter, frame));
         }
     }
--- a/crates/node/src/consensus/voting/store.rs
+++ b/crates/node/src/consensus/voting/store.rs
@@ -2,8 +2,8 @@
 
 use super::VotingError;
 use crate::consensus::config::ConsensusConfig;
-use marbledeck_consensus::{Durable, Save};
-use marbledeck_storage::{Loaded, Store, Write};
+use marbledeck_consensus::{PersistRequest, PersistedState};
+use marbledeck_storage::{Store, StoredContents, WriteBatch};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::os::unix::net::UnixStream;
@@ -21,7 +21,7 @@
     /// The store's number.
     pub(super) number: u64,
     /// The voter's state.
-    pub(super) durable: Durable,
+    pub(super) durable: PersistedState,
     /// Whether all other voters have taken this store for the one of this voter, once.
     pub(super) is_admitted: bool,
     /// The numbers of the other voters' stores.
@@ -37,24 +37,24 @@
     signal: UnixStream,
 ) -> Result<OpenedStore, VotingError> {
     let (store, loaded) = Store::open(&config.store, draw_number(), signal)?;
-    let Loaded {
-        number,
+    let StoredContents {
+        store_number: number,
         values,
         entries,
     } = loaded;
     let mut opened = OpenedStore {
         store,
         number,
-        durable: Durable {
+        durable: PersistedState {
             entries,
-            ..Durable::default()
+            ..PersistedState::default()
         },
         is_admitted: false,
         known_stores: BTreeMap::new(),
     };
     for (name, value) in values {
         match name.as_str() {
-            HARD_STATE => opened.durable.hard = Some(value),
+            HARD_STATE => opened.durable.hard_state = Some(value),
             SNAPSHOT => opened.durable.snapshot = Some(value),
             ADMITTED => opened.is_admitted = true,
             name => {
@@ -68,33 +68,42 @@
 }
 
 /// Notes that all other voters know this store.
-pub(super) fn write_admitted() -> Write {
-    Write {
+pub(super) fn write_admitted() -> WriteBatch {
+    WriteBatch {
         values: vec![(ADMITTED.to_owned(), Some(vec![1]))],
-        ..Write::default()
+        ..WriteBatch::default()
     }
 }
 
 /// Notes the number of another voter's store.
-pub(super) fn write_known_store(voter: u64, store: u64) -> Write {
+pub(super) fn write_known_store(voter: u64, store: u64) -> WriteBatch {
     let name = format!("{VOTER_PREFIX}{voter}");
-    Write {
+    WriteBatch {
         values: vec![(name, Some(store.to_be_bytes().to_vec()))],
-        ..Write::default()
+        ..WriteBatch::default()
     }
 }
 
 /// Writes what the voter wants to be durable.
-pub(super) fn write_save(save: Save) -> Write {
-    let mut write = Write {
+pub(super) fn write_save(save: PersistRequest) -> WriteBatch {
+    let mut write = WriteBatch {
         entries: save.entries,
-        ..Write::default()
+        ..WriteBatch::default()
     };
-    let hard_state = save.hard.map(|hard| (HARD_STATE.to_owned(), Some(hard)));
+    let hard_state = save
+        .hard_state
+        .map(|hard| (HARD_STATE.to_owned(), Some(hard)));
     write.values.extend(hard_state);
-    if let Some((index, snapshot)) = save.snapshot {
-        write.values.push((SNAPSHOT.to_owned(), Some(snapshot)));
-        write.drop_to = Some(if save.replaces { u64::MAX } else { index });
+    if let Some(snapshot) = save.snapshot {
+        write
+            .values
+            .push((SNAPSHOT.to_owned(), Some(snapshot.bytes)));
+        let covered = if save.replaces_log {
+            u64::MAX
+        } else {
+            snapshot.index
+        };
+        write.drop_entries_to = Some(covered);
     }
     write
 }
--- a/crates/node/src/core/licensing.rs
+++ b/crates/node/src/core/licensing.rs
@@ -5,7 +5,7 @@
 use super::{Core, NameRegistry, RequestError};
 use crate::licensing_config::LicensingConfig;
 use marbledeck_dispatcher::{ClassId, Micros, Outcome, RequestId, TenantId};
-use marbledeck_licensing::{Desk, Licence};
+use marbledeck_licensing::{LicenceId, SeatAllocator};
 use std::rc::Rc;
 
 /// The operator file names a class that the platform's settings do not have.
@@ -16,16 +16,16 @@
 /// The seats of this node.
 pub struct Licensing {
     /// Grants this node's part of the seats.
-    pub desk: Desk,
+    pub allocator: SeatAllocator,
     /// The licences that each class needs, whatever its requests name.
-    pub by_class: Vec<Vec<Licence>>,
+    pub by_class: Vec<Vec<LicenceId>>,
 }
 
 /// What each attempt of a request needs.
 #[derive(Clone, Debug, Default)]
 pub struct LicenceNeeds {
     /// The licences, each once and in one order.
-    pub licences: Rc<[Licence]>,
+    pub licences: Rc<[LicenceId]>,
     /// The index of the request's tenant.
     pub tenant: usize,
 }
@@ -45,13 +45,18 @@
         if let Some(class) = unknown {
             return Err(UnknownClassError(class.clone()));
         }
-        let desk = Desk::new(licences, names.tenants().to_vec(), idle);
-        let licences_of = |class: &str| -> Vec<Licence> {
+        let allocator = SeatAllocator::new(licences, names.tenants().to_vec(), idle);
+        let licences_of = |class: &str| -> Vec<LicenceId> {
             let licences = classes.get(class).into_iter().flatten();
-            licences.filter_map(|name| desk.licence(name)).collect()
+            licences
+                .filter_map(|name| allocator.find_licence(name))
+                .collect()
         };
         let by_class = names.class_names().map(licences_of).collect();
-        Ok(Licensing { desk, by_class })
+        Ok(Licensing {
+            allocator,
+            by_class,
+        })
     }
 
     /// The licences of a request: those of its class, and those that it names. Each once and in one order.
@@ -64,7 +69,7 @@
         let of_class = self.by_class.get(class.0 as usize);
         let mut licences = of_class.cloned().unwrap_or_default();
         for name in named {
-            let licence = self.desk.licence(name);
+            let licence = self.allocator.find_licence(name);
             licences.push(licence.ok_or_else(|| RequestError::UnknownLicence((*name).to_owned()))?);
         }
         licences.sort_unstable();
@@ -96,7 +101,9 @@
             };
         };
         let needs = licensing.needs(class, tenant, named)?;
-        let free = licensing.desk.look(now, &needs.licences, needs.tenant);
+        let free = licensing
+            .allocator
+            .check(now, &needs.licences, needs.tenant);
         free.map_err(RequestError::NoSeat)?;
         Ok(needs)
     }
@@ -109,7 +116,9 @@
         let Some(licensing) = &mut self.licensing else {
             return false;
         };
-        let taken = licensing.desk.take(now, &needs.licences, needs.tenant);
+        let taken = licensing
+            .allocator
+            .acquire(now, &needs.licences, needs.tenant);
         if let Err(error) = &taken {
             log::debug!("seats: {error}");
         }
@@ -131,7 +140,9 @@
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => false,
         };
         let LicenceNeeds { licences, tenant } = needs;
-        licensing.desk.end(sent, licences, *tenant, ended_at_worker);
+        licensing
+            .allocator
+            .release(sent, licences, *tenant, ended_at_worker);
     }
 
     /// Whether the attempts of this request need seats.
@@ -143,6 +154,6 @@
     /// Until when attempts that need seats may start; none where the site has no seats.
     pub fn seats_valid_until(&self) -> Option<Micros> {
         let licensing = self.licensing.as_ref();
-        licensing.map(|licensing| licensing.desk.until())
+        licensing.map(|licensing| licensing.allocator.lease_expiry())
     }
 }
--- a/crates/node/src/core/validation.rs
+++ b/crates/node/src/core/validation.rs
@@ -5,7 +5,7 @@
 use super::{Core, Payload};
 use crate::clock::millis;
 use marbledeck_dispatcher::{ClassId, Event, Job, Micros, RequestId, TenantId};
-use marbledeck_licensing::NoSeat;
+use marbledeck_licensing::SeatError;
 
 /// How long after its deadline a request without an answer is failed: well within the time still accepted.
 const OVERDUE_AFTER: Micros = millis(2);
@@ -57,7 +57,7 @@
     UnknownLicence(String),
     /// A licence has no seat now.
     #[error(transparent)]
-    NoSeat(NoSeat),
+    NoSeat(SeatError),
 }
 
 impl Core {
--- a/crates/node/src/placement.rs
+++ b/crates/node/src/placement.rs
@@ -4,7 +4,7 @@
 //! The rules are those of `marbledeck-federation`; the catalogs are records that the nodes have agreed on.
 
 use crate::records::AgreedRecords;
-use marbledeck_consensus::{Acting, Body, Record};
+use marbledeck_consensus::{Record, RecordBody, RecordValidity};
 use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_federation::{check, Catalog, MatchResult, Placement};
 use marbledeck_submission::message::{ErrorId, Problem};
@@ -47,21 +47,23 @@
         let Some(reader) = &records.reader else {
             return sites;
         };
-        for record in reader.names() {
+        for record in reader.record_names() {
             let Some(name) = record.strip_prefix("sites/") else {
                 continue;
             };
-            match reader.acting(now, record) {
-                Acting::On(Record {
-                    body: Some(Body::Site(site)),
+            match reader.validity(now, record) {
+                RecordValidity::Active(Record {
+                    body: Some(RecordBody::Site(site)),
                     ..
                 }) => sites.known.push(Site {
                     name,
                     address: site.address,
                     catalog: &site.catalog,
                 }),
-                Acting::On(_) | Acting::Never => {}
-                Acting::Between | Acting::Without(..) => sites.unknown.push(name),
+                RecordValidity::Active(_) | RecordValidity::Unknown => {}
+                RecordValidity::Pending | RecordValidity::Unconfirmed { .. } => {
+                    sites.unknown.push(name)
+                }
             }
         }
         sites
@@ -164,7 +166,7 @@
             return Err(problem);
         }
         let reader = records.reader.as_ref();
-        let is_reading_valid = reader.is_some_and(|reader| reader.holds(now));
+        let is_reading_valid = reader.is_some_and(|reader| reader.has_lease(now));
         if !sites.unknown.is_empty() || !is_reading_valid {
             let problem = Problem::later("what sites offer cannot be known now", RETRY_AFTER_MS);
             return Err(problem);
