--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -137,7 +137,7 @@
     }
 
     /// From now on the tenants may ask for so many jobs a second, over all dispatchers: none where
-    /// no figure is told. The tokens of a bucket stay, within its new burst.
+    /// no figure is given. The tokens of a bucket stay, within its new burst.
     pub fn set_quotas(&mut self, now: Micros, quotas: &[Option<f64>]) {
         for (tenant, quota) in self.settings.tenants.iter_mut().zip(quotas) {
             tenant.quota = *quota;
--- a/crates/dispatcher/src/estimates.rs
+++ b/crates/dispatcher/src/estimates.rs
@@ -41,7 +41,7 @@
         &self.settings.classes[job.class.0 as usize]
     }
 
-    /// Seconds that a job is expected to run: as told, else the mean of its class.
+    /// Seconds that a job is expected to run: as given, else the mean of its class.
     pub(crate) fn expected_seconds(&self, job: &Job) -> f64 {
         let mean = self.service_times.of_class(job.class);
         job.expected_work.map_or(mean, Micros::as_secs_f64)
--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -56,7 +56,7 @@
     pub tenant: TenantId,
     /// How long the client goes on waiting.
     pub time_left: Micros,
-    /// Work expected, at speed 1, where told.
+    /// Work expected, at speed 1, where known.
     pub expected_work: Option<Micros>,
     /// Slots it takes; 0 counts as 1.
     pub slots: f64,
--- a/crates/dispatcher/src/policy/probing.rs
+++ b/crates/dispatcher/src/policy/probing.rs
@@ -86,9 +86,9 @@
         }
     }
 
-    /// A worker has told its free slots: the first of the probing jobs goes that has heard from all
-    /// that it probed, or probed others, and can go somewhere now. The first answer with room is
-    /// seldom the best.
+    /// A worker has reported its free slots: the first of the probing jobs goes that has answers
+    /// from all that it probed, or probed others, and can go somewhere now. The first answer with
+    /// room is seldom the best.
     pub(crate) fn handle_probe_ended(&mut self, now: Micros, w: usize, out: &mut Vec<Action>) {
         let prober = self.first_prober(self.fleet[w].entry.worker);
         let can_go = |id: &RequestId| {
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told at its start.
+//! What a dispatcher is given at its start.
 
 use crate::{KindId, Micros, ZoneId};
 use thiserror::Error;
@@ -50,7 +50,7 @@
 /// A tenant and what it may ask for.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Jobs a second within its share, over all dispatchers; none where not told.
+    /// Jobs a second within its share, over all dispatchers; none where not given.
     pub quota: Option<f64>,
     /// Its part of the service, from 0 to 1.
     pub share: f64,
@@ -122,7 +122,7 @@
     }
 }
 
-/// What a dispatcher is told at its start.
+/// What a dispatcher is given at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// How many dispatchers share the workers; at least 1.
--- a/crates/dispatcher/src/worker_list.rs
+++ b/crates/dispatcher/src/worker_list.rs
@@ -1,4 +1,4 @@
-//! The list of workers as a dispatcher is told it.
+//! The list of workers as a dispatcher receives it.
 
 use crate::{CellId, DeduplicationScope, KindId, Micros, WorkerId, ZoneId};
 
--- a/crates/eureka/src/instance.rs
+++ b/crates/eureka/src/instance.rs
@@ -72,7 +72,7 @@
     pub status: InstanceStatus,
     /// Set from outside, over what it reports of itself.
     pub overridden_status: InstanceStatus,
-    /// Its address; empty where it is not told.
+    /// Its address; empty where it is not reported.
     pub ip: String,
     /// Its port, where that is enabled.
     pub port: Option<u16>,
@@ -80,9 +80,9 @@
     pub secure_port: Option<u16>,
     /// Its virtual addresses, separated by commas.
     pub vip: String,
-    /// When it last changed, in Unix milliseconds; 0 where it is not told.
+    /// When it last changed, in Unix milliseconds; 0 where it is not reported.
     pub last_dirty_ms: u64,
-    /// When it started, in Unix milliseconds; 0 where it is not told.
+    /// When it started, in Unix milliseconds; 0 where it is not reported.
     pub up_since_ms: u64,
     /// What else it says of itself.
     pub metadata: BTreeMap<String, String>,
--- a/crates/eureka/src/lib.rs
+++ b/crates/eureka/src/lib.rs
@@ -1,6 +1,6 @@
 //! A client of Eureka's REST API (as its wiki's page "Eureka REST operations" and its public client describe it), without
 //! sockets: [`AnswerReader`] takes the bytes of an answer as they come and gives out instances, [`Poll`] says what to ask
-//! and when, and what the membership is to be told; [`Lease`] keeps the node's own entry.
+//! and when, and what changes for the membership; [`Lease`] keeps the node's own entry.
 //!
 //! Nothing that a registry sends makes it panic, and all that it stores is bounded: depth, the length of an instance, the
 //! number of instances, the length of an answer.
--- a/crates/gossip/src/in_flight.rs
+++ b/crates/gossip/src/in_flight.rs
@@ -68,7 +68,7 @@
     own: BTreeMap<u32, OwnCount>,
     /// By worker, then by node.
     foreign: HashMap<u32, HashMap<usize, ForeignCount>>,
-    /// Whether each node left a query open and was not heard from since.
+    /// Whether each node left a query open and has sent nothing since.
     is_silent: Vec<bool>,
     /// The owners of workers, cached.
     owners: HashMap<u32, usize>,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The owner of this worker did not answer in time: it is not waited for until it is heard from again.
+    /// The owner of this worker did not answer in time: it is not waited for until it sends something again.
     pub fn mark_owner_silent(&mut self, worker: WorkerId) {
         let owner = self.owner(short_id(worker));
         self.is_silent[owner] = true;
--- a/crates/membership/src/publish.rs
+++ b/crates/membership/src/publish.rs
@@ -1,4 +1,4 @@
-//! From the merged reports to what the decision module is told.
+//! From the merged reports to what is published to the decision module.
 
 use crate::membership::PublishedWorker;
 use crate::precedence::MergedReport;
--- a/crates/membership/src/source_report.rs
+++ b/crates/membership/src/source_report.rs
@@ -46,9 +46,9 @@
     pub address: Option<SocketAddr>,
     /// Whether it takes new work.
     pub status: Status,
-    /// The name of its zone; empty where it is not told.
+    /// The name of its zone; empty where it is not reported.
     pub zone: String,
-    /// The name of its kind of machine; empty where it is not told.
+    /// The name of its kind of machine; empty where it is not reported.
     pub kind: String,
     /// Its cell; none where there are none.
     pub cell: Option<CellId>,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -22,7 +22,7 @@
 pub struct WorkerView {
     /// Its id.
     pub id: String,
-    /// What the decision module was told.
+    /// What was published to the decision module.
     pub state: WorkerState,
     /// Why it is in or out, in words.
     pub reason: String,
--- a/crates/platform-settings/src/settings.rs
+++ b/crates/platform-settings/src/settings.rs
@@ -302,7 +302,7 @@
 impl RuleParameters {
     fn dispatcher_rules(&self) -> Rules {
         let default = Rules::default();
-        let micros = |told: Option<u64>, default| told.map_or(default, Micros);
+        let micros = |given: Option<u64>, default| given.map_or(default, Micros);
         Rules {
             initial_capacity: self.initial_capacity.unwrap_or(default.initial_capacity),
             warm_up: micros(self.warm_up_us, default.warm_up),
--- a/crates/test-support/src/bin/demo.rs
+++ b/crates/test-support/src/bin/demo.rs
@@ -13,7 +13,7 @@
         });
     }
     println!(
-        "a node serves consumers at {}, submitters at {}",
+        "a node serves clients at {}, submitters at {}",
         lab.client_address, lab.submission_address
     );
     let calls: [&[&str]; 3] = [
--- a/crates/test-support/src/bin/eureka-bench.rs
+++ b/crates/test-support/src/bin/eureka-bench.rs
@@ -22,7 +22,7 @@
     })
 }
 
-/// Asks a node something small, over and over, until it is told to stop; tells how long the answers took.
+/// Sends a node a small request, over and over, until it is stopped; gives how long the answers took.
 fn pulse(at: String, stop: Arc<AtomicBool>) -> std::thread::JoinHandle<Histogram<u64>> {
     std::thread::spawn(move || {
         let mut stream = TcpStream::connect(at).expect("the node listens");
@@ -134,7 +134,7 @@
     let mut times = Histogram::<u64>::new(3).expect("three digits");
     let (mut late, worker) = (0, &lab.workers[2]);
     for _ in 0..count {
-        let told = Instant::now();
+        let changed_at = Instant::now();
         registry.override_status("RENDER", "w3", "OUT_OF_SERVICE");
         lab.wait_for_member("w3", |line| line.is_some_and(|line| line.contains(" out ")));
         let known = Instant::now();
@@ -144,11 +144,11 @@
             .started_jobs()
             .iter()
             .map(|job| job.received_at)
-            .filter(|at| *at > told)
+            .filter(|at| *at > changed_at)
             .max();
         if let Some(last) = last {
             times
-                .record(last.duration_since(told).as_millis() as u64)
+                .record(last.duration_since(changed_at).as_millis() as u64)
                 .expect("in range");
             // What was on its way when the node came to know may still arrive.
             late += u64::from(last > known + Duration::from_millis(400));
--- a/crates/test-support/src/bin/submission-bench.rs
+++ b/crates/test-support/src/bin/submission-bench.rs
@@ -250,19 +250,23 @@
     start.wait();
     let released = Instant::now();
     first.ask("{\"op\":\"terminate\",\"seq\":4,\"session\":\"s\"}\n");
-    let told: Vec<(Duration, Instant)> = threads
+    let answers: Vec<(Duration, Instant)> = threads
         .into_iter()
         .map(|t| t.join().expect("no panic"))
         .collect();
-    let caught_up = told.iter().map(|(span, _)| *span).max().unwrap_or_default();
-    let answered = told
+    let caught_up = answers
+        .iter()
+        .map(|(span, _)| *span)
+        .max()
+        .unwrap_or_default();
+    let answered = answers
         .iter()
         .map(|(_, at)| at.duration_since(released))
         .max()
         .unwrap_or_default();
     println!(
         "\n64 submitters with 1,024 waits each, all connecting at once: all caught up after {:.0} ms; the ends of the 1,024 \
-         jobs told to all of them (65,536 answers) {:.0} ms after they were asked for; most memory {} MiB.",
+         jobs reported to all of them (65,536 answers) {:.0} ms after they were requested; most memory {} MiB.",
         caught_up.as_secs_f64() * 1e3,
         answered.as_secs_f64() * 1e3,
         lab.peak_kib().unwrap_or_default() / 1024
--- a/crates/test-support/src/worker.rs
+++ b/crates/test-support/src/worker.rs
@@ -51,7 +51,7 @@
 /// How a job ends that has started.
 struct JobEnd {
     after: Duration,
-    /// The last state that is told; none where the connection breaks instead.
+    /// The last state that is reported; none where the connection breaks instead.
     state: Option<&'static str>,
     result: Option<String>,
 }
