--- a/crates/consensus/tests/fleet/main.rs
+++ b/crates/consensus/tests/fleet/main.rs
@@ -12,7 +12,7 @@
 };
 use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::LicenceId;
-use world::{no_faults, Node, Seat, World, ALL_FAULTS, LONGEST, STEP, TERMS};
+use world::{no_faults, Faults, Node, Seat, World, ALL_FAULTS, LONGEST, STEP, TERMS};
 
 #[test]
 fn no_two_versions_act_for_longer_than_t() {
@@ -42,16 +42,27 @@
 fn without_a_majority_the_fallbacks_hold() {
     let mut world = World::new(3, 3, 6);
     world.run(6_000_000, no_faults(), change_some);
-    assert!(world
-        .nodes
-        .iter()
-        .all(|node| node.reader.has_lease(node.now(world.at))));
+    // Elections take random times: the test begins once every node has a lease.
+    let is_leased = |world: &World| {
+        let mut nodes = world.nodes.iter();
+        nodes.all(|node| node.reader.has_lease(node.now(world.at)))
+    };
+    while !is_leased(&world) && world.at < 16_000_000 {
+        let at = world.at;
+        world.run(at + 100_000, no_faults(), |_| {});
+    }
+    assert!(is_leased(&world));
     for v in [0, 1] {
         world.seats[v].voter = None;
     }
     let before = world.grants;
     let cut = world.at;
-    world.run(cut + 1_200_000, no_faults(), |_| {});
+    // No killed voter may come back while the lease runs out.
+    let without_restarts = Faults {
+        restarts: 0.0,
+        ..no_faults()
+    };
+    world.run(cut + 1_200_000, without_restarts, |_| {});
     let granted = world.grants;
     for node in &mut world.nodes {
         let now = node.now(world.at);
@@ -70,12 +81,18 @@
         world.seats[v].voter =
             Some(Voter::new(v as u64 + 1, &[1, 2, 3], 9, &durable).expect("a voter"));
     }
+    let is_led = |world: &World| {
+        let mut voters = world.seats.iter().filter_map(|seat| seat.voter.as_ref());
+        voters.any(Voter::is_leader)
+    };
+    let restarted_at = world.at;
+    while !is_led(&world) && world.at < restarted_at + 10_000_000 {
+        let at = world.at;
+        world.run(at + 100_000, no_faults(), |_| {});
+    }
     let at = world.at;
-    world.run(at + 4_000_000, no_faults(), |_| {});
-    assert!(world
-        .nodes
-        .iter()
-        .all(|node| node.reader.has_lease(node.now(world.at))));
+    world.run(at + 2_000_000, no_faults(), |_| {});
+    assert!(is_leased(&world), "two seconds after the election");
 }
 
 #[test]
--- a/crates/consensus/tests/fleet/world/faults.rs
+++ b/crates/consensus/tests/fleet/world/faults.rs
@@ -12,6 +12,7 @@
         kills: 0.0,
         stops: 0.0,
         full: 0.0,
+        restarts: 0.5,
     }
 }
 
@@ -21,6 +22,8 @@
     pub kills: f64,
     pub stops: f64,
     pub full: f64,
+    /// That a killed voter starts again.
+    pub restarts: f64,
 }
 
 pub const ALL_FAULTS: Faults = Faults {
@@ -28,6 +31,7 @@
     kills: 0.4,
     stops: 0.6,
     full: 0.15,
+    restarts: 0.5,
 };
 
 impl World {
@@ -53,7 +57,7 @@
             self.seats[v].disk.full = true;
         }
         for v in 0..self.seats.len() {
-            self.recover(v, voters);
+            self.recover(v, voters, faults);
         }
     }
 
@@ -102,7 +106,7 @@
     }
 
     /// A full disk may get room, and a killed voter may start again.
-    fn recover(&mut self, v: usize, voters: u64) {
+    fn recover(&mut self, v: usize, voters: u64, faults: Faults) {
         if self.rng.chance(0.4) && self.seats[v].disk.busy <= self.at {
             let seat = &mut self.seats[v];
             seat.disk.full = false;
@@ -114,7 +118,7 @@
                 }
             }
         }
-        if self.seats[v].voter.is_none() && self.rng.chance(0.5) {
+        if self.seats[v].voter.is_none() && self.rng.chance(faults.restarts) {
             let ids: Vec<u64> = (1..=voters).collect();
             let seat = &mut self.seats[v];
             seat.boot += 1;
