--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -85,7 +85,10 @@
 
     /// Drops the callers that took too long.
     pub fn wake(&mut self, now: Micros, net: &mut Net) {
-        if self.accept_paused_until.is_some_and(|until| until <= now) {
+        if self
+            .accept_paused_until
+            .is_some_and(|deadline| deadline <= now)
+        {
             self.accept_paused_until = None;
             net.set_accepting(self.listener, true);
         }
--- a/crates/node/src/consensus/applied.rs
+++ b/crates/node/src/consensus/applied.rs
@@ -56,7 +56,7 @@
         self.log_validity(is_valid, reader);
         self.readings = context.records.readings;
         self.was_valid = is_valid;
-        let valid_until = Some(reader.lease_expiry()).filter(|until| *until > now);
+        let valid_until = Some(reader.lease_expiry()).filter(|expiry| *expiry > now);
         self.next_change = valid_until
             .into_iter()
             .chain(reader.next_activation(now))
--- a/crates/node/src/consensus/connections.rs
+++ b/crates/node/src/consensus/connections.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Closes a connection. A question that was asked over it is asked of another voter.
+    /// Closes a connection. A query that was asked over it is asked of another voter.
     pub(super) fn drop_connection(&mut self, now: Micros, token: Token, net: &mut Net) {
         net.close(token);
         self.accepted.remove(&token);
@@ -44,10 +44,10 @@
             return;
         };
         self.connect_after.insert(voter, now + RECONNECT_INTERVAL);
-        let open_question = self.open_question.as_ref();
-        if open_question.is_some_and(|open| open.voter == Some(voter)) {
-            self.open_question = None;
-            self.next_question = now;
+        let open_query = self.open_query.as_ref();
+        if open_query.is_some_and(|open| open.voter == Some(voter)) {
+            self.open_query = None;
+            self.next_query = now;
             self.voter_position += 1;
         }
     }
--- a/crates/node/src/consensus/frames.rs
+++ b/crates/node/src/consensus/frames.rs
@@ -1,7 +1,7 @@
 //! What is done with the frames that come over the connections.
 
 use super::connections::{NODE_BUFFER, VOTER_BUFFER};
-use super::voting::Question;
+use super::voting::Query;
 use super::Consensus;
 use crate::context::Context;
 use crate::net::{Net, Token};
@@ -13,7 +13,7 @@
 
 /// What becomes of a connection after a frame.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Verdict {
+enum ConnectionFate {
     /// It stays.
     Keep,
     /// The frame has no place here: the connection ends.
@@ -45,7 +45,7 @@
                 }
             };
             context.net.touch(token);
-            if self.handle_frame(now, token, frame, context) == Verdict::Drop {
+            if self.handle_frame(now, token, frame, context) == ConnectionFate::Drop {
                 return self.drop_connection(now, token, &mut context.net);
             }
         }
@@ -58,21 +58,21 @@
         token: Token,
         frame: Frame,
         context: &mut Context,
-    ) -> Verdict {
+    ) -> ConnectionFate {
         if let Some(voter) = self.outgoing.get(&token) {
             return match frame {
                 Frame::Node(message) => self.handle_voter_message(now, *voter, *message, context),
-                Frame::Raft(_) => Verdict::Drop,
+                Frame::Raft(_) => ConnectionFate::Drop,
             };
         }
         let Some(connection) = self.accepted.get(&token) else {
-            return Verdict::Drop;
+            return ConnectionFate::Drop;
         };
         match (frame, connection.node) {
             (Frame::Node(message), None) => {
                 self.handle_first_message(token, *message, &mut context.net)
             }
-            (Frame::Raft(_), None) => Verdict::Drop,
+            (Frame::Raft(_), None) => ConnectionFate::Drop,
             (Frame::Raft(bytes), Some(_)) => self.handle_raft_message(connection.voter, &bytes),
             (Frame::Node(message), Some(node)) => {
                 let is_voter = connection.voter.is_some();
@@ -88,7 +88,7 @@
         voter: u64,
         message: NodeMessage,
         context: &mut Context,
-    ) -> Verdict {
+    ) -> ConnectionFate {
         match message {
             NodeMessage::Welcome { voter: sender } if sender == voter => {
                 if let Some(voting) = &mut self.voting {
@@ -101,9 +101,9 @@
                 }
             }
             NodeMessage::ReadResponse(answer) => self.handle_answer(now, *answer, context),
-            _ => return Verdict::Drop,
+            _ => return ConnectionFate::Drop,
         }
-        Verdict::Keep
+        ConnectionFate::Keep
     }
 
     /// The first message on an accepted connection states who has made it.
@@ -112,13 +112,13 @@
         token: Token,
         message: NodeMessage,
         net: &mut Net,
-    ) -> Verdict {
+    ) -> ConnectionFate {
         let NodeMessage::Hello { fleet, node, voter } = message else {
-            return Verdict::Drop;
+            return ConnectionFate::Drop;
         };
         if fleet != self.config.fleet || !(1..=self.config.nodes).contains(&node) {
             log::warn!("agreement: node {node} of fleet '{fleet}' is not heeded");
-            return Verdict::Drop;
+            return ConnectionFate::Drop;
         }
         let voter = voter.filter(|(number, _)| {
             let mut voters = self.config.voters.iter();
@@ -137,7 +137,7 @@
         if let (Some((number, store)), Some(voting)) = (voter, &mut self.voting) {
             voting.handle_hello(token, number, store);
         }
-        Verdict::Keep
+        ConnectionFate::Keep
     }
 
     /// An earlier connection of the same node is one that it has given up: it may never end by itself.
@@ -153,16 +153,16 @@
         }
     }
 
-    fn handle_raft_message(&mut self, sender: Option<u64>, bytes: &[u8]) -> Verdict {
+    fn handle_raft_message(&mut self, sender: Option<u64>, bytes: &[u8]) -> ConnectionFate {
         let (Some(sender), Some(voting)) = (sender, &mut self.voting) else {
             // Not noted yet, or this one does not vote: what is lost is sent again.
-            return Verdict::Keep;
+            return ConnectionFate::Keep;
         };
         match voting.receive(sender, bytes) {
-            Ok(()) => Verdict::Keep,
+            Ok(()) => ConnectionFate::Keep,
             Err(e) => {
                 log::warn!("agreement: {e}: {}", e.advice());
-                Verdict::Drop
+                ConnectionFate::Drop
             }
         }
     }
@@ -175,7 +175,7 @@
         node: u32,
         is_voter: bool,
         message: NodeMessage,
-    ) -> Verdict {
+    ) -> ConnectionFate {
         match (message, &mut self.voting) {
             (
                 NodeMessage::ReadRequest {
@@ -186,26 +186,23 @@
                 },
                 Some(voting),
             ) => {
-                let question = Question {
+                let query = Query {
                     connection: Some(token),
                     node,
                     number: request_id,
                     known_revision,
                     incarnation,
                 };
-                voting.take_question(
-                    question,
-                    commands.into_iter().take(MAX_COMMANDS_PER_REQUEST),
-                );
-                Verdict::Keep
+                voting.take_query(query, commands.into_iter().take(MAX_COMMANDS_PER_REQUEST));
+                ConnectionFate::Keep
             }
             (NodeMessage::ContactReport { nodes }, voting) => {
                 if let Some(voting) = voting.as_mut().filter(|_| is_voter) {
                     voting.note_live_nodes(now, &nodes);
                 }
-                Verdict::Keep
+                ConnectionFate::Keep
             }
-            _ => Verdict::Drop,
+            _ => ConnectionFate::Drop,
         }
     }
 
--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -24,14 +24,14 @@
 use marbledeck_consensus::LeasedReader;
 use marbledeck_dispatcher::Micros;
 use operators::PendingChange;
-use polling::OpenQuestion;
+use polling::OpenQuery;
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use voting::Voting;
 
 /// How often a store is tried again that another process has.
 const STORE_RETRY_INTERVAL: Micros = millis(500);
-/// An answer may free the next question, and that one ask the voter again: so often in one turn.
+/// An answer may free the next query, and that one ask the voter again: so often in one turn.
 const ROUNDS_PER_TURN: usize = 2;
 
 /// The service for consensus.
@@ -58,8 +58,8 @@
     unread: Vec<Token>,
     /// The voter that this node asks, by its place in the configuration.
     voter_position: usize,
-    next_question: Micros,
-    open_question: Option<OpenQuestion>,
+    next_query: Micros,
+    open_query: Option<OpenQuery>,
     /// Changes of operators, the first of them under way.
     pending_changes: VecDeque<PendingChange>,
     /// The number of the latest change.
@@ -95,8 +95,8 @@
             connect_after: HashMap::new(),
             voting: None,
             unread: Vec::new(),
-            next_question: now,
-            open_question: None,
+            next_query: now,
+            open_query: None,
             pending_changes: VecDeque::new(),
             latest_change: 0,
             replies: VecDeque::new(),
@@ -152,7 +152,10 @@
     }
 
     fn resume_accepting(&mut self, now: Micros, net: &mut Net) {
-        if self.accept_paused_until.is_some_and(|until| until <= now) {
+        if self
+            .accept_paused_until
+            .is_some_and(|deadline| deadline <= now)
+        {
             self.accept_paused_until = None;
             if let Some(listener) = self.listener {
                 net.set_accepting(listener, true);
@@ -192,11 +195,11 @@
 
     fn next_wake(&self) -> Option<Micros> {
         let unread = (!self.unread.is_empty()).then_some(Micros(0));
-        let open_question = self.open_question.as_ref();
-        let question = open_question.map_or(self.next_question, |open| open.deadline);
+        let open_query = self.open_query.as_ref();
+        let query = open_query.map_or(self.next_query, |open| open.deadline);
         let tick = self.voting.as_ref().map(Voting::next_tick);
         [
-            Some(question),
+            Some(query),
             unread,
             tick,
             self.accept_paused_until,
@@ -246,7 +249,7 @@
             }
             admin::Call::Change(text) => {
                 self.take_change(caller, text);
-                self.next_question = now;
+                self.next_query = now;
             }
             _ => return false,
         }
--- a/crates/node/src/consensus/polling.rs
+++ b/crates/node/src/consensus/polling.rs
@@ -1,8 +1,8 @@
 //! How a node learns what is agreed on: it asks one voter after another for a reading, and hands in its commands with
-//! the question. A voter asks itself.
+//! the query. A voter asks itself.
 
 use super::connections::RECONNECT_INTERVAL;
-use super::voting::{Question, Voting};
+use super::voting::{Query, Voting};
 use super::Consensus;
 use crate::context::Context;
 use crate::net::{Net, Token};
@@ -10,8 +10,8 @@
 use marbledeck_consensus::{Command, Operation, Outcome};
 use marbledeck_dispatcher::Micros;
 
-/// A question that is not answered yet.
-pub(super) struct OpenQuestion {
+/// A query that is not answered yet.
+pub(super) struct OpenQuery {
     /// From then on the voter counts as silent.
     pub(super) deadline: Micros,
     /// The voter that was asked; none for this node itself.
@@ -31,13 +31,13 @@
     /// Asks for a reading, if it is time.
     pub(super) fn poll(&mut self, now: Micros, context: &mut Context) {
         self.give_up_silent_voter(now, &mut context.net);
-        if self.open_question.is_some() || now < self.next_question {
+        if self.open_query.is_some() || now < self.next_query {
             return;
         }
-        self.next_question = now + self.config.poll_interval();
+        self.next_query = now + self.config.poll_interval();
         let Some(respondent) = self.respondent(now, &mut context.net) else {
             self.voter_position += 1;
-            self.next_question = now + RECONNECT_INTERVAL;
+            self.next_query = now + RECONNECT_INTERVAL;
             return;
         };
         let commands = self.next_commands(now, context);
@@ -45,37 +45,37 @@
             return;
         };
         let ticket = reader.begin_read(now);
-        self.open_question = Some(OpenQuestion {
+        self.open_query = Some(OpenQuery {
             deadline: now + self.config.answer_timeout(),
             voter: match respondent {
                 Respondent::Own => None,
                 Respondent::Voter { number, .. } => Some(number),
             },
         });
-        let question = Question {
+        let query = Query {
             connection: None,
             node: self.config.node,
             number: ticket.request_id,
             known_revision: ticket.known_revision,
             incarnation: self.incarnation,
         };
-        self.send_question(respondent, question, commands, &mut context.net);
+        self.send_query(respondent, query, commands, &mut context.net);
     }
 
     /// A voter that is silent is left: another one is asked.
     fn give_up_silent_voter(&mut self, now: Micros, net: &mut Net) {
-        let open_question = self.open_question.as_ref();
-        if open_question.is_none_or(|open| now < open.deadline) {
+        let open_query = self.open_query.as_ref();
+        if open_query.is_none_or(|open| now < open.deadline) {
             return;
         }
-        let voter = self.open_question.take().and_then(|open| open.voter);
+        let voter = self.open_query.take().and_then(|open| open.voter);
         if let Some(voter) = voter {
             if let Some(token) = self.connection_to(voter) {
                 self.drop_connection(now, token, net);
             }
             self.voter_position += 1;
         }
-        self.next_question = now;
+        self.next_query = now;
     }
 
     /// Whom to ask now; none where the voter whose turn it is cannot be.
@@ -92,7 +92,7 @@
         Some(Respondent::Voter { number, connection })
     }
 
-    /// The commands that go with the question: what licensing wants, and the first change of an operator.
+    /// The commands that go with the query: what licensing wants, and the first change of an operator.
     fn next_commands(&self, now: Micros, context: &mut Context) -> Vec<Command> {
         let licensing = context.core.licensing.as_mut();
         let seats = licensing.and_then(|licensing| licensing.allocator.poll_command(now));
@@ -113,24 +113,24 @@
         }
     }
 
-    fn send_question(
+    fn send_query(
         &mut self,
         respondent: Respondent,
-        question: Question,
+        query: Query,
         commands: Vec<Command>,
         net: &mut Net,
     ) {
         match respondent {
             Respondent::Own => {
                 if let Some(voting) = &mut self.voting {
-                    voting.take_question(question, commands.into_iter());
+                    voting.take_query(query, commands.into_iter());
                 }
             }
             Respondent::Voter { connection, .. } => {
                 let message = NodeMessage::ReadRequest {
-                    request_id: question.number,
-                    known_revision: question.known_revision,
-                    incarnation: question.incarnation,
+                    request_id: query.number,
+                    known_revision: query.known_revision,
+                    incarnation: query.incarnation,
                     commands,
                 };
                 self.send(connection, &Frame::Node(Box::new(message)), net);
@@ -151,7 +151,7 @@
         if !reader.apply_response(now, &answer) {
             return;
         }
-        self.open_question = None;
+        self.open_query = None;
         if answer.stale {
             log::error!(
                 "agreement: a later start of node {} is known: this one acts on nothing",
@@ -178,6 +178,6 @@
         };
         self.replies.push_back((change.caller, reply));
         // The next one at once.
-        self.next_question = now;
+        self.next_query = now;
     }
 }
--- a/crates/node/src/consensus/voting/mod.rs
+++ b/crates/node/src/consensus/voting/mod.rs
@@ -1,4 +1,4 @@
-//! This node as a voter: its store, the voter of `marbledeck-consensus`, and the questions of nodes.
+//! This node as a voter: its store, the voter of `marbledeck-consensus`, and the queries of nodes.
 
 mod admission;
 mod disk;
@@ -24,13 +24,13 @@
 /// How often the voters tell each other which nodes have asked them.
 const LIVE_NODES_INTERVAL: Micros = millis(500);
 
-/// A node's question for a reading.
-pub(super) struct Question {
+/// A node's query for a reading.
+pub(super) struct Query {
     /// The node's connection; none for this node itself.
     pub(super) connection: Option<Token>,
     /// The node's number.
     pub(super) node: u32,
-    /// The question's number.
+    /// The query's number.
     pub(super) number: u64,
     /// The revision of the records that the node knows already.
     pub(super) known_revision: u64,
@@ -43,7 +43,7 @@
 pub(super) struct Output {
     /// Frames for other voters, by their numbers.
     pub(super) frames: Vec<(u64, Frame)>,
-    /// Answers to questions, by the connections that they came over; none for this node's own.
+    /// Answers to queries, by the connections that they came over; none for this node's own.
     pub(super) answers: Vec<(Option<Token>, ReadResponse)>,
     /// Answers to voters that have sent who they are.
     pub(super) hello_replies: Vec<HelloReply>,
@@ -75,12 +75,12 @@
     /// Those that are being written.
     unwritten_stores: BTreeMap<u64, u64>,
     hellos: Vec<Hello>,
-    /// The last question of each node, by the number that the voter knows it by.
-    questions: BTreeMap<u64, Question>,
-    /// The voter's number of each node's last question.
-    last_questions: BTreeMap<u32, u64>,
-    /// The voter's number of the latest question.
-    latest_question: u64,
+    /// The last query of each node, by the number that the voter knows it by.
+    queries: BTreeMap<u64, Query>,
+    /// The voter's number of each node's last query.
+    last_queries: BTreeMap<u32, u64>,
+    /// The voter's number of the latest query.
+    latest_query: u64,
     /// The nodes that have asked since the other voters were notified, and their incarnations.
     live_nodes: BTreeMap<u32, u64>,
     next_live_nodes: Micros,
@@ -134,9 +134,9 @@
             known_stores: opened.known_stores,
             unwritten_stores: BTreeMap::new(),
             hellos: Vec::new(),
-            questions: BTreeMap::new(),
-            last_questions: BTreeMap::new(),
-            latest_question: 0,
+            queries: BTreeMap::new(),
+            last_queries: BTreeMap::new(),
+            latest_query: 0,
             live_nodes: BTreeMap::new(),
             next_live_nodes: now,
             leader_duties: None,
@@ -205,15 +205,11 @@
     }
 
     /// A node asks for a reading, and wants these commands carried out.
-    pub(super) fn take_question(
-        &mut self,
-        question: Question,
-        commands: impl Iterator<Item = Command>,
-    ) {
+    pub(super) fn take_query(&mut self, query: Query, commands: impl Iterator<Item = Command>) {
         if !self.takes_part() {
             return;
         }
-        let (node, incarnation) = (question.node, question.incarnation);
+        let (node, incarnation) = (query.node, query.incarnation);
         self.live_nodes.insert(node, incarnation);
         for command in commands {
             if command.node == node
@@ -223,14 +219,14 @@
                 self.propose_new(&command);
             }
         }
-        self.latest_question += 1;
-        self.voter.request_read(self.latest_question);
-        // A node waits for its last question only.
-        let earlier = self.last_questions.insert(node, self.latest_question);
+        self.latest_query += 1;
+        self.voter.request_read(self.latest_query);
+        // A node waits for its last query only.
+        let earlier = self.last_queries.insert(node, self.latest_query);
         if let Some(earlier) = earlier {
-            self.questions.remove(&earlier);
+            self.queries.remove(&earlier);
         }
-        self.questions.insert(self.latest_question, question);
+        self.queries.insert(self.latest_query, query);
     }
 
     /// What this one knows to be done already need not be done again.
@@ -300,7 +296,7 @@
         let mut output = Output::default();
         self.answer_hellos(&mut output);
         if !self.takes_part() {
-            self.questions.clear();
+            self.queries.clear();
             return output;
         }
         let effects = self.voter.poll_effects();
@@ -312,7 +308,7 @@
         output
             .frames
             .extend(messages.map(|message| (message.to, Frame::Raft(message.bytes))));
-        self.answer_questions(effects.confirmed_read.unwrap_or(0), &mut output);
+        self.answer_queries(effects.confirmed_read.unwrap_or(0), &mut output);
         if now >= self.next_live_nodes {
             self.next_live_nodes = now + LIVE_NODES_INTERVAL;
             self.send_live_nodes(now, &mut output);
@@ -326,18 +322,18 @@
         output
     }
 
-    /// Answers the questions up to this one.
-    fn answer_questions(&mut self, confirmed: u64, output: &mut Output) {
-        let later = self.questions.split_off(&(confirmed + 1));
-        for question in std::mem::replace(&mut self.questions, later).into_values() {
+    /// Answers the queries up to this one.
+    fn answer_queries(&mut self, confirmed: u64, output: &mut Output) {
+        let later = self.queries.split_off(&(confirmed + 1));
+        for query in std::mem::replace(&mut self.queries, later).into_values() {
             let answer = ReadResponse::new(
                 self.voter.state(),
-                question.node,
-                question.incarnation,
-                question.number,
-                question.known_revision,
+                query.node,
+                query.incarnation,
+                query.number,
+                query.known_revision,
             );
-            output.answers.push((question.connection, answer));
+            output.answers.push((query.connection, answer));
         }
     }
 
--- a/crates/node/src/core/accounting.rs
+++ b/crates/node/src/core/accounting.rs
@@ -92,7 +92,7 @@
         let request = self.table.get(id);
         let class = request.as_ref().map(|request| request.class);
         log::trace!("job {} {answer}", id.0);
-        let last_sent = request.and_then(|request| request.last_sent());
+        let last_attempt_sent_at = request.and_then(|request| request.last_attempt_sent_at());
         if let Some(counts) = class.and_then(|class| self.counts.class_mut(class)) {
             match answer {
                 FinalAnswer::Served(_) => counts.served += 1,
@@ -103,7 +103,7 @@
         self.commands.push_back(Command::Answer {
             request: id,
             answer,
-            last_sent,
+            last_attempt_sent_at,
         });
         self.table.remove_if_done(id);
         true
--- a/crates/node/src/core/admission.rs
+++ b/crates/node/src/core/admission.rs
@@ -17,14 +17,17 @@
     /// The client has left: no answer is owed any more. Attempts in flight end as they will. Returns when the last
     /// attempt was sent that may have run.
     pub fn handle_client_left(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
-        let last_sent = self.table.get(id).and_then(|request| request.last_sent());
+        let last_attempt_sent_at = self
+            .table
+            .get(id)
+            .and_then(|request| request.last_attempt_sent_at());
         if self.table.close(id) {
             self.counts.clients_left += 1;
             self.pending.push_back(Event::ClientLeft(id));
             self.table.remove_if_done(id);
             self.decide(now);
         }
-        last_sent
+        last_attempt_sent_at
     }
 
     /// Cancels a request for which no attempt was ever made; it gets no answer. Returns whether it was cancelled.
--- a/crates/node/src/core/commands.rs
+++ b/crates/node/src/core/commands.rs
@@ -84,7 +84,7 @@
         /// Its answer.
         answer: FinalAnswer,
         /// When the last attempt was sent that may have run.
-        last_sent: Option<Micros>,
+        last_attempt_sent_at: Option<Micros>,
     },
     /// This worker has begun to run the request.
     RequestRunning(RequestId, WorkerId),
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -104,7 +104,7 @@
         self.commands.push_back(Command::Answer {
             request: id,
             answer,
-            last_sent: None,
+            last_attempt_sent_at: None,
         });
     }
 
--- a/crates/node/src/core/table.rs
+++ b/crates/node/src/core/table.rs
@@ -64,7 +64,7 @@
     }
 
     /// When the last attempt was sent that may have run.
-    pub fn last_sent(&self) -> Option<Micros> {
+    pub fn last_attempt_sent_at(&self) -> Option<Micros> {
         let may_have_run = self
             .attempts
             .iter()
--- a/crates/node/src/eureka/config.rs
+++ b/crates/node/src/eureka/config.rs
@@ -194,8 +194,8 @@
             &source,
             &[RangeCheck::new("renew_s", self.renew_s, 1, 3600)],
         )?;
-        for (key, word) in [("app", &self.app), ("id", &self.id)] {
-            if !is_plain_word(word) || word.contains(['/', '?', '#', '%']) {
+        for (key, value) in [("app", &self.app), ("id", &self.id)] {
+            if !is_plain_word(value) || value.contains(['/', '?', '#', '%']) {
                 return Err(ConfigError::new(
                     format!("{source}: {key}"),
                     "want a plain word",
@@ -239,6 +239,6 @@
     }
 }
 
-fn is_plain_word(word: &str) -> bool {
-    !word.is_empty() && word.bytes().all(|b| b.is_ascii_graphic())
+fn is_plain_word(text: &str) -> bool {
+    !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic())
 }
--- a/crates/node/src/federation/answers.rs
+++ b/crates/node/src/federation/answers.rs
@@ -12,62 +12,57 @@
 
 /// What was asked about a job.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Question {
+pub(super) enum Query {
     /// Whether the site takes it.
     Submit,
     /// How it ends.
     Wait,
 }
 
-/// A question that is not answered yet.
-pub(super) struct OpenQuestion {
+/// A query that is not answered yet.
+pub(super) struct OpenQuery {
     /// The job that it is about.
     pub(super) job: RequestId,
     /// What was asked.
-    pub(super) question: Question,
+    pub(super) query: Query,
     /// From then on the site counts as silent.
     pub(super) deadline: Micros,
 }
 
-/// Closes a question: the job that it was about, which may be asked about again after a pause.
-fn close_question<'a>(
+/// Closes a query: the job that it was about, which may be asked about again after a pause.
+fn close_query<'a>(
     now: Micros,
-    open: &OpenQuestion,
+    open: &OpenQuery,
     jobs: &'a mut ForwardedJobs,
 ) -> Option<&'a mut ForwardedJob> {
     jobs.schedule(open.job, now + RETRY_INTERVAL);
     let job = jobs.get_mut(open.job)?;
-    job.open_question = None;
+    job.open_query = None;
     Some(job)
 }
 
-/// A question will not be answered.
-pub(super) fn handle_lost_question(now: Micros, open: &OpenQuestion, context: &mut Context) {
+/// A query will not be answered.
+pub(super) fn handle_lost_query(now: Micros, open: &OpenQuery, context: &mut Context) {
     let Some(jobs) = &mut context.forwarded_jobs else {
         return;
     };
-    if let Some(job) = close_question(now, open, jobs) {
-        if open.question == Question::Submit {
+    if let Some(job) = close_query(now, open, jobs) {
+        if open.query == Query::Submit {
             job.placement.handle_response(SiteResponse::NoAnswer);
         }
     }
 }
 
-/// A site has answered a question.
-pub(super) fn handle_answer(
-    now: Micros,
-    open: &OpenQuestion,
-    answer: Value,
-    context: &mut Context,
-) {
+/// A site has answered a query.
+pub(super) fn handle_answer(now: Micros, open: &OpenQuery, answer: Value, context: &mut Context) {
     let Some(jobs) = &mut context.forwarded_jobs else {
         return;
     };
-    let Some(job) = close_question(now, open, jobs) else {
+    let Some(job) = close_query(now, open, jobs) else {
         return;
     };
-    match open.question {
-        Question::Submit => {
+    match open.query {
+        Query::Submit => {
             let outcome = submission_outcome(job, answer);
             let is_lost = outcome == SiteResponse::NoAnswer;
             job.placement.handle_response(outcome);
@@ -76,7 +71,7 @@
                 jobs.schedule(open.job, now);
             }
         }
-        Question::Wait => handle_wait_answer(now, open.job, answer, context),
+        Query::Wait => handle_wait_answer(now, open.job, answer, context),
     }
 }
 
@@ -101,12 +96,12 @@
 fn handle_wait_answer(now: Micros, id: RequestId, answer: Value, context: &mut Context) {
     match serde_json::from_value::<JobInfo>(answer["jobInfo"].clone()) {
         Ok(info) if info.job_state.is_final() => {
-            let verdict = match (info.job_state, info.result_bytes()) {
+            let answer = match (info.job_state, info.result_bytes()) {
                 (JobState::Done, Some(result)) => FinalAnswer::Served(result),
                 (JobState::Done, None) => FinalAnswer::Served(Vec::new()),
                 _ => FinalAnswer::Failed,
             };
-            finish(id, verdict, context);
+            finish(id, answer, context);
         }
         Ok(_) => ask_at_once(now, id, context),
         Err(_) => match serde_json::from_value::<Problem>(answer) {
@@ -131,10 +126,10 @@
 }
 
 /// A job has ended: its final answer goes to whoever waits for it.
-pub(super) fn finish(id: RequestId, verdict: FinalAnswer, context: &mut Context) {
+pub(super) fn finish(id: RequestId, answer: FinalAnswer, context: &mut Context) {
     let jobs = context.forwarded_jobs.as_mut();
     let job = jobs.and_then(|jobs| jobs.remove(id));
     if job.is_some_and(|job| !job.is_abandoned) {
-        context.core.push_answer(id, verdict);
+        context.core.push_answer(id, answer);
     }
 }
--- a/crates/node/src/federation/mod.rs
+++ b/crates/node/src/federation/mod.rs
@@ -12,7 +12,7 @@
 use crate::net::{Net, Peer, Ready, Token};
 use crate::placement::Sites;
 use crate::service::Service;
-use answers::{finish, handle_answer, handle_lost_question, OpenQuestion, Question};
+use answers::{finish, handle_answer, handle_lost_query, OpenQuery, Query};
 use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_submission::frame;
 use marbledeck_submission::message::{Operation, Request};
@@ -31,7 +31,7 @@
 const MAX_LINE: usize = 1024 * 1024;
 /// What a connection may hold besides one line.
 const INPUT_MARGIN: usize = 4096;
-/// While more bytes than this are still to be sent, no question is written.
+/// While more bytes than this are still to be sent, no query is written.
 const MAX_BACKLOG: usize = 256 * 1024;
 /// Jobs looked at in one turn.
 const JOBS_PER_TURN: usize = 64;
@@ -39,8 +39,8 @@
 /// A connection to a site.
 struct Connection {
     address: SocketAddr,
-    /// By the numbers of the questions.
-    open: HashMap<u64, OpenQuestion>,
+    /// By the numbers of the queries.
+    open: HashMap<u64, OpenQuery>,
 }
 
 /// The service for federation.
@@ -49,8 +49,8 @@
     connections: HashMap<Token, Connection>,
     /// When an address may be connected to again.
     connect_after: HashMap<SocketAddr, Micros>,
-    /// The number of the latest question.
-    latest_question: u64,
+    /// The number of the latest query.
+    latest_query: u64,
 }
 
 impl Federation {
@@ -60,7 +60,7 @@
             peer,
             connections: HashMap::new(),
             connect_after: HashMap::new(),
-            latest_question: 0,
+            latest_query: 0,
         }
     }
 
@@ -106,7 +106,7 @@
         self.connect_after
             .insert(connection.address, now + RETRY_INTERVAL);
         for open in connection.open.into_values() {
-            handle_lost_question(now, &open, context);
+            handle_lost_query(now, &open, context);
         }
     }
 
@@ -123,14 +123,14 @@
         let may_be_taken = job.placement.may_be_placed();
         if now >= job.deadline || job.is_abandoned && !may_be_taken {
             // What a site may have may have run.
-            let verdict = if may_be_taken {
+            let answer = if may_be_taken {
                 FinalAnswer::Failed
             } else {
                 FinalAnswer::Rejected(Some(RETRY_INTERVAL))
             };
-            return finish(id, verdict, context);
+            return finish(id, answer, context);
         }
-        if job.open_question.is_some() {
+        if job.open_query.is_some() {
             return;
         }
         let sites = Sites::read(&context.records, now);
@@ -138,8 +138,8 @@
             NextStep::Ask {
                 address: Some(address),
                 op,
-                question,
-            } => self.ask(now, id, address, *op, question, context),
+                query,
+            } => self.ask(now, id, address, *op, query, context),
             NextStep::Ask { address: None, .. } | NextStep::Nothing => {}
             NextStep::Reject(reason) => {
                 log::info!("sites: no site takes a job: {reason}");
@@ -154,7 +154,7 @@
         job: RequestId,
         address: SocketAddr,
         op: Operation,
-        question: Question,
+        query: Query,
         context: &mut Context,
     ) {
         let Some(token) = self.connect(now, address, &mut context.net) else {
@@ -163,8 +163,8 @@
         if !context.net.has_room(token, MAX_BACKLOG) {
             return;
         }
-        self.latest_question += 1;
-        let number = self.latest_question;
+        self.latest_query += 1;
+        let number = self.latest_query;
         let request = Request {
             seq: Value::from(number),
             op,
@@ -172,14 +172,14 @@
         if !context.net.write(token, &frame::line(&request)) {
             return self.drop_connection(now, token, context);
         }
-        let deadline = match question {
-            Question::Submit => now + ANSWER_TIMEOUT,
-            Question::Wait => now + millis(WAIT_MS) + ANSWER_TIMEOUT,
+        let deadline = match query {
+            Query::Submit => now + ANSWER_TIMEOUT,
+            Query::Wait => now + millis(WAIT_MS) + ANSWER_TIMEOUT,
         };
         if let Some(connection) = self.connections.get_mut(&token) {
-            let open = OpenQuestion {
+            let open = OpenQuery {
                 job,
-                question,
+                query,
                 deadline,
             };
             connection.open.insert(number, open);
@@ -188,7 +188,7 @@
             // Until there is an answer, or none can be any more.
             jobs.schedule(job, Micros(u64::MAX));
             if let Some(job) = jobs.get_mut(job) {
-                job.open_question = Some(number);
+                job.open_query = Some(number);
             }
         }
     }
--- a/crates/node/src/federation/next_step.rs
+++ b/crates/node/src/federation/next_step.rs
@@ -1,6 +1,6 @@
 //! Which site a job is offered to next, and what that site is asked.
 
-use super::answers::Question;
+use super::answers::Query;
 use crate::placement::{ForwardedJob, Sites};
 use marbledeck_federation::{check, CandidateSite, MatchResult, PlacementStep};
 use marbledeck_submission::message::Operation;
@@ -17,7 +17,7 @@
     Ask {
         address: Option<SocketAddr>,
         op: Box<Operation>,
-        question: Question,
+        query: Query,
     },
     /// Nothing.
     Nothing,
@@ -45,7 +45,7 @@
         ) => NextStep::Ask {
             address,
             op: Box::new(submission(&job.template, own_site, catalog_version)),
-            question: Question::Submit,
+            query: Query::Submit,
         },
         (PlacementStep::Wait, Some(remote_id)) => NextStep::Ask {
             address,
@@ -53,7 +53,7 @@
                 job_id: remote_id.clone(),
                 timeout_ms: Some(WAIT_MS),
             }),
-            question: Question::Wait,
+            query: Query::Wait,
         },
         (PlacementStep::Wait, None) => NextStep::Nothing,
         (PlacementStep::Rejected(reason), _) => NextStep::Reject(reason),
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -31,8 +31,8 @@
     socket: Option<Token>,
     /// When binding the socket is next tried.
     bind_at: Micros,
-    /// The questions to owners that are not answered yet.
-    questions: PendingQueries,
+    /// The queries to owners that are not answered yet.
+    queries: PendingQueries,
 }
 
 impl Gossip {
@@ -47,7 +47,7 @@
             peer,
             socket: None,
             bind_at: now,
-            questions: PendingQueries::default(),
+            queries: PendingQueries::default(),
             config,
         };
         gossip.bind(now, net);
@@ -88,7 +88,7 @@
             let Some(answer) = self.peers.receive(now, node, &bytes[..length]) else {
                 continue;
             };
-            if let Some(worker) = self.questions.take_answered(answer.worker) {
+            if let Some(worker) = self.queries.take_answered(answer.worker) {
                 context
                     .core
                     .set_fleet_in_flight(now, worker, answer.in_flight);
@@ -99,7 +99,7 @@
     fn next_wake(&self) -> Option<Micros> {
         let bind_at = self.socket.is_none().then_some(self.bind_at);
         [
-            self.questions.next_deadline(),
+            self.queries.next_deadline(),
             bind_at,
             self.peers.next_wake(),
         ]
@@ -112,7 +112,7 @@
         if self.socket.is_none() && self.bind_at <= now {
             self.bind(now, &mut context.net);
         }
-        while let Some(worker) = self.questions.take_overdue(now) {
+        while let Some(worker) = self.queries.take_overdue(now) {
             self.peers.mark_owner_silent(worker);
             context.core.set_fleet_in_flight(now, worker, None);
         }
@@ -134,7 +134,7 @@
             QueryOutcome::Sent if self.socket.is_some() => {
                 context.core.await_fleet_in_flight(worker);
                 let deadline = now + ANSWER_TIMEOUT;
-                if let Some(dropped) = self.questions.insert(worker, deadline) {
+                if let Some(dropped) = self.queries.insert(worker, deadline) {
                     context.core.set_fleet_in_flight(now, dropped, None);
                 }
             }
--- a/crates/node/src/net/acceptor.rs
+++ b/crates/node/src/net/acceptor.rs
@@ -70,7 +70,7 @@
 
     /// Ends the pause once its time is over.
     pub fn wake(&mut self, now: Micros, net: &mut Net) {
-        if self.paused_until.is_some_and(|until| until <= now) {
+        if self.paused_until.is_some_and(|deadline| deadline <= now) {
             self.paused_until = None;
             net.set_accepting(self.listener, !self.succeeded);
         }
--- a/crates/node/src/net/closing.rs
+++ b/crates/node/src/net/closing.rs
@@ -12,7 +12,7 @@
 
 /// A connection that is closed at this time, whatever its peer does.
 pub(super) struct Lingering {
-    pub(super) until: Micros,
+    pub(super) deadline: Micros,
     token: Token,
 }
 
@@ -62,7 +62,7 @@
 
     /// Closes a connection when all is written. Nothing more is reported of it.
     pub fn finish(&mut self, token: Token) {
-        let until = self.now + LINGER;
+        let deadline = self.now + LINGER;
         let Some(slot) = self.slot(token) else {
             return;
         };
@@ -70,7 +70,7 @@
         if let Some(conn) = self.get(token).filter(|conn| !conn.closing) {
             conn.closing = true;
             *self.closing.of_mut(peer) += 1;
-            self.lingering.push_back(Lingering { until, token });
+            self.lingering.push_back(Lingering { deadline, token });
             self.touch(token);
         }
     }
@@ -107,7 +107,7 @@
     /// Closes the connections that have lingered for too long.
     pub(super) fn close_expired(&mut self) {
         let now = self.now;
-        while let Some(expired) = self.lingering.pop_front_if(|next| next.until <= now) {
+        while let Some(expired) = self.lingering.pop_front_if(|next| next.deadline <= now) {
             self.close(expired.token);
         }
     }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -296,13 +296,13 @@
         }
     }
 
-    /// Waits until something happens, at most until this time, and adds on which sockets to `events`. Each is to be
+    /// Waits until something happens, until this deadline at the latest, and adds on which sockets to `events`. Each is to be
     /// handed to [`Net::process_event`].
-    pub fn wait(&mut self, now: Micros, until: Option<Micros>, events: &mut Vec<SocketEvent>) {
+    pub fn wait(&mut self, now: Micros, deadline: Option<Micros>, events: &mut Vec<SocketEvent>) {
         self.now = now;
-        let linger = self.lingering.front().map(|lingering| lingering.until);
-        let until = [until, linger].into_iter().flatten().min();
-        let timeout = until.map(|until| timespec(until - now));
+        let linger = self.lingering.front().map(|lingering| lingering.deadline);
+        let deadline = [deadline, linger].into_iter().flatten().min();
+        let timeout = deadline.map(|deadline| timespec(deadline - now));
         let mut received = Vec::with_capacity(MAX_EVENTS);
         let buffer = rustix::buffer::spare_capacity(&mut received);
         if let Err(error) = epoll::wait(&self.epoll, buffer, timeout.as_ref()) {
--- a/crates/node/src/node/builder.rs
+++ b/crates/node/src/node/builder.rs
@@ -14,7 +14,7 @@
 };
 use crate::consensus::Consensus;
 use crate::context::Context;
-use crate::core::licensing::Licensing;
+use crate::core::licensing::{Licensing, UnknownClassError};
 use crate::core::Core;
 use crate::discovery::{self, Discovery, EndpointList, StalenessTracker};
 use crate::eureka::Eureka;
@@ -45,8 +45,8 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The licences and the classes of jobs do not fit together.
-    #[error("{0}")]
-    Licensing(String),
+    #[error(transparent)]
+    Licensing(#[from] UnknownClassError),
 }
 
 /// The parts that are there already, while others are made.
@@ -237,8 +237,7 @@
             return Ok(());
         };
         let core = &mut self.context.core;
-        let licensing = Licensing::new(config, core.names())
-            .map_err(|error| StartError::Licensing(error.to_string()))?;
+        let licensing = Licensing::new(config, core.names())?;
         core.licensing = Some(licensing);
         Ok(())
     }
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -110,11 +110,13 @@
             Command::Answer {
                 request,
                 answer,
-                last_sent,
+                last_attempt_sent_at,
             } => {
                 if !self.clients.send_answer(now, request, &answer, net, core) {
                     let mut services = self.services.iter_mut();
-                    services.any(|service| service.handle_answer(now, request, &answer, last_sent));
+                    services.any(|service| {
+                        service.handle_answer(now, request, &answer, last_attempt_sent_at)
+                    });
                 }
             }
             Command::RequestRunning(request, worker) => {
--- a/crates/node/src/placement.rs
+++ b/crates/node/src/placement.rs
@@ -62,7 +62,7 @@
                 }),
                 RecordValidity::Active(_) | RecordValidity::Unknown => {}
                 RecordValidity::Pending | RecordValidity::Unconfirmed { .. } => {
-                    sites.unknown.push(name)
+                    sites.unknown.push(name);
                 }
             }
         }
@@ -87,8 +87,8 @@
     pub remote_id: Option<String>,
     /// When something is to be done about it: its place in the order of the jobs.
     due: Micros,
-    /// The number of the question about it that is not answered yet.
-    pub open_question: Option<u64>,
+    /// The number of the query about it that is not answered yet.
+    pub open_query: Option<u64>,
     /// Nobody waits for its answer any more.
     pub is_abandoned: bool,
 }
@@ -218,7 +218,7 @@
             deadline: now + order.time_left,
             remote_id: None,
             due: now,
-            open_question: None,
+            open_query: None,
             is_abandoned: false,
         };
         self.jobs.insert(id, job);
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -41,8 +41,8 @@
         &mut self,
         _now: Micros,
         _id: RequestId,
-        _verdict: &FinalAnswer,
-        _sent: Option<Micros>,
+        _answer: &FinalAnswer,
+        _last_attempt_sent_at: Option<Micros>,
     ) -> bool {
         false
     }
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -279,17 +279,18 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        verdict: &FinalAnswer,
-        sent: Option<Micros>,
+        answer: &FinalAnswer,
+        last_attempt_sent_at: Option<Micros>,
     ) -> bool {
-        let verdict = match verdict {
+        let verdict = match answer {
             FinalAnswer::Served(result) => marbledeck_submission::Verdict::Served(result.clone()),
             FinalAnswer::Rejected(wait) => {
                 marbledeck_submission::Verdict::Rejected { retry_after: *wait }
             }
             FinalAnswer::Failed => marbledeck_submission::Verdict::Failed,
         };
-        self.server.handle_verdict(now, id, verdict, sent)
+        self.server
+            .handle_verdict(now, id, verdict, last_attempt_sent_at)
     }
 
     fn handle_run_start(
@@ -355,10 +356,10 @@
         &mut self,
         now: Micros,
         side: handover::Side,
-        word: Value,
+        message: Value,
         context: &mut Context,
     ) {
-        match serde_json::from_value::<Transfer>(word) {
+        match serde_json::from_value::<Transfer>(message) {
             Ok(transfer) => {
                 let was_paused = self.server.is_paused();
                 let scheduler = &mut NodeScheduler(context);
--- a/crates/node/src/workers/mod.rs
+++ b/crates/node/src/workers/mod.rs
@@ -148,7 +148,7 @@
         (bytes, Exchange::Http(exchange))
     }
 
-    /// Asks a worker for its load. One that takes attempts by batch submission has no such question: its probe succeeds
+    /// Asks a worker for its load. One that takes attempts by batch submission has no such query: its probe succeeds
     /// without a report.
     pub fn probe(
         &mut self,
@@ -280,7 +280,9 @@
     /// For its request it starts with the last byte: one that is closed makes no further attempt, nor one whose effect
     /// allows none any more. What is taken back has never run, and shows nothing of its worker.
     pub fn withdraw_stale(&mut self, now: Micros, fleet: &Fleet, net: &mut Net, core: &mut Core) {
-        let seats_expired = core.seats_valid_until().is_some_and(|until| until <= now);
+        let seats_expired = core
+            .seats_valid_until()
+            .is_some_and(|deadline| deadline <= now);
         let mut stale = Vec::new();
         for token in &self.sending {
             let (Some(connection), Some(conn)) = (self.pool.get(*token), net.get(*token)) else {
--- a/crates/node/src/workers/pool.rs
+++ b/crates/node/src/workers/pool.rs
@@ -135,8 +135,8 @@
     }
 
     /// Keeps a connection for the next request, until this time.
-    pub fn keep_idle(&mut self, token: Token, until: Micros) {
-        self.set_deadline(token, Some(until));
+    pub fn keep_idle(&mut self, token: Token, deadline: Micros) {
+        self.set_deadline(token, Some(deadline));
         if let Some(connection) = self.connections.get_mut(&token) {
             connection.purpose = Purpose::Idle;
             connection.exchange = None;
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -127,7 +127,7 @@
                 Command::Answer {
                     request: id,
                     answer,
-                    last_sent,
+                    last_attempt_sent_at,
                 } => {
                     let answer = match answer {
                         FinalAnswer::Served(_) => "served".to_owned(),
@@ -139,7 +139,7 @@
                     format!(
                         "{} {answer} sent {:?}",
                         name(id),
-                        last_sent.map(|at| at.0 / 1000)
+                        last_attempt_sent_at.map(|time| time.0 / 1000)
                     )
                 }
             });
