--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -1,72 +1,82 @@
-//! The conformance suite of the submission front: a table of clauses of DRMAA's specifications, each with what is
-//! expected and a test against a running node between stand-ins. A clause without a test counts as failed; one that asks
-//! for what the node does not have is not applicable only where the capabilities say so, which its test checks.
-#![forbid(unsafe_code)]
+//! The conformance suite of the submission interface: a table of clauses of DRMAA's specifications, each with the
+//! expected behaviour and a test against a running node with simulated neighbours. A clause without a test counts as
+//! failed. A clause about an optional feature is not applicable only where the node's capabilities declare the feature
+//! absent, which the test of the clause checks.
 
+mod report;
 mod v1;
 mod v2;
 
+pub use report::report;
+
 use marbledeck_submission_client::{Client, Settings, Template};
 use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment};
-use std::fmt::Write;
+use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
 
-/// How a clause fares.
+/// The result of a clause in a run of the suite.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The node does what the clause asks for.
     Passed,
-    /// It does not, or nothing shows that it does.
+    /// The node does not, or the clause has no test. Carries the reason.
     Failed(String),
     /// The clause is about something optional that the node declares absent.
     NotApplicable,
 }
 
-/// Tests a clause: true where it holds, false where the node says by a capability that it has no such thing. A panic is
-/// a failure.
-pub type Test = fn(&World) -> bool;
+/// What the test of a clause found where it did not fail.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// The node does what the clause asks for.
+    Holds,
+    /// A capability of the node declares the optional feature absent.
+    NotApplicable,
+}
+
+/// The test of a clause. It fails by a panic.
+pub type ClauseTest = fn(&World) -> Outcome;
 
 /// One clause.
 pub struct Clause {
-    /// The specification's number and its section.
+    /// The number of the specification, and the section.
     pub section: &'static str,
-    /// What is expected.
+    /// The expected behaviour, as the table shows it.
     pub expected: &'static str,
-    pub test: Option<Test>,
+    /// The test; a clause without one counts as failed.
+    pub test: Option<ClauseTest>,
 }
 
-/// A node between stand-ins, and who speaks to it.
+/// A running node with simulated neighbours, and a client of its submission interface.
 pub struct World {
-    pub lab: TestEnvironment,
+    /// The node, its workers and its registry.
+    pub environment: TestEnvironment,
+    /// A client that is connected to the node.
     pub client: Client,
 }
 
 impl World {
-    /// Starts a node with three workers. `/slow...` runs for four seconds, `/fail...` fails, `/returned...` is handed
-    /// back once; all else is made in a few milliseconds.
+    /// Starts a node with three workers. A command `/slow...` runs for four seconds and `/fail...` fails; any other
+    /// command is served in a few milliseconds.
+    #[must_use]
     pub fn start() -> Self {
-        let lab = TestEnvironment::start(EnvironmentOptions {
+        let environment = TestEnvironment::start(EnvironmentOptions {
             submission_keys: "history = 64\nretain_s = 600\nmax_sessions = 120".to_owned(),
             ..EnvironmentOptions::default()
         });
-        for worker in &lab.workers {
-            worker.set_behaviour(|job| {
-                let ms = Duration::from_millis;
-                match job.target.as_str() {
-                    target if target.starts_with("/slow") => {
-                        JobBehaviour::Serve(ms(4000), "late".to_owned())
-                    }
-                    target if target.starts_with("/fail") => JobBehaviour::Fail(ms(5)),
-                    target => JobBehaviour::Serve(ms(5), format!("made {target}")),
-                }
-            });
+        for worker in &environment.workers {
+            worker.set_behaviour(|job| behaviour_of(&job.target));
+        }
+        let client = Client::new(Settings::new(environment.submission_address.clone()));
+        World {
+            environment,
+            client,
         }
-        let client = Client::new(Settings::new(lab.submission_address.clone()));
-        World { lab, client }
     }
 
-    /// A template of the class that is harmless to repeat.
+    /// A job template of the idempotent class `preview`.
+    #[must_use]
     pub fn preview(&self, command: &str) -> Template {
         Template {
             remote_command: command.to_owned(),
@@ -76,8 +86,12 @@
         }
     }
 
-    /// A held job of this session.
-    pub fn held(&self, command: &str, session: Option<&str>) -> String {
+    /// Submits a held job to this session, or without a session; returns the id of the job.
+    ///
+    /// # Panics
+    ///
+    /// Where the node does not accept the job.
+    pub fn submit_held_job(&self, command: &str, session: Option<&str>) -> String {
         let template = Template {
             submit_as_hold: true,
             ..self.preview(command)
@@ -86,26 +100,34 @@
         job.expect("a held job is taken").job_id
     }
 
-    /// A job that has ended.
-    pub fn ended(&self, command: &str) -> String {
+    /// Submits a job and waits for its end; returns the id of the job.
+    ///
+    /// # Panics
+    ///
+    /// Where the node does not accept or finish the job.
+    pub fn run_finished_job(&self, command: &str) -> String {
         let job = self
             .client
             .run_job(self.preview(command), None)
             .expect("taken")
             .job_id;
-        let ended = self.client.wait_terminated(&job, PATIENCE);
+        let ended = self.client.wait_terminated(&job, WAIT_TIMEOUT);
         ended.expect("it ends");
         job
     }
 
-    /// A job that runs.
-    pub fn running(&self) -> String {
+    /// Submits a slow job and waits for its start; returns the id of the job.
+    ///
+    /// # Panics
+    ///
+    /// Where the node does not accept or start the job.
+    pub fn start_running_job(&self) -> String {
         let job = self
             .client
             .run_job(self.preview("/slow"), None)
             .expect("taken")
             .job_id;
-        let started = self.client.wait_started(&job, PATIENCE);
+        let started = self.client.wait_started(&job, WAIT_TIMEOUT);
         assert_eq!(
             started.expect("it runs").job_state,
             marbledeck_submission_client::JobState::Running
@@ -114,87 +136,72 @@
     }
 }
 
-/// Far longer than anything takes.
-pub const PATIENCE: Option<Duration> = Some(Duration::from_secs(30));
+/// How the workers serve the job with this command.
+fn behaviour_of(command: &str) -> JobBehaviour {
+    if command.starts_with("/slow") {
+        JobBehaviour::Serve(SLOW_JOB_DURATION, "late".to_owned())
+    } else if command.starts_with("/fail") {
+        JobBehaviour::Fail(JOB_DURATION)
+    } else {
+        JobBehaviour::Serve(JOB_DURATION, format!("made {command}"))
+    }
+}
+
+/// How long a worker takes for an ordinary job.
+const JOB_DURATION: Duration = Duration::from_millis(5);
+
+/// How long a worker takes for a job whose command begins with `/slow`.
+const SLOW_JOB_DURATION: Duration = Duration::from_millis(4000);
+
+/// The timeout of waits that are expected to succeed: far longer than any job of the suite takes.
+pub const WAIT_TIMEOUT: Option<Duration> = Some(Duration::from_secs(30));
 
 /// All clauses, in the order of their sections.
+#[must_use]
 pub fn clauses() -> Vec<Clause> {
     let mut clauses = v2::clauses();
     clauses.extend(v1::clauses());
     clauses
 }
 
+/// A clause and its result.
+pub struct ClauseResult {
+    /// The clause.
+    pub clause: Clause,
+    /// Its result.
+    pub verdict: Verdict,
+}
+
 /// Runs all clauses against one node.
-pub fn run() -> Vec<(Clause, Verdict)> {
+#[must_use]
+pub fn run() -> Vec<ClauseResult> {
     let world = World::start();
-    let mut table = Vec::new();
-    for clause in clauses() {
-        let verdict = match clause.test {
-            None => Verdict::Failed("there is no test".to_owned()),
-            Some(test) => match catch_unwind(AssertUnwindSafe(|| test(&world))) {
-                Ok(true) => Verdict::Passed,
-                Ok(false) => Verdict::NotApplicable,
-                Err(what) => {
-                    let text = what.downcast_ref::<String>().cloned();
-                    let text = text.or(what.downcast_ref::<&str>().map(|t| (*t).to_owned()));
-                    Verdict::Failed(text.unwrap_or_default())
-                }
-            },
-        };
-        table.push((clause, verdict));
-    }
-    table
+    let run_clause = |clause: Clause| {
+        let verdict = run_test(&world, clause.test);
+        ClauseResult { clause, verdict }
+    };
+    clauses().into_iter().map(run_clause).collect()
 }
 
-/// The table as Markdown, with the sums of each section at its head.
-pub fn report(table: &[(Clause, Verdict)]) -> String {
-    let mut text = String::from(
-        "# Conformance of the submission front\n\n\
-         Written by `make conformance`, which runs each clause against a node between stand-ins. GFD.231 is DRMAA v2,\n\
-         tested over the wire; GFD.133 is DRMAA 1.0, tested through `libdrmaa.so`. What is not applicable is optional in\n\
-         the specification, and the node's capabilities declare it absent. The words are this project's own; the\n\
-         sections are the specifications'.\n\n",
-    );
-    let mut sums: Vec<(&str, [usize; 3])> = Vec::new();
-    for (clause, verdict) in table {
-        let which = match verdict {
-            Verdict::Passed => 0,
-            Verdict::Failed(_) => 1,
-            Verdict::NotApplicable => 2,
-        };
-        match sums
-            .iter_mut()
-            .find(|(section, _)| *section == clause.section)
-        {
-            Some((_, sum)) => sum[which] += 1,
-            None => {
-                let mut sum = [0; 3];
-                sum[which] = 1;
-                sums.push((clause.section, sum));
-            }
-        }
+/// Runs the test of one clause.
+fn run_test(world: &World, test: Option<ClauseTest>) -> Verdict {
+    let Some(test) = test else {
+        return Verdict::Failed("there is no test".to_owned());
+    };
+    match catch_unwind(AssertUnwindSafe(|| test(world))) {
+        Ok(Outcome::Holds) => Verdict::Passed,
+        Ok(Outcome::NotApplicable) => Verdict::NotApplicable,
+        Err(payload) => Verdict::Failed(panic_message(payload.as_ref())),
     }
-    text += "| section | passed | failed | not applicable |\n| --- | --- | --- | --- |\n";
-    let mut all = [0; 3];
-    for (section, sum) in &sums {
-        let [passed, failed, none] = sum;
-        let _ = writeln!(text, "| {section} | {passed} | {failed} | {none} |");
-        all.iter_mut().zip(sum).for_each(|(all, one)| *all += one);
-    }
-    let [passed, failed, none] = all;
-    let _ = writeln!(text, "| all | {passed} | {failed} | {none} |\n");
-    text += "| section | expected | |\n| --- | --- | --- |\n";
-    for (clause, verdict) in table {
-        let verdict = match verdict {
-            Verdict::Passed => "passed".to_owned(),
-            Verdict::Failed(why) => format!("**failed**: {}", why.replace('\n', " ")),
-            Verdict::NotApplicable => "not applicable".to_owned(),
-        };
-        let _ = writeln!(
-            text,
-            "| {} | {} | {verdict} |",
-            clause.section, clause.expected
-        );
+}
+
+/// The message of a panic; empty where it carries no text.
+fn panic_message(payload: &(dyn Any + Send)) -> String {
+    if let Some(message) = payload.downcast_ref::<String>() {
+        message.clone()
+    } else if let Some(message) = payload.downcast_ref::<&str>() {
+        (*message).to_owned()
+    } else {
+        String::new()
     }
-    text
 }
--- a/crates/conformance/src/v1.rs
+++ b/crates/conformance/src/v1.rs
@@ -1,28 +1,28 @@
-//! Clauses of GFD.133 (DRMAA 1.0), through the C interface: each is a run of `c/checks.c`, a process of its own, since
-//! a process has one session.
+//! Clauses of GFD.133 (DRMAA 1.0), through the C interface. Each test is a run of `c/checks.c` in its own process, since
+//! a process has at most one session.
 
-use crate::{Clause, World};
+use crate::{Clause, Outcome, World};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The library that was built beside this program, or with its tests.
-fn library() -> PathBuf {
-    let own = std::env::current_exe().expect("a program has a path");
-    let found = own
+/// The path of the library that was built beside this program, or with its tests.
+fn library_path() -> PathBuf {
+    let executable = std::env::current_exe().expect("a program has a path");
+    let found = executable
         .ancestors()
         .skip(1)
         .take(2)
-        .map(|folder| folder.join("libdrmaa.so"));
+        .map(|directory| directory.join("libdrmaa.so"));
     let found = found.into_iter().find(|path| path.is_file());
     found.expect("build the library first: cargo build, in the same profile")
 }
 
-/// Compiles the checks, once.
-fn program(world: &World) -> &'static Path {
+/// Compiles the checks once; returns the path of the program.
+fn compiled_checks(world: &World) -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
-        let program = world.lab.folder().join("checks");
+        let program = world.environment.folder().join("checks");
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("c/checks.c");
         let mut cc = Command::new("cc");
         cc.args([
@@ -36,7 +36,7 @@
         .arg(&program);
         let output = cc
             .arg(source)
-            .arg(library())
+            .arg(library_path())
             .output()
             .expect("a C compiler");
         assert!(
@@ -48,14 +48,19 @@
     })
 }
 
-fn check(world: &World, name: &str) {
-    let mut run = Command::new(program(world));
-    run.env_remove("DRMAA_CONTACT")
-        .env("LD_LIBRARY_PATH", library().parent().expect("a folder"));
+/// Runs the check with this name, and panics where it fails.
+fn run_check(world: &World, name: &str) {
+    let mut run = Command::new(compiled_checks(world));
+    run.env_remove("DRMAA_CONTACT").env(
+        "LD_LIBRARY_PATH",
+        library_path()
+            .parent()
+            .expect("the library is in a directory"),
+    );
     let output = run
         .arg(name)
-        .arg(&world.lab.submission_address)
-        .arg(world.lab.folder())
+        .arg(&world.environment.submission_address)
+        .arg(world.environment.folder())
         .output();
     let output = output.expect("it was compiled");
     assert!(
@@ -66,20 +71,22 @@
     );
 }
 
+/// Lists clauses, each with its section, the expected behaviour and the name of its check.
 macro_rules! clauses {
     ($($section:literal, $expected:literal, $check:ident;)*) => {
         vec![$(Clause {
             section: concat!("GFD.133, ", $section),
             expected: $expected,
             test: Some(|world| {
-                check(world, stringify!($check));
-                true
+                run_check(world, stringify!($check));
+                Outcome::Holds
             }),
         }),*]
     };
 }
 
-pub fn clauses() -> Vec<Clause> {
+/// All clauses of GFD.133, in the order of their sections.
+pub(crate) fn clauses() -> Vec<Clause> {
     clauses! {
         "session: init", "A second session of a process is ALREADY_ACTIVE_SESSION", init_twice;
         "session: init", "A contact that makes no sense is refused; without one the default counts, if there is one", init_contact;
--- /dev/null
+++ b/crates/conformance/src/v2/capabilities.rs
@@ -0,0 +1,23 @@
+//! Clauses of section 5.9: the attributes that the implementation supports.
+
+use super::support::clause;
+use crate::{Clause, Outcome, World};
+use marbledeck_submission_client::Operation;
+
+/// The clauses of these sections, in their order.
+pub(super) fn clauses() -> Vec<Clause> {
+    vec![clause(
+        "GFD.231, 5.9",
+        "The attributes that are supported, and those that are not, can be asked for",
+        attributes_are_listed,
+    )]
+}
+
+fn attributes_are_listed(world: &World) -> Outcome {
+    let response = world.client.request(Operation::GetCapabilities).unwrap();
+    let list = |name: &str| response[name].as_array().unwrap().clone();
+    assert!(list("jobTemplateAttributes").contains(&"remoteCommand".into()));
+    assert!(list("unsupportedAttributes").contains(&"email".into()));
+    assert!(list("jobInfoAttributes").contains(&"jobId".into()));
+    Outcome::Holds
+}
--- /dev/null
+++ b/crates/conformance/src/v2/data_types.rs
@@ -0,0 +1,147 @@
+//! Clauses of chapters 4 and 5: common types, queues, machines and job information.
+
+use super::support::{clause, has_capability, submit_bulk, wait_until_done, SubmittedBulk};
+use crate::{Clause, Outcome, World};
+use marbledeck_submission_client::{Filter, Template};
+
+/// The clauses of these sections, in their order.
+pub(super) fn clauses() -> Vec<Clause> {
+    vec![
+        clause(
+            "GFD.231, 4.4",
+            "The parametric index is filled in for each job of a bulk",
+            parametric_index_is_filled_in,
+        ),
+        clause(
+            "GFD.231, 4.5",
+            "Every optional feature is declared present or absent",
+            optional_features_are_declared,
+        ),
+        clause("GFD.231, 5.1", "A queue has a name", queue_has_a_name),
+        clause(
+            "GFD.231, 5.3",
+            "A machine has a name, whether it is available, and its load as far as it is known",
+            machine_has_name_availability_and_load,
+        ),
+        clause(
+            "GFD.231, 5.5",
+            "The information of a job names its id, state, queue, owner's account and times",
+            job_information_is_complete,
+        ),
+        clause(
+            "GFD.231, 5.5",
+            "What is not known of a job is not told",
+            unknown_information_is_absent,
+        ),
+        clause(
+            "GFD.231, 5.5",
+            "Information of a job can be a filter; what is unset matches all",
+            job_information_is_a_filter,
+        ),
+    ]
+}
+
+fn parametric_index_is_filled_in(world: &World) -> Outcome {
+    let SubmittedBulk { job_ids, .. } =
+        submit_bulk(world, "/index/${PARAMETRIC_INDEX}", 3, None, None);
+    let results: Vec<_> = job_ids
+        .iter()
+        .map(|id| wait_until_done(world, id).result.unwrap())
+        .collect();
+    assert_eq!(results, ["made /index/1", "made /index/2", "made /index/3"]);
+    Outcome::Holds
+}
+
+fn optional_features_are_declared(world: &World) -> Outcome {
+    let optional = [
+        "ADVANCE_RESERVATION",
+        "RESERVE_SLOTS",
+        "CALLBACK",
+        "BULK_JOBS_MAXPARALLEL",
+        "JT_EMAIL",
+        "JT_STAGING",
+        "JT_DEADLINE",
+        "JT_MAXSLOTS",
+        "JT_ACCOUNTINGID",
+        "RT_STARTNOW",
+        "RT_DURATION",
+        "RT_MACHINEOS",
+        "RT_MACHINEARCH",
+    ];
+    // `has_capability` panics where a feature is declared neither present nor absent.
+    let present_count = optional
+        .iter()
+        .filter(|name| has_capability(world, name))
+        .count();
+    assert_eq!(present_count, 4);
+    Outcome::Holds
+}
+
+fn queue_has_a_name(world: &World) -> Outcome {
+    let names: Vec<String> = world
+        .client
+        .queues()
+        .unwrap()
+        .into_iter()
+        .map(|queue| queue.name)
+        .collect();
+    assert_eq!(names, ["preview", "sheet-publish"]);
+    Outcome::Holds
+}
+
+fn machine_has_name_availability_and_load(world: &World) -> Outcome {
+    world.run_finished_job("/x");
+    let machines = world.client.machines().unwrap();
+    assert_eq!(machines.len(), 3);
+    assert!(machines
+        .iter()
+        .all(|machine| machine.available && !machine.name.is_empty()));
+    assert!(machines.iter().any(|machine| machine.free_slots.is_some()));
+    Outcome::Holds
+}
+
+fn job_information_is_complete(world: &World) -> Outcome {
+    let info = world
+        .client
+        .job_info(&world.run_finished_job("/x"))
+        .unwrap();
+    assert_eq!(
+        (info.queue_name.as_str(), info.accounting_id.as_deref()),
+        ("preview", Some("au"))
+    );
+    let dispatch_time_ms = info.dispatch_time_ms.unwrap();
+    let finish_time_ms = info.finish_time_ms.unwrap();
+    assert!(info.submission_time_ms <= dispatch_time_ms && dispatch_time_ms <= finish_time_ms);
+    assert!(info.machine.is_some());
+    Outcome::Holds
+}
+
+fn unknown_information_is_absent(world: &World) -> Outcome {
+    let info = world
+        .client
+        .job_info(&world.submit_held_job("/x", None))
+        .unwrap();
+    assert!(
+        info.dispatch_time_ms.is_none() && info.finish_time_ms.is_none() && info.machine.is_none()
+    );
+    Outcome::Holds
+}
+
+fn job_information_is_a_filter(world: &World) -> Outcome {
+    let template = Template {
+        job_name: Some("filtered".to_owned()),
+        ..world.preview("/x")
+    };
+    let job = world.client.run_job(template, None).unwrap().job_id;
+    let mut found = Vec::new();
+    let filter = Filter {
+        job_name: Some("filtered".to_owned()),
+        ..Filter::default()
+    };
+    world
+        .client
+        .list_jobs(None, &filter, |info| found.push(info.job_id))
+        .unwrap();
+    assert_eq!(found, [job]);
+    Outcome::Holds
+}
--- /dev/null
+++ b/crates/conformance/src/v2/errors.rs
@@ -0,0 +1,77 @@
+//! Clauses of chapter 6: the error codes.
+
+use super::support::{clause, expect_error};
+use crate::{Clause, Outcome, World};
+use marbledeck_submission_client::{ErrorId, IndexRange, Operation};
+
+/// The clauses of these sections, in their order.
+pub(super) fn clauses() -> Vec<Clause> {
+    vec![
+        clause(
+            "GFD.231, 6",
+            "An argument that makes no sense is INVALID_ARGUMENT and names it",
+            unknown_argument_is_named,
+        ),
+        clause(
+            "GFD.231, 6",
+            "What cannot be done now is TRY_LATER",
+            exhausted_sessions_are_try_later,
+        ),
+        clause(
+            "GFD.231, 6",
+            "A bulk beyond what is taken at once is INVALID_ARGUMENT and names the bound",
+            oversized_bulk_names_the_limit,
+        ),
+    ]
+}
+
+fn unknown_argument_is_named(world: &World) -> Outcome {
+    let mut template = world.preview("/x");
+    template.others.insert("colour".to_owned(), "red".into());
+    let response = world.client.run_job(template, None);
+    assert!(response
+        .as_ref()
+        .unwrap_err()
+        .to_string()
+        .contains("colour"));
+    assert_eq!(expect_error(response), ErrorId::InvalidArgument);
+    Outcome::Holds
+}
+
+fn exhausted_sessions_are_try_later(world: &World) -> Outcome {
+    // As many sessions as one submitter may have open, and one more.
+    let create = |index: usize| {
+        world.client.request(Operation::CreateSession {
+            name: format!("many-{index}"),
+        })
+    };
+    let rejected = (0..100)
+        .map(|index| (index, create(index)))
+        .find(|(_, response)| response.is_err());
+    let (created_count, response) = rejected.expect("sessions are bounded");
+    let retry_after_ms = response
+        .as_ref()
+        .unwrap_err()
+        .problem()
+        .and_then(|problem| problem.retry_after_ms);
+    (0..created_count).for_each(|n| world.client.destroy_session(&format!("many-{n}")).unwrap());
+    assert_eq!(expect_error(response), ErrorId::TryLater);
+    assert!(created_count > 0 && retry_after_ms.is_some_and(|ms| ms > 0));
+    Outcome::Holds
+}
+
+fn oversized_bulk_names_the_limit(world: &World) -> Outcome {
+    let oversized = world.client.run_bulk(
+        world.preview("/x"),
+        IndexRange::new(1, 1_000_000, 1),
+        None,
+        None,
+    );
+    assert!(oversized
+        .as_ref()
+        .unwrap_err()
+        .to_string()
+        .contains("at most"));
+    assert_eq!(expect_error(oversized), ErrorId::InvalidArgument);
+    Outcome::Holds
+}
--- /dev/null
+++ b/crates/conformance/src/v2/job_arrays.rs
@@ -0,0 +1,125 @@
+//! Clauses of section 8.5: control of a job array.
+
+use super::support::{
+    clause, create_session, expect_error, hold, job_state, reap, release, submit_bulk, terminate,
+    wait_until_done, SubmittedBulk,
+};
+use crate::{Clause, Outcome, World, WAIT_TIMEOUT};
+use marbledeck_submission_client::{
+    ControlSummary, ErrorId, IndexRange, JobState, Targets, Template, WaitGoal,
+};
+use marbledeck_test_support::WorkerStub;
+
+/// The clauses of these sections, in their order.
+pub(super) fn clauses() -> Vec<Clause> {
+    vec![
+        clause(
+            "GFD.231, 8.5",
+            "An array tells its jobs, its session and its bound",
+            array_describes_itself,
+        ),
+        clause(
+            "GFD.231, 8.5",
+            "hold and release act on all members that they can act on",
+            hold_and_release_act_on_all_members,
+        ),
+        clause(
+            "GFD.231, 8.5",
+            "terminate ends all members, and none is started by it",
+            terminate_ends_all_members,
+        ),
+        clause(
+            "GFD.231, 8.5",
+            "reap forgets all members, and the array with them",
+            reap_removes_array_and_members,
+        ),
+    ]
+}
+
+fn array_describes_itself(world: &World) -> Outcome {
+    create_session(world, "c11");
+    let SubmittedBulk { array_id, .. } = submit_bulk(world, "/x", 5, Some(3), Some("c11"));
+    let info = world.client.job_array(&array_id).unwrap();
+    assert_eq!(
+        (info.jobs, info.max_parallel, info.session.as_deref()),
+        (5, Some(3), Some("c11"))
+    );
+    Outcome::Holds
+}
+
+fn hold_and_release_act_on_all_members(world: &World) -> Outcome {
+    let template = Template {
+        submit_as_hold: true,
+        ..world.preview("/x")
+    };
+    let response = world
+        .client
+        .run_bulk(template, IndexRange::new(1, 5, 1), None, None)
+        .unwrap();
+    let targets = || Targets::array(response.arrays[0].clone());
+    assert_eq!(
+        expect_error(world.client.control(hold(targets()))),
+        ErrorId::InvalidState
+    );
+    assert_eq!(
+        world.client.control(release(targets())).unwrap(),
+        ControlSummary {
+            changed: 5,
+            rejected: 0
+        }
+    );
+    Outcome::Holds
+}
+
+fn terminate_ends_all_members(world: &World) -> Outcome {
+    let SubmittedBulk { array_id, job_ids } = submit_bulk(world, "/slow-array", 20, Some(2), None);
+    world
+        .client
+        .wait_any(
+            &Targets::array(array_id.clone()),
+            WaitGoal::Started,
+            WAIT_TIMEOUT,
+        )
+        .unwrap();
+    world
+        .client
+        .control(terminate(Targets::array(array_id.clone())))
+        .unwrap();
+    assert!(job_ids
+        .iter()
+        .all(|id| job_state(world, id) == JobState::Failed));
+    let started_jobs = world
+        .environment
+        .workers
+        .iter()
+        .flat_map(WorkerStub::started_jobs);
+    assert!(
+        started_jobs
+            .filter(|job| job.target == "/slow-array")
+            .count()
+            <= 2
+    );
+    Outcome::Holds
+}
+
+fn reap_removes_array_and_members(world: &World) -> Outcome {
+    let SubmittedBulk { array_id, job_ids } = submit_bulk(world, "/x", 4, None, None);
+    job_ids
+        .iter()
+        .for_each(|id| drop(wait_until_done(world, id)));
+    assert_eq!(
+        world
+            .client
+            .control(reap(Targets::array(array_id.clone())))
+            .unwrap(),
+        ControlSummary {
+            changed: 4,
+            rejected: 0
+        }
+    );
+    assert_eq!(
+        expect_error(world.client.job_array(&array_id)),
+        ErrorId::InvalidArgument
+    );
+    Outcome::Holds
+}
--- /dev/null
+++ b/crates/conformance/src/v2/job_requirements.rs
@@ -0,0 +1,189 @@
+//! Clauses of section 5.7 on what a job requires: queue, slots, machine, times and account.
+
+use super::support::{
+    clause, expect_error, expect_unsupported_attribute, has_capability, milliseconds_from_now,
+    wait_until_done,
+};
+use crate::{Clause, Outcome, World};
+use marbledeck_submission_client::{ErrorId, JobState, Template};
+
+/// The clauses of these sections, in their order.
+pub(super) fn clauses() -> Vec<Clause> {
+    vec![
+        clause(
+            "GFD.231, 5.7",
+            "A job may run in an advance reservation",
+            reservation_is_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "The queue can be asked for by name",
+            queue_is_requested_by_name,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "The least number of slots can be asked for; no number is refused",
+            min_slots_are_checked,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "The greatest number of slots can be asked for",
+            max_slots_are_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "A priority can be asked for",
+            priority_is_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "Candidate machines, operating system, architecture and memory",
+            machine_requirements_are_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "A job with a start time does not run before it",
+            start_time_is_kept,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "A job that has not ended by its deadline is ended",
+            deadline_ends_the_job,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "Files are staged in and out",
+            file_staging_is_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "Limits of resources",
+            resource_limits_are_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "An account that the job is booked to; one that is not known is refused",
+            accounting_id_is_checked,
+        ),
+    ]
+}
+
+fn reservation_is_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(
+        world,
+        Some("ADVANCE_RESERVATION"),
+        "reservationId",
+        "r".into(),
+    )
+}
+
+fn queue_is_requested_by_name(world: &World) -> Outcome {
+    let template = Template {
+        job_category: String::new(),
+        queue_name: Some("preview".to_owned()),
+        ..world.preview("/x")
+    };
+    let job = world.client.run_job(template, None).unwrap();
+    assert_eq!(wait_until_done(world, &job.job_id).queue_name, "preview");
+    Outcome::Holds
+}
+
+fn min_slots_are_checked(world: &World) -> Outcome {
+    let two = Template {
+        min_slots: Some(2.0),
+        ..world.preview("/x")
+    };
+    assert!(world.client.run_job(two, None).is_ok());
+    let wrong = Template {
+        min_slots: Some(-1.0),
+        ..world.preview("/x")
+    };
+    assert_eq!(
+        expect_error(world.client.run_job(wrong, None)),
+        ErrorId::InvalidArgument
+    );
+    Outcome::Holds
+}
+
+fn max_slots_are_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(world, Some("JT_MAXSLOTS"), "maxSlots", 4.into())
+}
+
+fn priority_is_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(world, None, "priority", 1.into())
+}
+
+fn machine_requirements_are_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(world, None, "candidateMachines", serde_json::json!(["w1"]));
+    expect_unsupported_attribute(world, None, "minPhysMemory", 1024.into());
+    expect_unsupported_attribute(world, None, "machineOS", "LINUX".into());
+    expect_unsupported_attribute(world, None, "machineArch", "X64".into())
+}
+
+fn start_time_is_kept(world: &World) -> Outcome {
+    let start_time_ms = milliseconds_from_now(400);
+    let template = Template {
+        start_time: Some(start_time_ms),
+        ..world.preview("/x")
+    };
+    let job = world.client.run_job(template, None).unwrap();
+    assert_eq!(job.job_state, JobState::QueuedHeld);
+    assert!(
+        wait_until_done(world, &job.job_id)
+            .dispatch_time_ms
+            .unwrap()
+            >= start_time_ms
+    );
+    Outcome::Holds
+}
+
+fn deadline_ends_the_job(world: &World) -> Outcome {
+    assert!(has_capability(world, "JT_DEADLINE"));
+    let template = Template {
+        deadline_time: Some(milliseconds_from_now(300)),
+        ..world.preview("/slow-deadline")
+    };
+    let job = world.client.run_job(template, None).unwrap();
+    let info = wait_until_done(world, &job.job_id);
+    assert_eq!(info.job_state, JobState::Failed);
+    let over = Template {
+        deadline_time: Some(1),
+        ..world.preview("/x")
+    };
+    assert_eq!(
+        expect_error(world.client.run_job(over, None)),
+        ErrorId::InvalidArgument
+    );
+    Outcome::Holds
+}
+
+fn file_staging_is_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(
+        world,
+        Some("JT_STAGING"),
+        "stageInFiles",
+        serde_json::json!({"a": "b"}),
+    )
+}
+
+fn resource_limits_are_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(
+        world,
+        None,
+        "resourceLimits",
+        serde_json::json!({"CPU_TIME": "1"}),
+    )
+}
+
+fn accounting_id_is_checked(world: &World) -> Outcome {
+    assert!(has_capability(world, "JT_ACCOUNTINGID"));
+    let wrong = Template {
+        accounting_id: Some("nobody".to_owned()),
+        ..world.preview("/x")
+    };
+    assert_eq!(
+        expect_error(world.client.run_job(wrong, None)),
+        ErrorId::InvalidArgument
+    );
+    Outcome::Holds
+}
--- /dev/null
+++ b/crates/conformance/src/v2/job_sessions.rs
@@ -0,0 +1,194 @@
+//! Clauses of section 8.2: submission, job arrays and waits in a job session.
+
+use super::support::{
+    clause, control, create_session, expect_error, has_capability, reap, submit_bulk,
+    wait_for_condition, SubmittedBulk,
+};
+use crate::{Clause, Outcome, World, WAIT_TIMEOUT};
+use marbledeck_submission_client::{ErrorId, Filter, IndexRange, Targets, WaitGoal};
+
+/// The clauses of these sections, in their order.
+pub(super) fn clauses() -> Vec<Clause> {
+    vec![
+        clause(
+            "GFD.231, 8.2",
+            "A session tells of its jobs, and only of those",
+            session_lists_only_its_jobs,
+        ),
+        clause(
+            "GFD.231, 8.2",
+            "A job array is found by its id; one that is not known is INVALID_ARGUMENT",
+            array_is_found_by_id,
+        ),
+        clause(
+            "GFD.231, 8.2",
+            "A job that was run is known by its id until it is reaped",
+            job_is_known_before_it_is_reaped,
+        ),
+        clause(
+            "GFD.231, 8.2",
+            "A bulk is an array of jobs, one for each index from the first to the last",
+            bulk_has_a_job_per_index,
+        ),
+        clause(
+            "GFD.231, 8.2",
+            "Indices that name no job are INVALID_ARGUMENT",
+            empty_index_range_is_rejected,
+        ),
+        clause(
+            "GFD.231, 8.2",
+            "No more members of a bulk run at a time than it says",
+            max_parallel_is_kept,
+        ),
+        clause(
+            "GFD.231, 8.2",
+            "waitAnyStarted gives a job of the list that runs or has ended",
+            wait_any_started_returns_a_started_job,
+        ),
+        clause(
+            "GFD.231, 8.2",
+            "waitAnyTerminated gives a job of the list that has ended",
+            wait_any_terminated_returns_an_ended_job,
+        ),
+        clause(
+            "GFD.231, 8.2",
+            "A wait for any of a list with an unknown job, or none, is INVALID_ARGUMENT",
+            wait_any_rejects_bad_lists,
+        ),
+    ]
+}
+
+fn session_lists_only_its_jobs(world: &World) -> Outcome {
+    create_session(world, "c8");
+    let own = world.submit_held_job("/x", Some("c8"));
+    world.submit_held_job("/x", None);
+    let mut found = Vec::new();
+    world
+        .client
+        .list_jobs(Some("c8"), &Filter::default(), |info| {
+            found.push(info.job_id);
+        })
+        .unwrap();
+    assert_eq!(found, [own]);
+    Outcome::Holds
+}
+
+fn array_is_found_by_id(world: &World) -> Outcome {
+    let SubmittedBulk { array_id, .. } = submit_bulk(world, "/x", 3, None, None);
+    assert_eq!(world.client.job_array(&array_id).unwrap().jobs, 3);
+    assert_eq!(
+        expect_error(world.client.job_array("none")),
+        ErrorId::InvalidArgument
+    );
+    Outcome::Holds
+}
+
+fn job_is_known_before_it_is_reaped(world: &World) -> Outcome {
+    let job = world.run_finished_job("/x");
+    assert!(world.client.job_info(&job).is_ok());
+    control(world, reap, &job).unwrap();
+    assert_eq!(
+        expect_error(world.client.job_info(&job)),
+        ErrorId::InvalidArgument
+    );
+    Outcome::Holds
+}
+
+fn bulk_has_a_job_per_index(world: &World) -> Outcome {
+    let response = world
+        .client
+        .run_bulk(world.preview("/x"), IndexRange::new(10, 4, -3), None, None)
+        .unwrap();
+    let indices: Vec<i64> = response.jobs.iter().map(|job| job.index).collect();
+    assert_eq!(indices, [10, 7, 4]);
+    Outcome::Holds
+}
+
+fn empty_index_range_is_rejected(world: &World) -> Outcome {
+    for (begin, end, step) in [(3, 1, 1), (1, 3, 0), (1, 3, -1)] {
+        let indices = IndexRange::new(begin, end, step);
+        let response = world
+            .client
+            .run_bulk(world.preview("/x"), indices, None, None);
+        assert_eq!(expect_error(response), ErrorId::InvalidArgument);
+    }
+    Outcome::Holds
+}
+
+fn max_parallel_is_kept(world: &World) -> Outcome {
+    assert!(has_capability(world, "BULK_JOBS_MAXPARALLEL"));
+    let SubmittedBulk { array_id, job_ids } = submit_bulk(world, "/bound", 30, Some(2), None);
+    let mut max_started = 0;
+    wait_for_condition("all ended", || {
+        let info = world.client.job_array(&array_id).unwrap();
+        assert!(info.active <= 2, "{} active", info.active);
+        info.ended == job_ids.len()
+    });
+    for worker in &world.environment.workers {
+        max_started = max_started.max(
+            worker
+                .started_jobs()
+                .iter()
+                .filter(|job| job.target == "/bound")
+                .count(),
+        );
+    }
+    assert!(max_started > 0);
+    Outcome::Holds
+}
+
+fn wait_any_started_returns_a_started_job(world: &World) -> Outcome {
+    let held = world.submit_held_job("/x", None);
+    let running = world.start_running_job();
+    let targets = Targets {
+        job_ids: Some(vec![held, running.clone()]),
+        ..Targets::default()
+    };
+    assert_eq!(
+        world
+            .client
+            .wait_any(&targets, WaitGoal::Started, WAIT_TIMEOUT)
+            .unwrap()
+            .job_id,
+        running
+    );
+    Outcome::Holds
+}
+
+fn wait_any_terminated_returns_an_ended_job(world: &World) -> Outcome {
+    let (held, ended) = (
+        world.submit_held_job("/x", None),
+        world.run_finished_job("/x"),
+    );
+    let targets = Targets {
+        job_ids: Some(vec![held, ended.clone()]),
+        ..Targets::default()
+    };
+    assert_eq!(
+        world
+            .client
+            .wait_any(&targets, WaitGoal::Terminated, WAIT_TIMEOUT)
+            .unwrap()
+            .job_id,
+        ended
+    );
+    Outcome::Holds
+}
+
+fn wait_any_rejects_bad_lists(world: &World) -> Outcome {
+    for ids in [vec!["none".to_owned()], vec![]] {
+        let targets = Targets {
+            job_ids: Some(ids),
+            ..Targets::default()
+        };
+        assert_eq!(
+            expect_error(
+                world
+                    .client
+                    .wait_any(&targets, WaitGoal::Terminated, WAIT_TIMEOUT)
+            ),
+            ErrorId::InvalidArgument
+        );
+    }
+    Outcome::Holds
+}
--- /dev/null
+++ b/crates/conformance/src/v2/job_templates.rs
@@ -0,0 +1,181 @@
+//! Clauses of section 5.7 on what a job runs: its command, arguments, class and files.
+
+use super::support::{
+    clause, control, expect_error, expect_unsupported_attribute, job_state, release,
+    wait_until_done,
+};
+use crate::{Clause, Outcome, World};
+use marbledeck_submission_client::{ErrorId, JobState, Template};
+use marbledeck_test_support::WorkerStub;
+
+/// The clauses of these sections, in their order.
+pub(super) fn clauses() -> Vec<Clause> {
+    vec![
+        clause(
+            "GFD.231, 5.7",
+            "A template without a command is refused",
+            template_without_command_is_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "Arguments reach the job",
+            arguments_reach_the_job,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "A job submitted as held does not run before it is released",
+            held_job_waits_for_release,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "Whether a job may be rerun is honoured or refused by name",
+            rerunnable_is_honoured_or_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "An environment for the job",
+            job_environment_is_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "A working directory for the job",
+            working_directory_is_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "The job category names a configured class; another is refused",
+            job_category_is_a_configured_class,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "E-mail addresses, and mails at the start and the end",
+            email_is_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "A job name is shown with the job",
+            job_name_is_shown,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "Paths for standard input, output and error",
+            output_paths_are_rejected,
+        ),
+        clause(
+            "GFD.231, 5.7",
+            "Output and error may be joined",
+            joined_files_are_rejected,
+        ),
+    ]
+}
+
+fn template_without_command_is_rejected(world: &World) -> Outcome {
+    assert_eq!(
+        expect_error(world.client.run_job(world.preview(""), None)),
+        ErrorId::InvalidArgument
+    );
+    Outcome::Holds
+}
+
+fn arguments_reach_the_job(world: &World) -> Outcome {
+    let args = Some(vec!["42".to_owned(), "Simon says:".to_owned()]);
+    let job = world
+        .client
+        .run_job(
+            Template {
+                args,
+                ..world.preview("/with-args")
+            },
+            None,
+        )
+        .unwrap();
+    wait_until_done(world, &job.job_id);
+    let started_jobs = world
+        .environment
+        .workers
+        .iter()
+        .flat_map(WorkerStub::started_jobs);
+    let body = started_jobs
+        .into_iter()
+        .find(|job| job.target == "/with-args")
+        .unwrap()
+        .body;
+    assert_eq!(body, b"42\nSimon says:\n");
+    Outcome::Holds
+}
+
+fn held_job_waits_for_release(world: &World) -> Outcome {
+    let job = world.submit_held_job("/held-one", None);
+    assert_eq!(job_state(world, &job), JobState::QueuedHeld);
+    control(world, release, &job).unwrap();
+    assert_eq!(wait_until_done(world, &job).job_state, JobState::Done);
+    Outcome::Holds
+}
+
+fn rerunnable_is_honoured_or_rejected(world: &World) -> Outcome {
+    let no = Template {
+        rerunnable: Some(false),
+        ..world.preview("/x")
+    };
+    assert_eq!(
+        expect_error(world.client.run_job(no, None)),
+        ErrorId::UnsupportedAttribute
+    );
+    let yes = Template {
+        rerunnable: Some(true),
+        ..world.preview("/x")
+    };
+    assert!(world.client.run_job(yes, None).is_ok());
+    Outcome::Holds
+}
+
+fn job_environment_is_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(world, None, "jobEnvironment", serde_json::json!({"A": "b"}))
+}
+
+fn working_directory_is_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(world, None, "workingDirectory", "/tmp".into())
+}
+
+fn job_category_is_a_configured_class(world: &World) -> Outcome {
+    let wrong = Template {
+        job_category: "nonsense".to_owned(),
+        ..world.preview("/x")
+    };
+    assert_eq!(
+        expect_error(world.client.run_job(wrong, None)),
+        ErrorId::InvalidArgument
+    );
+    Outcome::Holds
+}
+
+fn email_is_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(world, Some("JT_EMAIL"), "emailOnStarted", true.into());
+    expect_unsupported_attribute(world, Some("JT_EMAIL"), "email", serde_json::json!(["a@b"]))
+}
+
+fn job_name_is_shown(world: &World) -> Outcome {
+    let template = Template {
+        job_name: Some("reel 12".to_owned()),
+        ..world.preview("/x")
+    };
+    let job = world.client.run_job(template, None).unwrap();
+    assert_eq!(
+        world
+            .client
+            .job_info(&job.job_id)
+            .unwrap()
+            .job_name
+            .as_deref(),
+        Some("reel 12")
+    );
+    Outcome::Holds
+}
+
+fn output_paths_are_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(world, None, "outputPath", "/tmp/x".into())
+}
+
+fn joined_files_are_rejected(world: &World) -> Outcome {
+    expect_unsupported_attribute(world, None, "joinFiles", true.into())
+}
--- /dev/null
+++ b/crates/conformance/src/v2/monitoring.rs
@@ -0,0 +1,93 @@
+//! Clauses of chapter 10: the monitoring session.
+
+use super::support::{clause, create_session, expect_error, has_capability};
+use crate::{Clause, Outcome, World};
+use marbledeck_submission_client::{ErrorId, Filter, JobState, Operation};
+
+/// The clauses of these sections, in their order.
+pub(super) fn clauses() -> Vec<Clause> {
+    vec![
+        clause(
+            "GFD.231, 10.1",
+            "Monitoring shows the jobs of all sessions",
+            monitoring_shows_all_sessions,
+        ),
+        clause(
+            "GFD.231, 10.1",
+            "Monitoring shows all queues, or those that are named",
+            monitoring_shows_queues,
+        ),
+        clause(
+            "GFD.231, 10.1",
+            "Monitoring shows all machines, or those that are named, and which take no jobs",
+            monitoring_shows_machines,
+        ),
+        clause(
+            "GFD.231, 10.1",
+            "Monitoring shows reservations",
+            monitoring_has_no_reservations,
+        ),
+    ]
+}
+
+fn monitoring_shows_all_sessions(world: &World) -> Outcome {
+    create_session(world, "c12");
+    let (own, other) = (
+        world.submit_held_job("/x", Some("c12")),
+        world.submit_held_job("/x", None),
+    );
+    let mut found = Vec::new();
+    let states = Some(vec![JobState::QueuedHeld]);
+    let filter = Filter {
+        job_states: states,
+        ..Filter::default()
+    };
+    world
+        .client
+        .list_jobs(None, &filter, |info| found.push(info.job_id))
+        .unwrap();
+    assert!(found.contains(&own) && found.contains(&other));
+    Outcome::Holds
+}
+
+fn monitoring_shows_queues(world: &World) -> Outcome {
+    let names = Some(vec!["preview".to_owned(), "none".to_owned()]);
+    let response = world
+        .client
+        .request(Operation::GetAllQueues { names })
+        .unwrap();
+    assert_eq!(response["queues"].as_array().unwrap().len(), 1);
+    Outcome::Holds
+}
+
+fn monitoring_shows_machines(world: &World) -> Outcome {
+    let names = Some(vec!["w2".to_owned()]);
+    let response = world
+        .client
+        .request(Operation::GetAllMachines { names })
+        .unwrap();
+    assert_eq!(response["machines"].as_array().unwrap().len(), 1);
+    assert_eq!(
+        world.environment.call_admin("set-down w3").as_deref(),
+        Some("ACK w3 out")
+    );
+    let machine = world
+        .client
+        .machines()
+        .unwrap()
+        .into_iter()
+        .find(|machine| machine.name == "w3")
+        .unwrap();
+    world.environment.call_admin("set-up w3");
+    assert!(!machine.available && machine.state == "out");
+    Outcome::Holds
+}
+
+fn monitoring_has_no_reservations(world: &World) -> Outcome {
+    assert!(!has_capability(world, "ADVANCE_RESERVATION"));
+    assert_eq!(
+        expect_error(world.client.request(Operation::GetAllReservations)),
+        ErrorId::UnsupportedOperation
+    );
+    Outcome::NotApplicable
+}
--- a/crates/conformance/tests/table.rs
+++ b/crates/conformance/tests/table.rs
@@ -1,19 +1,21 @@
 //! No clause fails, and the table in `docs/` is what the run prints.
 
-use marbledeck_conformance::{report, run, Verdict};
+use marbledeck_conformance::{report, run, ClauseResult, Verdict};
 
 #[test]
 fn all_clauses() {
-    let table = run();
-    let failed = table
+    let results = run();
+    let failed = results
         .iter()
-        .filter(|(_, verdict)| matches!(verdict, Verdict::Failed(_)));
+        .filter(|result| matches!(result.verdict, Verdict::Failed(_)));
     let failed: Vec<String> = failed
-        .map(|(c, v)| format!("{}: {}: {v:?}", c.section, c.expected))
+        .map(|ClauseResult { clause, verdict }| {
+            format!("{}: {}: {verdict:?}", clause.section, clause.expected)
+        })
         .collect();
     assert!(failed.is_empty(), "{}", failed.join("\n"));
     assert_eq!(
-        report(&table),
+        report(&results),
         include_str!("../../../docs/conformance.md"),
         "make conformance"
     );
