--- /dev/null
+++ b/crates/drmaa/src/c_interface/information.rs
@@ -0,0 +1,117 @@
+//! Routines that describe the library: error codes, contact, version and names.
+
+use super::memory::{copy_whole_text, report_result, write_output};
+use super::session::{active_session, default_contact};
+use crate::errno::Errno;
+use std::ffi::{c_char, c_int, c_uint};
+
+/// The name that `drmaa_get_DRMAA_implementation` returns.
+const IMPLEMENTATION: &str = concat!("marbledeck libdrmaa ", env!("CARGO_PKG_VERSION"));
+
+/// What an error code means (GFD.133, `drmaa_strerror`). The text is never freed.
+#[no_mangle]
+pub extern "C" fn drmaa_strerror(code: c_int) -> *const c_char {
+    let words = Errno::of(code).map_or(c"There is no such error code.", Errno::words);
+    words.as_ptr()
+}
+
+/// Writes a text about this library.
+///
+/// # Safety
+/// The buffers are null, or may be written to as far as their lengths say.
+unsafe fn write_information(
+    value: impl FnOnce() -> String,
+    to: *mut c_char,
+    to_len: usize,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    // SAFETY: as the caller promises.
+    let body = || unsafe { copy_whole_text(&value(), to, to_len) };
+    // SAFETY: as the caller promises.
+    unsafe { report_result(diagnosis, diagnosis_len, body) }
+}
+
+/// The contact of the session, or the default one (GFD.133, `drmaa_get_contact`).
+///
+/// # Safety
+/// As for [`write_information`].
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_get_contact(
+    contact: *mut c_char,
+    contact_len: usize,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    let value = || match active_session() {
+        Ok(session) => session.contact().to_owned(),
+        Err(_) => default_contact().unwrap_or_default(),
+    };
+    // SAFETY: as the caller promises.
+    unsafe { write_information(value, contact, contact_len, diagnosis, diagnosis_len) }
+}
+
+/// The version of DRMAA (GFD.133, `drmaa_version`).
+///
+/// # Safety
+/// `major` and `minor` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_version(
+    major: *mut c_uint,
+    minor: *mut c_uint,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    // SAFETY: as the caller promises.
+    let body = || unsafe {
+        write_output(major, 1, "major").and_then(|()| write_output(minor, 0, "minor"))
+    };
+    // SAFETY: as the caller promises.
+    unsafe { report_result(diagnosis, diagnosis_len, body) }
+}
+
+/// The name of the system that runs the jobs (GFD.133, `drmaa_get_DRM_system`).
+///
+/// # Safety
+/// As for [`write_information`].
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_get_DRM_system(
+    system: *mut c_char,
+    system_len: usize,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    // SAFETY: as the caller promises.
+    unsafe {
+        write_information(
+            || "marbledeck".to_owned(),
+            system,
+            system_len,
+            diagnosis,
+            diagnosis_len,
+        )
+    }
+}
+
+/// The name of this library (GFD.133, `drmaa_get_DRMAA_implementation`).
+///
+/// # Safety
+/// As for [`write_information`].
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_get_DRMAA_implementation(
+    name: *mut c_char,
+    name_len: usize,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    // SAFETY: as the caller promises.
+    unsafe {
+        write_information(
+            || IMPLEMENTATION.to_owned(),
+            name,
+            name_len,
+            diagnosis,
+            diagnosis_len,
+        )
+    }
+}
--- /dev/null
+++ b/crates/drmaa/src/c_interface/templates.rs
@@ -0,0 +1,220 @@
+//! Routines on job templates and their attributes.
+
+use super::memory::{
+    copy_whole_text, handle_reference, read_text, read_texts, report_result, write_output,
+};
+use super::session::active_session;
+use super::string_vectors::StringVector;
+use crate::errno::{Errno, Failure};
+use crate::template::{Template, SCALARS, VECTORS};
+use std::ffi::{c_char, c_int};
+use std::sync::{Mutex, PoisonError};
+
+/// `drmaa_job_template_t`.
+pub struct JobTemplate(pub(super) Mutex<Template>);
+
+/// Allocates a job template (GFD.133, `drmaa_allocate_job_template`).
+///
+/// # Safety
+/// `template` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_allocate_job_template(
+    template: *mut *mut JobTemplate,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    let body = || {
+        active_session()?;
+        if template.is_null() {
+            return Err(Failure::new(Errno::InvalidArgument, "jt is null"));
+        }
+        let new = Box::into_raw(Box::new(JobTemplate(Mutex::default())));
+        // SAFETY: as the caller promises.
+        unsafe { write_output(template, new, "jt") }
+    };
+    // SAFETY: as the caller promises.
+    unsafe { report_result(diagnosis, diagnosis_len, body) }
+}
+
+/// Releases a job template (GFD.133, `drmaa_delete_job_template`).
+///
+/// # Safety
+/// `template` was returned by [`drmaa_allocate_job_template`] and is not used any more; `diagnosis` is null, or `diagnosis_len`
+/// bytes may be written there.
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_delete_job_template(
+    template: *mut JobTemplate,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    let body = || {
+        if template.is_null() {
+            return Err(Failure::new(Errno::InvalidArgument, "jt is null"));
+        }
+        // SAFETY: made by a box, and as the caller promises not used any more.
+        drop(unsafe { Box::from_raw(template) });
+        Ok(())
+    };
+    // SAFETY: as the caller promises.
+    unsafe { report_result(diagnosis, diagnosis_len, body) }
+}
+
+/// Sets an attribute (GFD.133, `drmaa_set_attribute`).
+///
+/// # Safety
+/// `template` is a handle; `name` and `value` are null or C strings; `diagnosis` is null, or `diagnosis_len` bytes may be written
+/// there.
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_set_attribute(
+    template: *mut JobTemplate,
+    name: *const c_char,
+    value: *const c_char,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    let body = || {
+        // SAFETY: as the caller promises.
+        let (template, name, value) = unsafe {
+            (
+                handle_reference(template, "jt")?,
+                read_text(name, "name")?,
+                read_text(value, "value")?,
+            )
+        };
+        template
+            .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .set(name, value)
+    };
+    // SAFETY: as the caller promises.
+    unsafe { report_result(diagnosis, diagnosis_len, body) }
+}
+
+/// Returns an attribute (GFD.133, `drmaa_get_attribute`).
+///
+/// # Safety
+/// `template` is a handle; `name` is null or a C string; the buffers are null, or may be written to as far as their
+/// lengths say.
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_get_attribute(
+    template: *mut JobTemplate,
+    name: *const c_char,
+    value: *mut c_char,
+    value_len: usize,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    let body = || {
+        // SAFETY: as the caller promises.
+        let (template, name) =
+            unsafe { (handle_reference(template, "jt")?, read_text(name, "name")?) };
+        let template = template.0.lock().unwrap_or_else(PoisonError::into_inner);
+        // SAFETY: as the caller promises.
+        unsafe { copy_whole_text(template.get(name)?, value, value_len) }
+    };
+    // SAFETY: as the caller promises.
+    unsafe { report_result(diagnosis, diagnosis_len, body) }
+}
+
+/// Sets an attribute that holds a list (GFD.133, `drmaa_set_vector_attribute`).
+///
+/// # Safety
+/// `template` is a handle; `name` is null or a C string; `values` is null, or points to C strings and a null pointer
+/// after them; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_set_vector_attribute(
+    template: *mut JobTemplate,
+    name: *const c_char,
+    values: *const *const c_char,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    let body = || {
+        // SAFETY: as the caller promises.
+        let (template, name, values) = unsafe {
+            (
+                handle_reference(template, "jt")?,
+                read_text(name, "name")?,
+                read_texts(values, "value")?,
+            )
+        };
+        let mut template = template.0.lock().unwrap_or_else(PoisonError::into_inner);
+        template.set_vector(name, values)
+    };
+    // SAFETY: as the caller promises.
+    unsafe { report_result(diagnosis, diagnosis_len, body) }
+}
+
+/// Returns an attribute that holds a list (GFD.133, `drmaa_get_vector_attribute`).
+///
+/// # Safety
+/// `template` is a handle; `name` is null or a C string; `values` may be written to; `diagnosis` is null, or `diagnosis_len` bytes
+/// may be written there.
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_get_vector_attribute(
+    template: *mut JobTemplate,
+    name: *const c_char,
+    values: *mut *mut StringVector,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    let body = || {
+        // SAFETY: as the caller promises.
+        let (template, name) =
+            unsafe { (handle_reference(template, "jt")?, read_text(name, "name")?) };
+        let template = template.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let items = template.get_vector(name)?.to_vec();
+        // SAFETY: as the caller promises.
+        unsafe { write_output(values, StringVector::into_handle(items), "values") }
+    };
+    // SAFETY: as the caller promises.
+    unsafe { report_result(diagnosis, diagnosis_len, body) }
+}
+
+/// Returns the names of attributes.
+///
+/// # Safety
+/// `values` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+unsafe fn write_names(
+    names: &[&str],
+    values: *mut *mut StringVector,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    let body = || {
+        let items = names.iter().map(|name| (*name).to_owned());
+        // SAFETY: as the caller promises.
+        unsafe { write_output(values, StringVector::into_handle(items), "values") }
+    };
+    // SAFETY: as the caller promises.
+    unsafe { report_result(diagnosis, diagnosis_len, body) }
+}
+
+/// The names of the attributes that hold one value (GFD.133, `drmaa_get_attribute_names`).
+///
+/// # Safety
+/// As for [`write_names`].
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_get_attribute_names(
+    values: *mut *mut StringVector,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    // SAFETY: as the caller promises.
+    unsafe { write_names(&SCALARS, values, diagnosis, diagnosis_len) }
+}
+
+/// The names of the attributes that hold a list (GFD.133, `drmaa_get_vector_attribute_names`).
+///
+/// # Safety
+/// As for [`write_names`].
+#[no_mangle]
+pub unsafe extern "C" fn drmaa_get_vector_attribute_names(
+    values: *mut *mut StringVector,
+    diagnosis: *mut c_char,
+    diagnosis_len: usize,
+) -> c_int {
+    // SAFETY: as the caller promises.
+    unsafe { write_names(&VECTORS, values, diagnosis, diagnosis_len) }
+}
--- a/crates/drmaa/src/session.rs
+++ b/crates/drmaa/src/session.rs
@@ -158,13 +158,13 @@
     /// # Errors
     /// Names the attribute, or says what the node says.
     pub fn run(&self, template: &Template) -> Result<String> {
-        let asked = template.asked(&self.defaults, false)?;
-        let job = self.client.run_job(asked.wire, Some(&self.name))?;
+        let request = template.to_request(&self.defaults, false)?;
+        let job = self.client.run_job(request.template, Some(&self.name))?;
         self.enter(
             &job.job_id,
             Known {
-                output: asked.output,
-                error: asked.error,
+                output: request.output_path,
+                error: request.error_path,
                 ..Known::default()
             },
         );
@@ -182,11 +182,11 @@
             let words = "want indices from 1 on, and a step that leads from the first to the last";
             return Err(Failure::new(Errno::InvalidArgument, words));
         }
-        let asked = template.asked(&self.defaults, true)?;
+        let request = template.to_request(&self.defaults, true)?;
         let bulk = self.client.run_bulk(
-            asked.wire,
+            request.template,
             IndexRange::new(begin, end, step),
-            asked.max_parallel,
+            request.max_parallel,
             Some(&self.name),
         )?;
         let mut refused = None;
@@ -211,8 +211,8 @@
             self.enter(
                 id,
                 Known {
-                    output: asked.output.clone(),
-                    error: asked.error.clone(),
+                    output: request.output_path.clone(),
+                    error: request.error_path.clone(),
                     index: Some(*index),
                     ended: None,
                 },
@@ -299,10 +299,11 @@
     pub fn synchronize(&self, ids: &[String], timeout: Timeout, dispose: bool) -> Result<()> {
         let until = timeout.map(|timeout| Instant::now() + timeout);
         let all = ids.iter().any(|id| id == ALL);
-        let ids: Vec<String> = match all {
-            // Up to the moment of the call; what is reaped meanwhile has ended.
-            true => locked(&self.jobs.0).known.keys().cloned().collect(),
-            false => ids.to_vec(),
+        let ids: Vec<String> = if all {
+            // The jobs up to the moment of the call; a job that is reaped meanwhile has ended.
+            locked(&self.jobs.0).known.keys().cloned().collect()
+        } else {
+            ids.to_vec()
         };
         let foreign: Vec<&String> = {
             let jobs = locked(&self.jobs.0);
@@ -395,9 +396,10 @@
         let told = self.client.control(op);
         told.map(drop).map_err(|error| {
             let state = error.is(ErrorId::InvalidState) || error.is(ErrorId::UnsupportedOperation);
-            match state {
-                true => Failure::new(errno, error.to_string()),
-                false => of_job(error),
+            if state {
+                Failure::new(errno, error.to_string())
+            } else {
+                of_job(error)
             }
         })
     }
@@ -439,9 +441,10 @@
 
 /// What the node says of a job: one that it does not know is no job.
 fn of_job(error: marbledeck_submission_client::Error) -> Failure {
-    match error.is(ErrorId::InvalidArgument) {
-        true => Failure::new(Errno::InvalidJob, error.to_string()),
-        false => error.into(),
+    if error.is(ErrorId::InvalidArgument) {
+        Failure::new(Errno::InvalidJob, error.to_string())
+    } else {
+        error.into()
     }
 }
 
--- a/crates/drmaa/src/template.rs
+++ b/crates/drmaa/src/template.rs
@@ -1,10 +1,10 @@
-//! Job templates of DRMAA 1.0 (GFD.133), and what they ask a node for.
+//! Job templates of DRMAA 1.0 (GFD.133), and the requests that they stand for.
 
 use crate::errno::{Errno, Failure, Result};
 use crate::native::Native;
 use crate::times;
 use chrono::Local;
-use marbledeck_submission_client::Template as Wire;
+use marbledeck_submission_client::Template as WireTemplate;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
@@ -42,17 +42,21 @@
     vectors: BTreeMap<&'static str, Vec<String>>,
 }
 
-/// What a template asks for.
+/// The request that a template stands for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Asked {
-    pub wire: Wire,
+pub struct JobRequest {
+    /// The template of the submission protocol.
+    pub template: WireTemplate,
+    /// How many jobs of a bulk may run at a time.
     pub max_parallel: Option<u32>,
-    /// Where the result goes, and what is told of a failure; with the placeholder for the index.
-    pub output: Option<String>,
-    pub error: Option<String>,
+    /// The file for the result of the job; may hold the placeholder of the index.
+    pub output_path: Option<String>,
+    /// The file for the message of a failure; may hold the placeholder of the index.
+    pub error_path: Option<String>,
 }
 
-fn known<const N: usize>(names: [&'static str; N], name: &str) -> Result<&'static str> {
+/// The attribute of this name.
+fn find_attribute<const N: usize>(names: [&'static str; N], name: &str) -> Result<&'static str> {
     let found = names.into_iter().find(|known| *known == name);
     found.ok_or_else(|| Failure::new(Errno::InvalidArgument, format!("no such attribute: {name}")))
 }
@@ -78,18 +82,18 @@
     /// # Errors
     /// An attribute that does not exist, or a value that it cannot have.
     pub fn set(&mut self, name: &str, value: &str) -> Result<()> {
-        let name = known(SCALARS, name)?;
-        let of = |words: &[&str]| match words.contains(&value) {
-            true => Ok(()),
-            false => {
-                let words = format!("{name}: '{value}': want {}", words.join(" or "));
-                Err(Failure::new(Errno::InvalidAttributeValue, words))
+        let name = find_attribute(SCALARS, name)?;
+        let check_one_of = |allowed: &[&str]| {
+            if allowed.contains(&value) {
+                return Ok(());
             }
+            let message = format!("{name}: '{value}': want {}", allowed.join(" or "));
+            Err(Failure::new(Errno::InvalidAttributeValue, message))
         };
         match name {
-            "drmaa_js_state" => of(&["drmaa_active", "drmaa_hold"])?,
-            "drmaa_block_email" => of(&["0", "1"])?,
-            "drmaa_join_files" => of(&["y", "n"])?,
+            "drmaa_js_state" => check_one_of(&["drmaa_active", "drmaa_hold"])?,
+            "drmaa_block_email" => check_one_of(&["0", "1"])?,
+            "drmaa_join_files" => check_one_of(&["y", "n"])?,
             "drmaa_start_time" | "drmaa_deadline_time" => drop(times::read(value, Local::now())?),
             "drmaa_native_specification" => drop(Native::read(value)?),
             "drmaa_input_path" | "drmaa_output_path" | "drmaa_error_path" => {
@@ -110,7 +114,7 @@
     /// # Errors
     /// An attribute that does not exist, or has no value.
     pub fn get(&self, name: &str) -> Result<&str> {
-        let name = known(SCALARS, name)?;
+        let name = find_attribute(SCALARS, name)?;
         let value = self.scalars.get(name).map(String::as_str);
         value
             .ok_or_else(|| Failure::new(Errno::InvalidAttributeValue, format!("{name} is not set")))
@@ -121,7 +125,7 @@
     /// # Errors
     /// An attribute that does not exist, or a value that it cannot have.
     pub fn set_vector(&mut self, name: &str, values: Vec<String>) -> Result<()> {
-        let name = known(VECTORS, name)?;
+        let name = find_attribute(VECTORS, name)?;
         if name == "drmaa_v_env" {
             if let Some(value) = values.iter().find(|value| !value.contains('=')) {
                 let words = format!("{name}: '{value}': want name=value");
@@ -137,7 +141,7 @@
     /// # Errors
     /// An attribute that does not exist, or has no value.
     pub fn get_vector(&self, name: &str) -> Result<&[String]> {
-        let name = known(VECTORS, name)?;
+        let name = find_attribute(VECTORS, name)?;
         let values = self.vectors.get(name).map(Vec::as_slice);
         values
             .ok_or_else(|| Failure::new(Errno::InvalidAttributeValue, format!("{name} is not set")))
@@ -169,191 +173,144 @@
         Ok(Some(directory.join(path).to_string_lossy().into_owned()))
     }
 
-    /// What this asks a node for. `bulk` says whether there is an index.
+    /// The request that this template stands for. `is_bulk` says whether the jobs have an index.
     ///
     /// # Errors
     /// Names the attribute that cannot be honoured.
-    pub fn asked(&self, defaults: &Native, bulk: bool) -> Result<Asked> {
-        let text = |name: &str| self.scalars.get(name);
-        let native = text("drmaa_native_specification")
-            .map_or(Ok(Native::default()), |t| Native::read(t))?;
-        let native = native.or(defaults);
-        let Some(command) = text("drmaa_remote_command") else {
+    pub fn to_request(&self, defaults: &Native, is_bulk: bool) -> Result<JobRequest> {
+        let native = self
+            .scalar("drmaa_native_specification")
+            .map_or(Ok(Native::default()), |text| Native::read(text))?
+            .or(defaults);
+        let Some(command) = self.scalar("drmaa_remote_command") else {
             return Err(Failure::new(
                 Errno::InvalidAttributeValue,
                 "drmaa_remote_command is not set",
             ));
         };
-        if self
-            .vectors
-            .get("drmaa_v_env")
-            .is_some_and(|env| !env.is_empty())
-        {
-            let words =
+        self.check_unsupported_vectors()?;
+        let max_parallel = native.max_parallel;
+        let mut wire = self.wire_template(command, native, is_bulk)?;
+        if wire.job_category.is_empty() {
+            let message = "want a class: drmaa_job_category, or class=NAME in the native specification or the contact";
+            return Err(Failure::new(Errno::InvalidAttributeValue, message));
+        }
+        self.set_input(&mut wire, is_bulk)?;
+        let output_path = self.file("drmaa_output_path")?;
+        let error_path = if self.scalar_is("drmaa_join_files", "y") {
+            output_path.clone()
+        } else {
+            self.file("drmaa_error_path")?
+        };
+        Ok(JobRequest {
+            template: wire,
+            max_parallel,
+            output_path,
+            error_path,
+        })
+    }
+
+    /// The value of an attribute that holds one value.
+    fn scalar(&self, name: &str) -> Option<&String> {
+        self.scalars.get(name)
+    }
+
+    /// Whether an attribute has this value.
+    fn scalar_is(&self, name: &str, value: &str) -> bool {
+        self.scalar(name).is_some_and(|text| text == value)
+    }
+
+    /// The list of an attribute, unless it is empty.
+    fn nonempty_vector(&self, name: &str) -> Option<&Vec<String>> {
+        self.vectors.get(name).filter(|values| !values.is_empty())
+    }
+
+    /// Rejects lists that the node cannot honour: an environment, and e-mail addresses that are not blocked.
+    fn check_unsupported_vectors(&self) -> Result<()> {
+        if self.nonempty_vector("drmaa_v_env").is_some() {
+            let message =
                 "drmaa_v_env: render workers are asked for a path and have no environment for it";
-            return Err(Failure::new(Errno::DeniedByDrm, words));
+            return Err(Failure::new(Errno::DeniedByDrm, message));
         }
-        let blocked = text("drmaa_block_email").is_some_and(|text| text == "1");
-        if !blocked
-            && self
-                .vectors
-                .get("drmaa_v_email")
-                .is_some_and(|to| !to.is_empty())
-        {
-            let words =
+        let is_blocked = self.scalar_is("drmaa_block_email", "1");
+        if !is_blocked && self.nonempty_vector("drmaa_v_email").is_some() {
+            let message =
                 "drmaa_v_email: no e-mail is sent; set drmaa_block_email to 1 to go without";
-            return Err(Failure::new(Errno::DeniedByDrm, words));
+            return Err(Failure::new(Errno::DeniedByDrm, message));
         }
-        let index = |text: &str| match bulk {
-            true => text.replace(INCR, INDEX),
-            false => text.to_owned(),
-        };
-        let millis = |name: &str| {
-            let text = text(name);
-            text.map(|text| times::read(text, Local::now())).transpose()
+        Ok(())
+    }
+
+    /// The template of the submission protocol, without arguments or input.
+    fn wire_template(&self, command: &str, native: Native, is_bulk: bool) -> Result<WireTemplate> {
+        let timestamp_ms = |name: &str| {
+            self.scalar(name)
+                .map(|text| times::read(text, Local::now()))
+                .transpose()
         };
-        let mut wire = Wire {
-            remote_command: index(command),
-            job_category: text("drmaa_job_category")
+        Ok(WireTemplate {
+            remote_command: with_wire_index(command, is_bulk),
+            job_category: self
+                .scalar("drmaa_job_category")
                 .cloned()
                 .or(native.class)
                 .unwrap_or_default(),
             accounting_id: native.tenant,
-            job_name: text("drmaa_job_name").map(|name| index(name)),
-            submission_key: native.key.as_deref().map(index),
-            deadline_ms: native.deadline.map(|span| (span.as_millis() as u64).max(1)),
+            job_name: self
+                .scalar("drmaa_job_name")
+                .map(|name| with_wire_index(name, is_bulk)),
+            submission_key: native
+                .key
+                .as_deref()
+                .map(|key| with_wire_index(key, is_bulk)),
+            deadline_ms: native
+                .deadline
+                .map(|deadline| (deadline.as_millis() as u64).max(1)),
             min_slots: native.slots,
-            start_time: millis("drmaa_start_time")?,
-            deadline_time: millis("drmaa_deadline_time")?,
-            submit_as_hold: text("drmaa_js_state").is_some_and(|state| state == "drmaa_hold"),
-            ..Wire::default()
-        };
-        if wire.job_category.is_empty() {
-            let words = "want a class: drmaa_job_category, or class=NAME in the native specification or the contact";
-            return Err(Failure::new(Errno::InvalidAttributeValue, words));
-        }
-        let args = self
-            .vectors
-            .get("drmaa_v_argv")
-            .filter(|args| !args.is_empty());
+            start_time: timestamp_ms("drmaa_start_time")?,
+            deadline_time: timestamp_ms("drmaa_deadline_time")?,
+            submit_as_hold: self.scalar_is("drmaa_js_state", "drmaa_hold"),
+            ..WireTemplate::default()
+        })
+    }
+
+    /// Sets the input of the job: its arguments, or the content of the input file.
+    fn set_input(&self, wire: &mut WireTemplate, is_bulk: bool) -> Result<()> {
+        let args = self.nonempty_vector("drmaa_v_argv");
         match (args, self.file("drmaa_input_path")?) {
             (Some(_), Some(_)) => {
-                let words = "drmaa_v_argv and drmaa_input_path: both would be the input";
-                return Err(Failure::new(Errno::ConflictingAttributeValues, words));
+                let message = "drmaa_v_argv and drmaa_input_path: both would be the input";
+                return Err(Failure::new(Errno::ConflictingAttributeValues, message));
+            }
+            (Some(args), None) => {
+                let args = args.iter().map(|arg| with_wire_index(arg, is_bulk));
+                wire.args = Some(args.collect());
             }
-            (Some(args), None) => wire.args = Some(args.iter().map(|arg| index(arg)).collect()),
             (None, Some(file)) if file.contains(INCR) => {
-                let words = "drmaa_input_path: the jobs of a bulk share their input: no index can stand there";
-                return Err(Failure::new(Errno::InvalidAttributeValue, words));
+                let message = "drmaa_input_path: the jobs of a bulk share their input: no index can stand there";
+                return Err(Failure::new(Errno::InvalidAttributeValue, message));
             }
             (None, Some(file)) => {
-                let bytes = std::fs::read(&file).map_err(|e| {
-                    let words = format!("drmaa_input_path: {file}: {e}");
-                    Failure::new(Errno::InvalidAttributeValue, words)
+                let bytes = std::fs::read(&file).map_err(|error| {
+                    let message = format!("drmaa_input_path: {file}: {error}");
+                    Failure::new(Errno::InvalidAttributeValue, message)
                 })?;
                 wire.set_input(bytes);
             }
             (None, None) => {}
         }
-        let output = self.file("drmaa_output_path")?;
-        let error = match text("drmaa_join_files").is_some_and(|join| join == "y") {
-            true => output.clone(),
-            false => self.file("drmaa_error_path")?,
-        };
-        Ok(Asked {
-            wire,
-            max_parallel: native.max_parallel,
-            output,
-            error,
-        })
+        Ok(())
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn set(pairs: &[(&str, &str)]) -> Template {
-        let mut template = Template::default();
-        for (name, value) in pairs {
-            template.set(name, value).unwrap();
-        }
-        template
-    }
-
-    #[test]
-    fn what_is_asked_for() {
-        let mut template = set(&[
-            ("drmaa_remote_command", "/frame?n=$drmaa_incr_ph$"),
-            (
-                "drmaa_native_specification",
-                "tenant=au key=k-$drmaa_incr_ph$ deadline=2s",
-            ),
-            ("drmaa_job_category", "preview"),
-            ("drmaa_wd", "/tmp"),
-            ("drmaa_output_path", ":$drmaa_wd_ph$/out.$drmaa_incr_ph$"),
-            ("drmaa_join_files", "y"),
-            ("drmaa_js_state", "drmaa_hold"),
-        ]);
-        template
-            .set_vector("drmaa_v_argv", vec!["$drmaa_incr_ph$".into()])
-            .unwrap();
-        let asked = template.asked(&Native::default(), true).unwrap();
-        assert_eq!(asked.wire.remote_command, "/frame?n=${PARAMETRIC_INDEX}");
-        assert_eq!(
-            asked.wire.submission_key.as_deref(),
-            Some("k-${PARAMETRIC_INDEX}")
-        );
-        assert_eq!(
-            asked.wire.args,
-            Some(vec!["${PARAMETRIC_INDEX}".to_owned()])
-        );
-        assert_eq!(
-            (asked.wire.deadline_ms, asked.wire.submit_as_hold),
-            (Some(2000), true)
-        );
-        assert_eq!(asked.output.as_deref(), Some("/tmp/out.$drmaa_incr_ph$"));
-        assert_eq!(asked.error, asked.output);
-    }
-
-    #[test]
-    fn what_cannot_be() {
-        let mut template = Template::default();
-        let errno = |result: Result<()>| result.unwrap_err().errno;
-        assert_eq!(
-            errno(template.set("drmaa_wct_hlimit", "1")),
-            Errno::InvalidArgument
-        );
-        assert_eq!(
-            errno(template.set("drmaa_join_files", "maybe")),
-            Errno::InvalidAttributeValue
-        );
-        assert_eq!(
-            errno(template.set("drmaa_output_path", "/x")),
-            Errno::InvalidAttributeFormat
-        );
-        assert_eq!(
-            errno(template.set("drmaa_output_path", "far:/x")),
-            Errno::InvalidAttributeFormat
-        );
-        assert_eq!(
-            errno(template.set("drmaa_start_time", "soon")),
-            Errno::InvalidAttributeFormat
-        );
-        assert_eq!(
-            errno(template.set_vector("drmaa_v_env", vec!["x".into()])),
-            Errno::InvalidAttributeFormat
-        );
-        let asked = |template: &Template| template.asked(&Native::default(), false).unwrap_err();
-        assert!(asked(&template).words.contains("drmaa_remote_command"));
-        template.set("drmaa_remote_command", "/x").unwrap();
-        assert!(asked(&template).words.contains("class"));
-        template.set("drmaa_job_category", "preview").unwrap();
-        template
-            .set_vector("drmaa_v_email", vec!["a@b".into()])
-            .unwrap();
-        assert!(asked(&template).words.contains("drmaa_v_email"));
-        template.set("drmaa_block_email", "1").unwrap();
-        assert!(template.asked(&Native::default(), false).is_ok());
+/// Replaces the placeholder of the index by that of the submission protocol, where the jobs have an index.
+fn with_wire_index(text: &str, is_bulk: bool) -> String {
+    if is_bulk {
+        text.replace(INCR, INDEX)
+    } else {
+        text.to_owned()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/drmaa/tests/programs.rs
+++ b/crates/drmaa/tests/programs.rs
@@ -1,82 +1,88 @@
-//! Programs of others against the library and a node between stand-ins: one in C, and an unchanged stock binding of
-//! Python with its own examples.
+//! Programs that use the library against a node with simulated neighbours: one in C, and the examples of an unmodified
+//! Python binding.
 
-use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment};
+use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment, WorkerStub};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::time::Duration;
 
-fn lab() -> TestEnvironment {
-    let lab = TestEnvironment::start(EnvironmentOptions::default());
-    for worker in &lab.workers {
+/// Starts a node whose workers serve `/slow` late, fail `/failing`, and serve all else at once.
+fn start_environment() -> TestEnvironment {
+    let environment = TestEnvironment::start(EnvironmentOptions::default());
+    for worker in &environment.workers {
         worker.set_behaviour(|job| match job.target.as_str() {
             "/slow" => JobBehaviour::Serve(Duration::from_secs(5), "late".to_owned()),
             "/failing" => JobBehaviour::Fail(Duration::from_millis(5)),
             target => JobBehaviour::Serve(Duration::from_millis(5), format!("made {target}")),
         });
     }
-    lab
+    environment
 }
 
 /// The library that was built with these tests.
-fn library() -> PathBuf {
-    let own = std::env::current_exe().unwrap();
-    let folders = own.ancestors().skip(1).take(2);
-    let mut found = folders
-        .map(|folder| folder.join("libdrmaa.so"))
+fn library_path() -> PathBuf {
+    let executable = std::env::current_exe().unwrap();
+    let directories = executable.ancestors().skip(1).take(2);
+    let mut found = directories
+        .map(|directory| directory.join("libdrmaa.so"))
         .filter(|path| path.is_file());
     found.next().expect("built with these tests")
 }
 
-fn checked(what: &str, output: Output) -> String {
+/// Checks that a program succeeded; returns its standard output.
+fn expect_success(program: &str, output: Output) -> String {
     let (out, err) = (
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr),
     );
     assert!(
         output.status.success(),
-        "{what}: {}\n{out}\n{err}",
+        "{program}: {}\n{out}\n{err}",
         output.status
     );
     out.into_owned()
 }
 
 #[test]
-fn a_program_in_c() {
-    let lab = lab();
+fn c_program_completes_all_steps() {
+    let environment = start_environment();
     let tests = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests");
-    let program = lab.folder().join("session");
+    let program = environment.folder().join("session");
     let mut cc = Command::new("cc");
     cc.args(["-std=c99", "-Wall", "-Wextra", "-Werror", "-pthread", "-o"])
         .arg(&program);
-    cc.arg(tests.join("session.c")).arg(library());
-    checked("cc", cc.output().expect("a C compiler"));
+    cc.arg(tests.join("session.c")).arg(library_path());
+    expect_success("cc", cc.output().expect("a C compiler"));
     let mut run = Command::new(&program);
     run.env_remove("DRMAA_CONTACT")
-        .env("LD_LIBRARY_PATH", library().parent().unwrap());
-    run.arg(&lab.submission_address).arg(lab.folder());
-    let out = checked("session", run.output().unwrap());
+        .env("LD_LIBRARY_PATH", library_path().parent().unwrap());
+    run.arg(&environment.submission_address)
+        .arg(environment.folder());
+    let out = expect_success("session", run.output().unwrap());
     assert_eq!(out, "all steps\n");
-    // Each job ran as often as it was handed in.
-    let begun: Vec<String> = lab
+    // Each job ran as often as it was submitted.
+    let started: Vec<String> = environment
         .workers
         .iter()
-        .flat_map(|w| w.started_jobs())
-        .map(|j| j.target)
+        .flat_map(WorkerStub::started_jobs)
+        .map(|job| job.target)
         .collect();
-    let of = |target: &str| begun.iter().filter(|t| *t == target).count();
-    assert_eq!((of("/one"), of("/held"), of("/n/299")), (1, 1, 1));
-    assert_eq!(begun.iter().filter(|t| t.starts_with("/n/")).count(), 305);
+    let count_of = |target: &str| started.iter().filter(|t| *t == target).count();
+    assert_eq!(
+        (count_of("/one"), count_of("/held"), count_of("/n/299")),
+        (1, 1, 1)
+    );
+    assert_eq!(started.iter().filter(|t| t.starts_with("/n/")).count(), 305);
 }
 
-/// The examples that come with the binding, each as it is, but for the time that one of them sleeps between two looks.
-/// `make binding` fetches the binding; MARBLEDECK_BINDING is where to.
+/// The examples that come with the binding, unmodified, except that `time.sleep` returns at once.
+/// `make binding` fetches the binding; MARBLEDECK_BINDING names its directory.
 #[test]
-fn the_examples_of_a_stock_binding() {
+fn examples_of_the_python_binding_succeed() {
     let Some(binding) = std::env::var_os("MARBLEDECK_BINDING").map(PathBuf::from) else {
         return eprintln!("not run: `make test` fetches the binding");
     };
-    let lab = lab();
+    let environment = start_environment();
     let examples = binding.join("examples");
     let mut ran = 0;
     let mut files: Vec<PathBuf> = std::fs::read_dir(&examples)
@@ -91,17 +97,21 @@
         let mut run = Command::new(binding.join("bin/python"));
         let script = "import runpy, sys, time; time.sleep = lambda s: None; runpy.run_path(sys.argv[1], run_name='__main__')";
         run.arg("-c").arg(script).arg(file).current_dir(&examples);
-        run.env("DRMAA_LIBRARY_PATH", library());
+        run.env("DRMAA_LIBRARY_PATH", library_path());
         run.env(
             "DRMAA_CONTACT",
-            format!("{} class=preview tenant=au", lab.submission_address),
+            format!("{} class=preview tenant=au", environment.submission_address),
         );
         run.env("LC_ALL", "C.UTF-8");
-        let out = checked(&file.display().to_string(), run.output().unwrap());
+        let out = expect_success(&file.display().to_string(), run.output().unwrap());
         assert!(!out.is_empty(), "{}", file.display());
         ran += 1;
     }
     assert!(ran >= 10, "{ran} examples");
-    let begun: usize = lab.workers.iter().map(|w| w.started_jobs().len()).sum();
-    assert!(begun >= 50, "{begun} jobs ran");
+    let started: usize = environment
+        .workers
+        .iter()
+        .map(|w| w.started_jobs().len())
+        .sum();
+    assert!(started >= 50, "{started} jobs ran");
 }
