--- a/crates/drmaa/src/c_interface/information.rs
+++ b/crates/drmaa/src/c_interface/information.rs
@@ -11,8 +11,8 @@
 /// What an error code means (GFD.133, `drmaa_strerror`). The text is never freed.
 #[no_mangle]
 pub extern "C" fn drmaa_strerror(code: c_int) -> *const c_char {
-    let words = Errno::of(code).map_or(c"There is no such error code.", Errno::words);
-    words.as_ptr()
+    let message = Errno::from_code(code).map_or(c"There is no such error code.", Errno::message);
+    message.as_ptr()
 }
 
 /// Writes a text about this library.
--- a/crates/drmaa/src/c_interface/memory.rs
+++ b/crates/drmaa/src/c_interface/memory.rs
@@ -21,7 +21,7 @@
         Err(_) => Errno::Internal.into(),
     };
     // SAFETY: as the caller promises.
-    unsafe { copy_text(&failure.words, diagnosis, diagnosis_len) };
+    unsafe { copy_text(&failure.message, diagnosis, diagnosis_len) };
     failure.errno as c_int
 }
 
--- a/crates/drmaa/src/c_interface/submission.rs
+++ b/crates/drmaa/src/c_interface/submission.rs
@@ -5,6 +5,7 @@
 use super::string_vectors::StringVector;
 use super::templates::JobTemplate;
 use crate::errno::{Errno, Failure};
+use marbledeck_submission_client::IndexRange;
 use std::ffi::{c_char, c_int};
 use std::sync::PoisonError;
 
@@ -66,7 +67,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        let indices = (start.into(), end.into(), step.into());
+        let indices = IndexRange::new(start.into(), end.into(), step.into());
         let ids = session.run_bulk(&template, indices)?;
         // SAFETY: as the caller promises.
         unsafe { write_output(job_ids, StringVector::into_handle(ids), "jobids") }
--- a/crates/drmaa/src/errno.rs
+++ b/crates/drmaa/src/errno.rs
@@ -1,21 +1,21 @@
-//! The error codes of the C binding (GFD.133), with their words.
+//! The error codes of the C binding (GFD.133), with their texts.
 
 use marbledeck_submission_client::{Error, ErrorId};
 use std::ffi::CStr;
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $code:literal, $text:literal;)*) => {
-        /// What a function returns.
+        /// The error code that a function returns.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         #[repr(i32)]
         pub enum Errno { $($(#[$doc])* $name = $code),* }
 
         impl Errno {
-            /// All of them, in order.
+            /// All codes, in their order.
             pub const ALL: &'static [Errno] = &[$(Errno::$name),*];
 
-            /// What it means, as a C string that is never freed.
-            pub fn words(self) -> &'static CStr {
+            /// The meaning of the code, as a static C string.
+            pub fn message(self) -> &'static CStr {
                 match self { $(Errno::$name => $text),* }
             }
         }
@@ -52,8 +52,8 @@
 }
 
 impl Errno {
-    /// The code of this number.
-    pub fn of(code: i32) -> Option<Errno> {
+    /// The error code of this number.
+    pub fn from_code(code: i32) -> Option<Errno> {
         Errno::ALL
             .iter()
             .copied()
@@ -61,31 +61,34 @@
     }
 }
 
-/// Why a function did not do what it was asked for.
+/// The failure of a function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
+    /// The error code.
     pub errno: Errno,
-    pub words: String,
+    /// The message for the diagnosis buffer.
+    pub message: String,
 }
 
 impl Failure {
-    pub fn new(errno: Errno, words: impl Into<String>) -> Self {
+    /// A failure with its own message.
+    pub fn new(errno: Errno, message: impl Into<String>) -> Self {
         Failure {
             errno,
-            words: words.into(),
+            message: message.into(),
         }
     }
 }
 
 impl From<Errno> for Failure {
     fn from(errno: Errno) -> Self {
-        Failure::new(errno, errno.words().to_string_lossy())
+        Failure::new(errno, errno.message().to_string_lossy())
     }
 }
 
 impl From<Error> for Failure {
     fn from(error: Error) -> Self {
-        let words = error.to_string();
+        let message = error.to_string();
         let errno = match error.problem().map(|problem| problem.error) {
             None => Errno::DrmCommunication,
             Some(ErrorId::TryLater) => Errno::TryLater,
@@ -96,9 +99,9 @@
             Some(ErrorId::DrmCommunication) => Errno::DrmCommunication,
             Some(_) => Errno::Internal,
         };
-        Failure { errno, words }
+        Failure { errno, message }
     }
 }
 
-/// What a function comes to.
+/// The result of a function of this library.
 pub type Result<T> = std::result::Result<T, Failure>;
--- a/crates/drmaa/src/native.rs
+++ b/crates/drmaa/src/native.rs
@@ -1,9 +1,9 @@
-//! The native specification, and the contact string: `name=value` words that say what DRMAA 1.0 has no attribute for.
+//! The native specification and the contact string: `name=value` words for what DRMAA 1.0 has no attribute for.
 
 use crate::errno::{Errno, Failure, Result};
 use std::time::Duration;
 
-/// What a native specification says.
+/// A native specification.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Native {
     /// The class, where the job category does not name it.
@@ -12,59 +12,59 @@
     pub tenant: Option<String>,
     /// The submission key.
     pub key: Option<String>,
-    /// How long the end is waited for.
+    /// The time from submission within which the job is to end.
     pub deadline: Option<Duration>,
     /// The slots that a job takes.
     pub slots: Option<f64>,
-    /// How many members of a bulk may be with the decisions at a time.
+    /// How many jobs of a bulk may run at a time.
     pub max_parallel: Option<u32>,
 }
 
 impl Native {
-    /// Reads a specification.
+    /// Parses a specification.
     ///
     /// # Errors
-    /// Names the word.
+    /// `InvalidAttributeFormat`; the message names the word that is wrong.
     pub fn read(text: &str) -> Result<Self> {
         let mut native = Native::default();
         for word in text.split_ascii_whitespace() {
-            let wrong = |what: &str| {
-                let words = format!("'{word}': {what}");
-                Failure::new(Errno::InvalidAttributeFormat, words)
-            };
-            let Some((name, value)) = word.split_once('=').filter(|(_, v)| !v.is_empty()) else {
-                return Err(wrong("want name=value"));
-            };
-            match name {
-                "class" => native.class = Some(value.to_owned()),
-                "tenant" => native.tenant = Some(value.to_owned()),
-                "key" => native.key = Some(value.to_owned()),
-                "deadline" => {
-                    let span = span(value).filter(|span| !span.is_zero());
-                    native.deadline = Some(span.ok_or_else(|| wrong("want a span, as in 20s"))?);
-                }
-                "slots" => {
-                    let slots = value
-                        .parse()
-                        .ok()
-                        .filter(|n: &f64| n.is_finite() && *n >= 0.0);
-                    native.slots = Some(slots.ok_or_else(|| wrong("want a number"))?);
-                }
-                "max-parallel" => {
-                    let most = value.parse().ok().filter(|n| *n > 0);
-                    native.max_parallel = Some(most.ok_or_else(|| wrong("want 1 or more"))?);
-                }
-                _ => {
-                    return Err(wrong(
-                        "known: class, tenant, key, deadline, slots, max-parallel",
-                    ))
-                }
-            }
+            native.read_word(word).map_err(|expected| {
+                let message = format!("'{word}': {expected}");
+                Failure::new(Errno::InvalidAttributeFormat, message)
+            })?;
         }
         Ok(native)
     }
 
-    /// The same, with another's words where this one is silent.
+    /// Parses one word; fails with what was expected in its place.
+    fn read_word(&mut self, word: &str) -> std::result::Result<(), &'static str> {
+        let Some((name, value)) = word.split_once('=').filter(|(_, value)| !value.is_empty())
+        else {
+            return Err("want name=value");
+        };
+        match name {
+            "class" => self.class = Some(value.to_owned()),
+            "tenant" => self.tenant = Some(value.to_owned()),
+            "key" => self.key = Some(value.to_owned()),
+            "deadline" => {
+                let deadline = parse_duration(value).filter(|duration| !duration.is_zero());
+                self.deadline = Some(deadline.ok_or("want a span, as in 20s")?);
+            }
+            "slots" => {
+                let slots = value.parse().ok();
+                let slots = slots.filter(|slots: &f64| slots.is_finite() && *slots >= 0.0);
+                self.slots = Some(slots.ok_or("want a number")?);
+            }
+            "max-parallel" => {
+                let max_parallel = value.parse().ok().filter(|count| *count > 0);
+                self.max_parallel = Some(max_parallel.ok_or("want 1 or more")?);
+            }
+            _ => return Err("known: class, tenant, key, deadline, slots, max-parallel"),
+        }
+        Ok(())
+    }
+
+    /// This specification, with the values of the other where this one has none.
     pub fn or(self, other: &Native) -> Native {
         Native {
             class: self.class.or_else(|| other.class.clone()),
@@ -77,7 +77,8 @@
     }
 }
 
-fn span(text: &str) -> Option<Duration> {
+/// Parses a duration such as `20s`, `1500ms` or `1.5h`; a bare number is in seconds.
+fn parse_duration(text: &str) -> Option<Duration> {
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.');
     let (number, unit) = text.split_at(digits.unwrap_or(text.len()));
     let number: f64 = number.parse().ok()?;
@@ -101,11 +102,12 @@
     let (node, defaults) = text.split_once(char::is_whitespace).unwrap_or((text, ""));
     let port = node.rsplit_once(':').filter(|(host, _)| !host.is_empty());
     if port.is_none_or(|(_, port)| port.parse::<u16>().is_err()) {
-        let words = format!("'{node}' is no host:port");
-        return Err(Failure::new(Errno::InvalidContactString, words));
+        let message = format!("'{node}' is no host:port");
+        return Err(Failure::new(Errno::InvalidContactString, message));
     }
     let defaults = Native::read(defaults);
-    let defaults = defaults.map_err(|e| Failure::new(Errno::InvalidContactString, e.words))?;
+    let defaults =
+        defaults.map_err(|error| Failure::new(Errno::InvalidContactString, error.message))?;
     Ok((node.to_owned(), defaults))
 }
 
--- a/crates/drmaa/src/native/tests.rs
+++ b/crates/drmaa/src/native/tests.rs
@@ -17,7 +17,7 @@
     ] {
         let failure = Native::read(wrong).unwrap_err();
         assert_eq!(failure.errno, Errno::InvalidAttributeFormat);
-        assert!(failure.words.contains(wrong), "{}", failure.words);
+        assert!(failure.message.contains(wrong), "{}", failure.message);
     }
     let (node, defaults) = contact(" 127.0.0.1:7100 tenant=au class=preview").unwrap();
     assert_eq!(
--- a/crates/drmaa/src/template.rs
+++ b/crates/drmaa/src/template.rs
@@ -66,12 +66,12 @@
     match text.split_once(':') {
         Some(("" | "localhost", path)) if !path.is_empty() => Ok(path.to_owned()),
         Some(_) => {
-            let words = format!("{name}: '{text}': want [localhost]:path, on this machine");
-            Err(Failure::new(Errno::InvalidAttributeFormat, words))
+            let message = format!("{name}: '{text}': want [localhost]:path, on this machine");
+            Err(Failure::new(Errno::InvalidAttributeFormat, message))
         }
         None => {
-            let words = format!("{name}: '{text}': want [host]:path");
-            Err(Failure::new(Errno::InvalidAttributeFormat, words))
+            let message = format!("{name}: '{text}': want [host]:path");
+            Err(Failure::new(Errno::InvalidAttributeFormat, message))
         }
     }
 }
@@ -100,8 +100,8 @@
                 path(name, value)?;
             }
             "drmaa_wd" if !value.starts_with(['/', '$']) => {
-                let words = format!("{name}: '{value}': want an absolute path");
-                return Err(Failure::new(Errno::InvalidAttributeFormat, words));
+                let message = format!("{name}: '{value}': want an absolute path");
+                return Err(Failure::new(Errno::InvalidAttributeFormat, message));
             }
             _ => {}
         }
@@ -128,8 +128,8 @@
         let name = find_attribute(VECTORS, name)?;
         if name == "drmaa_v_env" {
             if let Some(value) = values.iter().find(|value| !value.contains('=')) {
-                let words = format!("{name}: '{value}': want name=value");
-                return Err(Failure::new(Errno::InvalidAttributeFormat, words));
+                let message = format!("{name}: '{value}': want name=value");
+                return Err(Failure::new(Errno::InvalidAttributeFormat, message));
             }
         }
         self.vectors.insert(name, values);
@@ -152,8 +152,8 @@
         let home = || std::env::var("HOME").unwrap_or_else(|_| "/".to_owned());
         match self.scalars.get("drmaa_wd") {
             Some(wd) if wd.contains(INCR) => {
-                let words = "drmaa_wd: the index cannot stand there";
-                Err(Failure::new(Errno::InvalidAttributeValue, words))
+                let message = "drmaa_wd: the index cannot stand there";
+                Err(Failure::new(Errno::InvalidAttributeValue, message))
             }
             Some(wd) => Ok(PathBuf::from(wd.replace(HOME, &home()))),
             None => std::env::current_dir()
--- a/crates/drmaa/src/template/tests.rs
+++ b/crates/drmaa/src/template/tests.rs
@@ -83,14 +83,14 @@
         Errno::InvalidAttributeFormat
     );
     let failure = |template: &Template| template.to_request(&Native::default(), false).unwrap_err();
-    assert!(failure(&template).words.contains("drmaa_remote_command"));
+    assert!(failure(&template).message.contains("drmaa_remote_command"));
     template.set("drmaa_remote_command", "/x").unwrap();
-    assert!(failure(&template).words.contains("class"));
+    assert!(failure(&template).message.contains("class"));
     template.set("drmaa_job_category", "preview").unwrap();
     template
         .set_vector("drmaa_v_email", vec!["a@b".into()])
         .unwrap();
-    assert!(failure(&template).words.contains("drmaa_v_email"));
+    assert!(failure(&template).message.contains("drmaa_v_email"));
     template.set("drmaa_block_email", "1").unwrap();
     assert!(template.to_request(&Native::default(), false).is_ok());
 }
--- a/crates/drmaa/src/times/tests.rs
+++ b/crates/drmaa/src/times/tests.rs
@@ -4,13 +4,13 @@
 
 fn resolve(text: &str) -> Option<String> {
     let now = DateTime::parse_from_rfc3339("2026-12-01T14:00:00+00:00").unwrap();
-    let at = read(&format!("{text} +00:00"), now.with_timezone(&Local)).ok()?;
-    let at = DateTime::from_timestamp_millis(at as i64)?;
-    Some(at.format("%Y-%m-%d %H:%M:%S").to_string())
+    let timestamp_ms = read(&format!("{text} +00:00"), now.with_timezone(&Local)).ok()?;
+    let time = DateTime::from_timestamp_millis(timestamp_ms as i64)?;
+    Some(time.format("%Y-%m-%d %H:%M:%S").to_string())
 }
 
 #[test]
-fn partial_timestamps() {
+fn partial_timestamps_mean_their_next_occurrence() {
     let of = |text| resolve(text).unwrap_or_default();
     assert_eq!(of("15:30"), "2026-12-01 15:30:00");
     assert_eq!(of("13:30:09"), "2026-12-02 13:30:09");
