--- a/crates/conformance/src/v1.rs
+++ b/crates/conformance/src/v1.rs
@@ -1,5 +1,5 @@
-//! Clauses of GFD.133 (DRMAA 1.0), through the C interface. Each test is a run of `c/checks.c` in its own process, since
-//! a process has at most one session.
+//! Clauses of GFD.133 (DRMAA 1.0), through the C interface. Each test is a run of `c/checks.c` in its own process,
+//! since a process has at most one session.
 
 use crate::{Clause, Outcome, World};
 use std::path::{Path, PathBuf};
--- a/crates/drmaa/src/c_interface/control.rs
+++ b/crates/drmaa/src/c_interface/control.rs
@@ -39,7 +39,8 @@
 /// Returns the state of a job (GFD.133, `drmaa_job_ps`).
 ///
 /// # Safety
-/// `job_id` is null or a C string; `state` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+/// `job_id` is null or a C string; `state` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be
+/// written there.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_job_ps(
     job_id: *const c_char,
--- a/crates/drmaa/src/c_interface/memory.rs
+++ b/crates/drmaa/src/c_interface/memory.rs
@@ -4,8 +4,8 @@
 use std::ffi::{c_char, c_int, CStr};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Runs the body of an exported function and returns its error code. The message of a failure is written to the caller's
-/// buffer; a panic becomes an internal error.
+/// Runs the body of an exported function and returns its error code. The message of a failure is written to the
+/// caller's buffer; a panic becomes an internal error.
 ///
 /// # Safety
 /// `diagnosis` is null, or `diagnosis_len` bytes may be written there.
--- a/crates/drmaa/src/c_interface/submission.rs
+++ b/crates/drmaa/src/c_interface/submission.rs
@@ -44,7 +44,8 @@
 /// Submits a job for each index (GFD.133, `drmaa_run_bulk_jobs`).
 ///
 /// # Safety
-/// `template` is a handle; `job_ids` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+/// `template` is a handle; `job_ids` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written
+/// there.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_run_bulk_jobs(
     job_ids: *mut *mut StringVector,
--- a/crates/drmaa/src/c_interface/templates.rs
+++ b/crates/drmaa/src/c_interface/templates.rs
@@ -39,8 +39,8 @@
 /// Releases a job template (GFD.133, `drmaa_delete_job_template`).
 ///
 /// # Safety
-/// `template` was returned by [`drmaa_allocate_job_template`] and is not used any more; `diagnosis` is null, or `diagnosis_len`
-/// bytes may be written there.
+/// `template` was returned by [`drmaa_allocate_job_template`] and is not used any more; `diagnosis` is null, or
+/// `diagnosis_len` bytes may be written there.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_delete_job_template(
     template: *mut JobTemplate,
@@ -62,8 +62,8 @@
 /// Sets an attribute (GFD.133, `drmaa_set_attribute`).
 ///
 /// # Safety
-/// `template` is a handle; `name` and `value` are null or C strings; `diagnosis` is null, or `diagnosis_len` bytes may be written
-/// there.
+/// `template` is a handle; `name` and `value` are null or C strings; `diagnosis` is null, or `diagnosis_len` bytes may
+/// be written there.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_set_attribute(
     template: *mut JobTemplate,
@@ -149,8 +149,8 @@
 /// Returns an attribute that holds a list (GFD.133, `drmaa_get_vector_attribute`).
 ///
 /// # Safety
-/// `template` is a handle; `name` is null or a C string; `values` may be written to; `diagnosis` is null, or `diagnosis_len` bytes
-/// may be written there.
+/// `template` is a handle; `name` is null or a C string; `values` may be written to; `diagnosis` is null, or
+/// `diagnosis_len` bytes may be written there.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_get_vector_attribute(
     template: *mut JobTemplate,
--- a/crates/drmaa/src/c_interface/wait.rs
+++ b/crates/drmaa/src/c_interface/wait.rs
@@ -31,8 +31,8 @@
 /// Waits until all of these jobs have ended (GFD.133, `drmaa_synchronize`).
 ///
 /// # Safety
-/// `job_ids` is null, or points to C strings and a null pointer after them; `diagnosis` is null, or `diagnosis_len` bytes may be
-/// written there.
+/// `job_ids` is null, or points to C strings and a null pointer after them; `diagnosis` is null, or `diagnosis_len`
+/// bytes may be written there.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_synchronize(
     job_ids: *const *const c_char,
--- a/crates/drmaa/src/native.rs
+++ b/crates/drmaa/src/native.rs
@@ -92,23 +92,37 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// Reads a contact string: where the node's front listens, and the native specification that counts for every job
-/// where its own says nothing else.
-///
-/// # Errors
-/// Names what is wrong.
-pub fn contact(text: &str) -> Result<(String, Native)> {
-    let text = text.trim();
-    let (node, defaults) = text.split_once(char::is_whitespace).unwrap_or((text, ""));
-    let port = node.rsplit_once(':').filter(|(host, _)| !host.is_empty());
-    if port.is_none_or(|(_, port)| port.parse::<u16>().is_err()) {
-        let message = format!("'{node}' is no host:port");
-        return Err(Failure::new(Errno::InvalidContactString, message));
+/// A contact string, `host:port [name=value ...]`.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ContactString {
+    /// The address of the node's submission interface.
+    pub address: String,
+    /// The native specification that applies to each job as far as its own has no value.
+    pub defaults: Native,
+}
+
+impl ContactString {
+    /// Parses a contact string.
+    ///
+    /// # Errors
+    /// `InvalidContactString`; the message names the part that is wrong.
+    pub fn parse(text: &str) -> Result<Self> {
+        let text = text.trim();
+        let (address, defaults) = text.split_once(char::is_whitespace).unwrap_or((text, ""));
+        let port = address
+            .rsplit_once(':')
+            .filter(|(host, _)| !host.is_empty());
+        if port.is_none_or(|(_, port)| port.parse::<u16>().is_err()) {
+            let message = format!("'{address}' is no host:port");
+            return Err(Failure::new(Errno::InvalidContactString, message));
+        }
+        let defaults = Native::read(defaults)
+            .map_err(|failure| Failure::new(Errno::InvalidContactString, failure.message))?;
+        Ok(ContactString {
+            address: address.to_owned(),
+            defaults,
+        })
     }
-    let defaults = Native::read(defaults);
-    let defaults =
-        defaults.map_err(|error| Failure::new(Errno::InvalidContactString, error.message))?;
-    Ok((node.to_owned(), defaults))
 }
 
 #[cfg(test)]
--- a/crates/drmaa/src/native/tests.rs
+++ b/crates/drmaa/src/native/tests.rs
@@ -19,14 +19,15 @@
         assert_eq!(failure.errno, Errno::InvalidAttributeFormat);
         assert!(failure.message.contains(wrong), "{}", failure.message);
     }
-    let (node, defaults) = contact(" 127.0.0.1:7100 tenant=au class=preview").unwrap();
+    let ContactString { address, defaults } =
+        ContactString::parse(" 127.0.0.1:7100 tenant=au class=preview").unwrap();
     assert_eq!(
-        (node.as_str(), defaults.tenant.as_deref()),
+        (address.as_str(), defaults.tenant.as_deref()),
         ("127.0.0.1:7100", Some("au"))
     );
     for wrong in ["", "here", ":7100", "a:b", "127.0.0.1:7100 nonsense"] {
         assert_eq!(
-            contact(wrong).unwrap_err().errno,
+            ContactString::parse(wrong).unwrap_err().errno,
             Errno::InvalidContactString
         );
     }
--- a/crates/drmaa/src/session.rs
+++ b/crates/drmaa/src/session.rs
@@ -5,13 +5,15 @@
 //! number of jobs as late as it likes. `drmaa_wait` and `drmaa_synchronize` look into the job table, and ask the node
 //! only for jobs that are not of this session.
 
+mod action;
 mod collector;
 mod job_table;
 mod result_files;
 
 use crate::errno::{Errno, Failure, Result};
-use crate::native::{self, Native};
+use crate::native::{ContactString, Native};
 use crate::template::Template;
+pub use action::Action;
 use collector::{Collector, CollectorMessage};
 use job_table::{JobTable, SessionJob};
 use marbledeck_submission_client::{
@@ -47,45 +49,6 @@
     collector_messages: Sender<CollectorMessage>,
 }
 
-/// A control operation on jobs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Suspends a running job.
-    Suspend,
-    /// Resumes a suspended job.
-    Resume,
-    /// Holds a queued job.
-    Hold,
-    /// Releases a held job.
-    Release,
-    /// Terminates a job.
-    Terminate,
-}
-
-impl Action {
-    /// The operation of the submission protocol.
-    fn operation(self, targets: Targets) -> Operation {
-        match self {
-            Action::Suspend => Operation::Suspend { targets },
-            Action::Resume => Operation::Resume { targets },
-            Action::Hold => Operation::Hold { targets },
-            Action::Release => Operation::Release { targets },
-            Action::Terminate => Operation::Terminate { targets },
-        }
-    }
-
-    /// The error code where the state of the job does not allow the action.
-    fn inconsistent_state(self) -> Errno {
-        match self {
-            Action::Suspend => Errno::SuspendInconsistentState,
-            Action::Resume => Errno::ResumeInconsistentState,
-            Action::Hold => Errno::HoldInconsistentState,
-            Action::Release => Errno::ReleaseInconsistentState,
-            Action::Terminate => Errno::InvalidJob,
-        }
-    }
-}
-
 /// The timeout of a wait; without one it waits for ever.
 pub type Timeout = Option<Duration>;
 
@@ -95,10 +58,10 @@
     /// # Errors
     /// A malformed contact string, or a node that cannot be reached.
     pub fn begin(contact: &str) -> Result<Self> {
-        let (node, defaults) = native::contact(contact)?;
+        let ContactString { address, defaults } = ContactString::parse(contact)?;
         let settings = Settings {
             retry_timeout: RETRY_TIMEOUT,
-            ..Settings::new(node)
+            ..Settings::new(address)
         };
         let (collector_messages, messages) = channel();
         let event_messages = collector_messages.clone();
