--- a/crates/drmaa/src/c_interface/templates.rs
+++ b/crates/drmaa/src/c_interface/templates.rs
@@ -6,7 +6,7 @@
 use super::session::active_session;
 use super::string_vectors::StringVector;
 use crate::errno::{Errno, Failure};
-use crate::template::{Template, SCALARS, VECTORS};
+use crate::template::{Template, SCALAR_ATTRIBUTES, VECTOR_ATTRIBUTES};
 use std::ffi::{c_char, c_int};
 use std::sync::{Mutex, PoisonError};
 
@@ -202,7 +202,7 @@
     diagnosis_len: usize,
 ) -> c_int {
     // SAFETY: as the caller promises.
-    unsafe { write_names(&SCALARS, values, diagnosis, diagnosis_len) }
+    unsafe { write_names(&SCALAR_ATTRIBUTES, values, diagnosis, diagnosis_len) }
 }
 
 /// The names of the attributes that hold a list (GFD.133, `drmaa_get_vector_attribute_names`).
@@ -216,5 +216,5 @@
     diagnosis_len: usize,
 ) -> c_int {
     // SAFETY: as the caller promises.
-    unsafe { write_names(&VECTORS, values, diagnosis, diagnosis_len) }
+    unsafe { write_names(&VECTOR_ATTRIBUTES, values, diagnosis, diagnosis_len) }
 }
--- a/crates/drmaa/src/session/result_files.rs
+++ b/crates/drmaa/src/session/result_files.rs
@@ -1,7 +1,7 @@
 //! The files that receive the result of a job.
 
 use crate::errno::{Errno, Failure, Result};
-use crate::template::INCR;
+use crate::template::INDEX_PLACEHOLDER;
 use marbledeck_submission_client::JobInfo;
 
 /// The files for the result of a job. Their paths may hold the placeholder of the index.
@@ -37,7 +37,7 @@
             return Ok(());
         };
         let index = self.index.map(|index| index.to_string());
-        let path = path.replace(INCR, &index.unwrap_or_default());
+        let path = path.replace(INDEX_PLACEHOLDER, &index.unwrap_or_default());
         std::fs::write(&path, bytes)
             .map_err(|error| Failure::new(Errno::Internal, format!("{path}: {error}")))
     }
--- a/crates/drmaa/src/template.rs
+++ b/crates/drmaa/src/template.rs
@@ -8,15 +8,21 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// Stands for a job's index (GFD.133, `DRMAA_PLACEHOLDER_INCR`), the home and the working directory.
-pub const INCR: &str = "$drmaa_incr_ph$";
-const HOME: &str = "$drmaa_hd_ph$";
-const WD: &str = "$drmaa_wd_ph$";
-/// Stands for the index on the wire.
-const INDEX: &str = "${PARAMETRIC_INDEX}";
+/// The placeholder of the index of a job (GFD.133, `DRMAA_PLACEHOLDER_INCR`).
+pub const INDEX_PLACEHOLDER: &str = "$drmaa_incr_ph$";
 
-/// The attributes that hold one value. The last one is optional in DRMAA; the other optional ones are not there.
-pub const SCALARS: [&str; 13] = [
+/// The placeholder of the home directory.
+const HOME_PLACEHOLDER: &str = "$drmaa_hd_ph$";
+
+/// The placeholder of the working directory.
+const DIRECTORY_PLACEHOLDER: &str = "$drmaa_wd_ph$";
+
+/// The placeholder of the index in the submission protocol.
+const WIRE_INDEX_PLACEHOLDER: &str = "${PARAMETRIC_INDEX}";
+
+/// The attributes that hold one value. Only the last one is optional in DRMAA; the other optional ones
+/// are not supported.
+pub const SCALAR_ATTRIBUTES: [&str; 13] = [
     "drmaa_remote_command",
     "drmaa_js_state",
     "drmaa_wd",
@@ -33,9 +39,9 @@
 ];
 
 /// The attributes that hold a list.
-pub const VECTORS: [&str; 3] = ["drmaa_v_argv", "drmaa_v_env", "drmaa_v_email"];
+pub const VECTOR_ATTRIBUTES: [&str; 3] = ["drmaa_v_argv", "drmaa_v_env", "drmaa_v_email"];
 
-/// A template as it is being filled in.
+/// A job template with the attributes that were set so far.
 #[derive(Clone, Debug, Default)]
 pub struct Template {
     scalars: BTreeMap<&'static str, String>,
@@ -61,8 +67,8 @@
     found.ok_or_else(|| Failure::new(Errno::InvalidArgument, format!("no such attribute: {name}")))
 }
 
-/// A path of DRMAA: `[host]:path`. Files are those of the machine that the library runs on.
-fn path(name: &str, text: &str) -> Result<String> {
+/// Parses a path of DRMAA, `[host]:path`. The host must be the machine that the library runs on.
+fn parse_path(name: &str, text: &str) -> Result<String> {
     match text.split_once(':') {
         Some(("" | "localhost", path)) if !path.is_empty() => Ok(path.to_owned()),
         Some(_) => {
@@ -82,7 +88,7 @@
     /// # Errors
     /// An attribute that does not exist, or a value that it cannot have.
     pub fn set(&mut self, name: &str, value: &str) -> Result<()> {
-        let name = find_attribute(SCALARS, name)?;
+        let name = find_attribute(SCALAR_ATTRIBUTES, name)?;
         let check_one_of = |allowed: &[&str]| {
             if allowed.contains(&value) {
                 return Ok(());
@@ -97,7 +103,7 @@
             "drmaa_start_time" | "drmaa_deadline_time" => drop(times::read(value, Local::now())?),
             "drmaa_native_specification" => drop(Native::read(value)?),
             "drmaa_input_path" | "drmaa_output_path" | "drmaa_error_path" => {
-                path(name, value)?;
+                parse_path(name, value)?;
             }
             "drmaa_wd" if !value.starts_with(['/', '$']) => {
                 let message = format!("{name}: '{value}': want an absolute path");
@@ -114,7 +120,7 @@
     /// # Errors
     /// An attribute that does not exist, or has no value.
     pub fn get(&self, name: &str) -> Result<&str> {
-        let name = find_attribute(SCALARS, name)?;
+        let name = find_attribute(SCALAR_ATTRIBUTES, name)?;
         let value = self.scalars.get(name).map(String::as_str);
         value
             .ok_or_else(|| Failure::new(Errno::InvalidAttributeValue, format!("{name} is not set")))
@@ -125,7 +131,7 @@
     /// # Errors
     /// An attribute that does not exist, or a value that it cannot have.
     pub fn set_vector(&mut self, name: &str, values: Vec<String>) -> Result<()> {
-        let name = find_attribute(VECTORS, name)?;
+        let name = find_attribute(VECTOR_ATTRIBUTES, name)?;
         if name == "drmaa_v_env" {
             if let Some(value) = values.iter().find(|value| !value.contains('=')) {
                 let message = format!("{name}: '{value}': want name=value");
@@ -141,35 +147,36 @@
     /// # Errors
     /// An attribute that does not exist, or has no value.
     pub fn get_vector(&self, name: &str) -> Result<&[String]> {
-        let name = find_attribute(VECTORS, name)?;
+        let name = find_attribute(VECTOR_ATTRIBUTES, name)?;
         let values = self.vectors.get(name).map(Vec::as_slice);
         values
             .ok_or_else(|| Failure::new(Errno::InvalidAttributeValue, format!("{name} is not set")))
     }
 
-    /// The working directory of the paths.
-    fn directory(&self) -> Result<PathBuf> {
-        let home = || std::env::var("HOME").unwrap_or_else(|_| "/".to_owned());
+    /// The directory that relative paths start from.
+    fn working_directory(&self) -> Result<PathBuf> {
         match self.scalars.get("drmaa_wd") {
-            Some(wd) if wd.contains(INCR) => {
+            Some(wd) if wd.contains(INDEX_PLACEHOLDER) => {
                 let message = "drmaa_wd: the index cannot stand there";
                 Err(Failure::new(Errno::InvalidAttributeValue, message))
             }
-            Some(wd) => Ok(PathBuf::from(wd.replace(HOME, &home()))),
-            None => std::env::current_dir()
-                .map_err(|e| Failure::new(Errno::Internal, format!("the working directory: {e}"))),
+            Some(wd) => Ok(PathBuf::from(
+                wd.replace(HOME_PLACEHOLDER, &home_directory()),
+            )),
+            None => std::env::current_dir().map_err(|error| {
+                Failure::new(Errno::Internal, format!("the working directory: {error}"))
+            }),
         }
     }
 
-    /// A file's whole path, still with the placeholder for the index.
-    fn file(&self, name: &str) -> Result<Option<String>> {
+    /// The absolute path in an attribute, still with the placeholder of the index.
+    fn absolute_path(&self, name: &str) -> Result<Option<String>> {
         let Some(text) = self.scalars.get(name) else {
             return Ok(None);
         };
-        let directory = self.directory()?;
-        let home = std::env::var("HOME").unwrap_or_else(|_| "/".to_owned());
-        let path = path(name, text)?.replace(HOME, &home);
-        let path = path.replace(WD, &directory.to_string_lossy());
+        let directory = self.working_directory()?;
+        let path = parse_path(name, text)?.replace(HOME_PLACEHOLDER, &home_directory());
+        let path = path.replace(DIRECTORY_PLACEHOLDER, &directory.to_string_lossy());
         Ok(Some(directory.join(path).to_string_lossy().into_owned()))
     }
 
@@ -196,11 +203,11 @@
             return Err(Failure::new(Errno::InvalidAttributeValue, message));
         }
         self.set_input(&mut wire, is_bulk)?;
-        let output_path = self.file("drmaa_output_path")?;
+        let output_path = self.absolute_path("drmaa_output_path")?;
         let error_path = if self.scalar_is("drmaa_join_files", "y") {
             output_path.clone()
         } else {
-            self.file("drmaa_error_path")?
+            self.absolute_path("drmaa_error_path")?
         };
         Ok(JobRequest {
             template: wire,
@@ -277,7 +284,7 @@
     /// Sets the input of the job: its arguments, or the content of the input file.
     fn set_input(&self, wire: &mut WireTemplate, is_bulk: bool) -> Result<()> {
         let args = self.nonempty_vector("drmaa_v_argv");
-        match (args, self.file("drmaa_input_path")?) {
+        match (args, self.absolute_path("drmaa_input_path")?) {
             (Some(_), Some(_)) => {
                 let message = "drmaa_v_argv and drmaa_input_path: both would be the input";
                 return Err(Failure::new(Errno::ConflictingAttributeValues, message));
@@ -286,7 +293,7 @@
                 let args = args.iter().map(|arg| with_wire_index(arg, is_bulk));
                 wire.args = Some(args.collect());
             }
-            (None, Some(file)) if file.contains(INCR) => {
+            (None, Some(file)) if file.contains(INDEX_PLACEHOLDER) => {
                 let message = "drmaa_input_path: the jobs of a bulk share their input: no index can stand there";
                 return Err(Failure::new(Errno::InvalidAttributeValue, message));
             }
@@ -303,10 +310,15 @@
     }
 }
 
+/// The home directory of the user.
+fn home_directory() -> String {
+    std::env::var("HOME").unwrap_or_else(|_| "/".to_owned())
+}
+
 /// Replaces the placeholder of the index by that of the submission protocol, where the jobs have an index.
 fn with_wire_index(text: &str, is_bulk: bool) -> String {
     if is_bulk {
-        text.replace(INCR, INDEX)
+        text.replace(INDEX_PLACEHOLDER, WIRE_INDEX_PLACEHOLDER)
     } else {
         text.to_owned()
     }
