--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -1,6 +1,6 @@
 //! The command line, against a node between stand-ins and against nothing.
 
-use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment};
+use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment, WorkerStub};
 use rstest::rstest;
 use serde_json::Value;
 use std::process::{Command, Output};
@@ -12,6 +12,10 @@
     command.args(words).output().unwrap()
 }
 
+fn words(line: &str) -> Vec<&str> {
+    line.split(' ').collect()
+}
+
 fn out(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
@@ -20,6 +24,21 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
+fn json_lines(output: &Output) -> Vec<Value> {
+    out(output)
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect()
+}
+
+/// The values of this key, one a line.
+fn texts<'a>(lines: &'a [Value], key: &str) -> Vec<&'a str> {
+    lines
+        .iter()
+        .map(|line| line[key].as_str().unwrap())
+        .collect()
+}
+
 fn lab() -> TestEnvironment {
     let lab = TestEnvironment::start(EnvironmentOptions::default());
     for worker in &lab.workers {
@@ -44,7 +63,11 @@
 #[case(&["job", "list", "--patience", "0"], 4, "no connection to the node")]
 #[case(&[], 1, "LB_CONFIG: not set")]
 #[case(&["serve"], 1, "LB_CONFIG: not set")]
-fn a_faulty_command_line(#[case] words: &[&str], #[case] status: i32, #[case] message: &str) {
+fn a_faulty_command_line_is_named_and_sets_the_exit_status(
+    #[case] words: &[&str],
+    #[case] status: i32,
+    #[case] message: &str,
+) {
     // Nothing listens on port 1.
     let output = marbledeck("127.0.0.1:1", words);
     assert_eq!(output.status.code(), Some(status), "{}", err(&output));
@@ -52,7 +75,7 @@
 }
 
 #[test]
-fn help_and_completions() {
+fn help_and_completions_are_printed() {
     for words in [
         &["--version"][..],
         &["--help"],
@@ -69,13 +92,15 @@
     assert!(out(&marbledeck("", &["job", "bulk", "--help"])).contains("Example"));
 }
 
+/// The options of a job that is idempotent.
+const PREVIEW: [&str; 4] = ["--class", "preview", "--tenant", "au"];
+
+/// A result comes as it was made; a failure is status 1, what the node denies 3.
 #[test]
-fn jobs_from_the_command_line() {
+fn the_end_of_a_job_sets_the_exit_status() {
     let lab = lab();
     let run = |words: &[&str]| marbledeck(&lab.submission_address, words);
-    let preview = ["--class", "preview", "--tenant", "au"];
-    let with = |words: &[&str]| run(&[words, &preview[..]].concat());
-    // A result comes as it was made; a failure is status 1, what the node denies 3.
+    let with = |words: &[&str]| run(&[words, &PREVIEW[..]].concat());
     let made = with(&["job", "run", "/one", "--wait", "--quiet"]);
     assert_eq!(
         (out(&made).as_str(), made.status.code()),
@@ -101,31 +126,22 @@
     let denied = run(&["job", "run", "/one", "--class", "nonsense"]);
     assert_eq!(denied.status.code(), Some(3));
     assert!(err(&denied).contains("unknown class 'nonsense'"));
-    // Sessions, holds and control.
+}
+
+#[test]
+fn a_held_job_of_a_session_is_listed_released_watched_and_reaped() {
+    let lab = lab();
+    let run = |words: &[&str]| marbledeck(&lab.submission_address, words);
+    let with = |words: &[&str]| run(&[words, &PREVIEW[..]].concat());
     assert!(run(&["session", "create", "films"]).status.success());
     assert!(run(&["session", "list"]).status.success());
-    let held = with(&[
-        "job",
-        "run",
-        "/held",
-        "--hold",
-        "--session",
-        "films",
-        "--name",
-        "reel",
-    ]);
+    let held = with(&words("job run /held --hold --session films --name reel"));
     let id = out(&held).trim().to_owned();
     let hold = run(&["job", "hold", &id]);
     assert_eq!(hold.status.code(), Some(3));
-    let listed = run(&[
-        "job",
-        "list",
-        "--session",
-        "films",
-        "--state",
-        "queued_held",
-        "--json",
-    ]);
+    let listed = run(&words(
+        "job list --session films --state queued_held --json",
+    ));
     let value: Value = serde_json::from_str(&out(&listed)).unwrap();
     assert_eq!(
         (&value["jobId"], &value["jobName"]),
@@ -136,25 +152,11 @@
     assert!(run(&["job", "release", &id]).status.success());
     assert!(run(&["job", "wait", &id]).status.success());
     assert_eq!(out(&run(&["job", "info", "--result", &id])), "made /held");
-    let watched = run(&[
-        "job",
-        "watch",
-        "--session",
-        "films",
-        "--since",
-        "0",
-        "--count",
-        "4",
-        "--json",
-    ]);
-    let states: Vec<Value> = out(&watched)
-        .lines()
-        .map(|l| serde_json::from_str(l).unwrap())
-        .collect();
-    let states: Vec<&str> = states
-        .iter()
-        .map(|v| v["jobState"].as_str().unwrap())
-        .collect();
+    let watched = run(&words(
+        "job watch --session films --since 0 --count 4 --json",
+    ));
+    let events = json_lines(&watched);
+    let states = texts(&events, "jobState");
     assert_eq!(states, ["QUEUED_HELD", "QUEUED", "RUNNING", "DONE"]);
     let shown = run(&["session", "show", "films", "--json"]);
     let value: Value = serde_json::from_str(&out(&shown)).unwrap();
@@ -164,7 +166,16 @@
     );
     assert!(run(&["job", "reap", &id]).status.success());
     assert_eq!(run(&["job", "info", &id]).status.code(), Some(3));
-    // A bulk, with its bar, and a whole array under control.
+    assert!(run(&["session", "destroy", "films"]).status.success());
+    assert_eq!(run(&["session", "show", "films"]).status.code(), Some(3));
+}
+
+/// With its progress bar, and a whole array under control.
+#[test]
+fn a_bulk_is_run_and_terminated_as_an_array() {
+    let lab = lab();
+    let run = |words: &[&str]| marbledeck(&lab.submission_address, words);
+    let with = |words: &[&str]| run(&[words, &PREVIEW[..]].concat());
     let bulk = with(&[
         "job",
         "bulk",
@@ -190,7 +201,13 @@
     assert_eq!(out(&ended).trim(), r#"{"changed":9,"refused":0}"#);
     let any = run(&["job", "wait", "--any", "--array", array]);
     assert_eq!(any.status.code(), Some(1), "terminated is not done");
-    // Input from a file, and what a node tells of itself.
+}
+
+#[test]
+fn the_input_of_a_job_is_read_from_a_file() {
+    let lab = lab();
+    let run = |words: &[&str]| marbledeck(&lab.submission_address, words);
+    let with = |words: &[&str]| run(&[words, &PREVIEW[..]].concat());
     let file = lab.folder().join("reel.json");
     std::fs::write(&file, b"\x00\xff reel").unwrap();
     assert!(with(&[
@@ -203,36 +220,31 @@
     ])
     .status
     .success());
-    let begun = lab
+    let started = lab
         .workers
         .iter()
-        .flat_map(|w| w.started_jobs())
-        .find(|j| j.target == "/with-input");
-    assert_eq!(begun.unwrap().body, b"\x00\xff reel");
+        .flat_map(WorkerStub::started_jobs)
+        .find(|job| job.target == "/with-input");
+    assert_eq!(started.unwrap().body, b"\x00\xff reel");
+}
+
+#[test]
+fn a_node_shows_its_machines_queues_and_capabilities() {
+    let lab = lab();
+    let run = |words: &[&str]| marbledeck(&lab.submission_address, words);
     assert_eq!(out(&run(&["machines"])).lines().count(), 3);
     assert!(out(&run(&["queues"])).contains("sheet-publish"));
     assert!(out(&run(&["capabilities"])).contains("BULK_JOBS_MAXPARALLEL"));
-    assert!(run(&["session", "destroy", "films"]).status.success());
-    assert_eq!(run(&["session", "show", "films"]).status.code(), Some(3));
 }
 
 /// A machine that an operator has taken out is shown as that.
 #[test]
-fn machines_out_by_hand() {
+fn a_machine_that_an_operator_took_out_is_shown_as_out() {
     let lab = lab();
     assert_eq!(lab.call_admin("set-down w2").as_deref(), Some("ACK w2 out"));
-    let machines = out(&marbledeck(
-        &lab.submission_address,
-        &["machines", "--json"],
-    ));
-    let machines: Vec<Value> = machines
-        .lines()
-        .map(|l| serde_json::from_str(l).unwrap())
-        .collect();
-    let states: Vec<&str> = machines
-        .iter()
-        .map(|m| m["state"].as_str().unwrap())
-        .collect();
+    let shown = marbledeck(&lab.submission_address, &["machines", "--json"]);
+    let machines = json_lines(&shown);
+    let states = texts(&machines, "state");
     assert_eq!(states, ["up", "out", "up"]);
     assert_eq!(machines[1]["available"], false);
 }
--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! The list of workers at 300 nodes before one discovery service that works its calls off one after another, in virtual time. The
-//! rule's clocks are counted here anew, from the protocol page: no node may hold a drained worker as usable past them.
+//! The client of discovery at 300 nodes before one discovery service that handles its calls one after another, in
+//! virtual time. The deadlines of the platform's rule are computed here anew, from the protocol page: no node may hold a
+//! drained worker as usable past them.
 
 use marbledeck_dispatcher::Micros;
 use marbledeck_node::discovery::{Fault, Query, StalenessTracker};
@@ -10,8 +11,14 @@
 /// The rule's figures are longer by so much on sockets.
 const SLACK: Micros = Micros(50_000);
 const STEP: Micros = Micros(1_000);
+/// A worker drains once in so many steps.
+const STEPS_PER_CHANGE: u64 = 500;
 /// A call that has waited for so long fails.
-const PATIENCE: Micros = Micros(1_000_000);
+const QUEUE_TIMEOUT: Micros = Micros(1_000_000);
+/// By the rule, a node counts as notified so long after discovery had a change, in seconds.
+const NOTIFICATION_DELAY: f64 = 6.0;
+/// By the rule, a node that has moved counts as notified of all changes so long after, in seconds.
+const MOVE_DELAY: f64 = 4.0;
 
 fn secs(secs: f64) -> Micros {
     Micros::from_secs_f64(secs)
@@ -23,31 +30,33 @@
     Queued,
     /// Discovery holds it until something changes.
     Held,
-    /// Nothing comes of it any more, since then.
-    Silent(Micros),
+    /// It is never answered.
+    Silent,
 }
 
-struct Out {
-    at: Micros,
+/// A call to discovery that is not over.
+struct OpenCall {
+    started: Micros,
     query: Query,
+    /// How many changes its node knew when it called.
     after: usize,
     stage: Stage,
 }
 
 struct Node {
     staleness: StalenessTracker,
-    call: Option<Out>,
-    /// When it asks next.
-    again: Option<Micros>,
-    /// How many changes it has been told.
-    knows: usize,
-    /// By when the rule holds it told of all changes, since it has moved.
-    moved: Option<Micros>,
+    call: Option<OpenCall>,
+    /// When it calls next.
+    next_call: Option<Micros>,
+    /// How many changes it knows.
+    known_changes: usize,
+    /// Since it has moved: by when the rule counts it as notified of all changes.
+    move_deadline: Option<Micros>,
 }
 
 /// What happens on a day.
 struct Day {
-    /// Calls a second that discovery works off.
+    /// Calls a second that discovery handles.
     capacity: f64,
     /// When all open watches fall silent.
     silent: Vec<f64>,
@@ -55,9 +64,9 @@
     down: Option<(f64, f64)>,
     /// It says 503 to all calls at once, and ends its watches so, but could be reached.
     refuses: Option<(f64, f64)>,
-    /// From then on it answers nothing, not even failures, for so long.
+    /// From the first to the second it answers nothing, not even failures.
     mute: Option<(f64, f64)>,
-    /// All nodes are told to go over to another discovery service, which has one change more.
+    /// All nodes move to another discovery service, which has one change more.
     moved: Option<f64>,
     /// Lists are pushed, and the nodes start with an old one.
     pushed: bool,
@@ -75,180 +84,267 @@
     length: 30.0,
 };
 
-struct Seen {
-    /// Nodes that held a list past the rule's clock, at the first such moment.
+struct Findings {
+    /// Nodes that held a list past the rule's deadline, at the first such moment.
     late: Vec<(usize, Micros)>,
-    /// Node-seconds in which a list was not trusted, and calls.
+    /// Node-seconds in which a list was not trusted.
     distrusted: f64,
-    calls: usize,
+}
+
+/// Whether this step is the last before the time.
+fn passes(time: f64, now: Micros) -> bool {
+    now < secs(time) && now + STEP >= secs(time)
+}
+
+fn is_within(span: Option<(f64, f64)>, now: Micros) -> bool {
+    span.is_some_and(|(from, to)| now >= secs(from) && now < secs(to))
+}
+
+/// What is the case at one step of a day.
+struct Conditions {
+    now: Micros,
+    down: bool,
+    /// When discovery went down, if it is down.
+    down_since: Option<Micros>,
+    mute: bool,
+    refuses: bool,
+    /// The nodes move at this step.
+    moves: bool,
+    /// Held watches fall silent at this step.
+    falls_silent: bool,
+    /// How many changes discovery has.
+    changes: usize,
+}
+
+/// A day as it is played.
+struct Simulation<'a> {
+    day: &'a Day,
+    nodes: Vec<Node>,
+    /// Calls that wait for their turn: their nodes, and when they were started.
+    queue: VecDeque<(usize, Micros)>,
+    /// When discovery had each change and could be reached; none for what is pushed, which counts as notified from the
+    /// first moment.
+    changes: Vec<Option<Micros>>,
+    /// How many calls discovery can handle now.
+    credit: f64,
+    findings: Findings,
 }
 
 /// Plays a day: a worker drains every half second, and each node is held against the rule at every step.
-fn play(day: &Day, seed: u64) -> Seen {
-    let mut nodes: Vec<Node> = (0..NODES as u64)
-        .map(|n| Node {
+fn play(day: &Day, seed: u64) -> Findings {
+    let mut simulation = Simulation::new(day, seed);
+    let mut now = Micros(0);
+    while now < secs(day.length) {
+        simulation.step(now);
+        now = now + STEP;
+    }
+    simulation.findings
+}
+
+impl<'a> Simulation<'a> {
+    fn new(day: &'a Day, seed: u64) -> Self {
+        let node = |n| Node {
             staleness: StalenessTracker::new(Micros(0), GRACE, day.pushed, seed * 1000 + n),
             call: None,
-            again: Some(Micros(0)),
-            knows: 0,
-            moved: None,
-        })
-        .collect();
-    let mut queue: VecDeque<(usize, Micros)> = VecDeque::new();
-    // When discovery had each change and could be reached; what is pushed counts as told from the first moment.
-    let mut had = Vec::new();
-    if day.pushed {
-        had.push(None);
+            next_call: Some(Micros(0)),
+            known_changes: 0,
+            move_deadline: None,
+        };
+        let pushed = if day.pushed { vec![None] } else { Vec::new() };
+        Simulation {
+            day,
+            nodes: (0..NODES as u64).map(node).collect(),
+            queue: VecDeque::new(),
+            changes: pushed,
+            credit: 0.0,
+            findings: Findings {
+                late: Vec::new(),
+                distrusted: 0.0,
+            },
+        }
     }
-    let (mut credit, mut now) = (0.0, Micros(0));
-    let mut seen = Seen {
-        late: Vec::new(),
-        distrusted: 0.0,
-        calls: 0,
-    };
-    let passes = |at: f64, now: Micros| now < secs(at) && now + STEP >= secs(at);
-    while now < secs(day.length) {
-        let next = now + STEP;
-        let down = day
-            .down
-            .is_some_and(|(from, to)| now >= secs(from) && now < secs(to));
-        let mute = day
-            .mute
-            .is_some_and(|(from, to)| now >= secs(from) && now < secs(to));
-        let refuses = day
-            .refuses
-            .is_some_and(|(from, to)| now >= secs(from) && now < secs(to));
-        let reached = day.down.filter(|_| down).map_or(now, |(_, to)| secs(to));
-        if (now.0 / STEP.0) % 500 == 250 {
-            had.push(Some(reached));
+
+    fn step(&mut self, now: Micros) {
+        let conditions = self.begin_step(now);
+        self.handle_queue(&conditions);
+        for n in 0..NODES {
+            let node = &mut self.nodes[n];
+            if conditions.moves {
+                node.handle_move(now);
+            }
+            if let Some(fault) = node.advance_call(&conditions) {
+                node.call = None;
+                node.next_call = Some(node.staleness.handle_failure(now, fault));
+            }
+            if node.start_due_call(now) {
+                self.queue.push_back((n, now));
+            }
+            self.check_rule(n, &conditions);
+        }
+    }
+
+    /// Adds the changes of this step.
+    fn begin_step(&mut self, now: Micros) -> Conditions {
+        let day = self.day;
+        let outage = day.down.filter(|_| is_within(day.down, now));
+        let reachable = outage.map_or(now, |(_, to)| secs(to));
+        if (now.0 / STEP.0) % STEPS_PER_CHANGE == STEPS_PER_CHANGE / 2 {
+            self.changes.push(Some(reachable));
         }
-        let moves = day.moved.is_some_and(|at| passes(at, now));
-        let falls = day.silent.iter().any(|at| passes(*at, now));
+        let moves = day.moved.is_some_and(|time| passes(time, now));
         if moves {
-            had.push(Some(reached));
+            self.changes.push(Some(reachable));
         }
-        let changes = had.len();
-        // Discovery works off what has waited, as far as its capacity goes.
-        credit = f64::min(
-            credit + day.capacity * STEP.as_secs_f64(),
-            1.0_f64.max(day.capacity * STEP.as_secs_f64()),
-        );
-        if down || refuses || mute {
-            queue.clear();
+        Conditions {
+            now,
+            down: outage.is_some(),
+            down_since: outage.map(|(from, _)| secs(from)),
+            mute: is_within(day.mute, now),
+            refuses: is_within(day.refuses, now),
+            moves,
+            falls_silent: day.silent.iter().any(|time| passes(*time, now)),
+            changes: self.changes.len(),
+        }
+    }
+
+    /// Discovery takes the calls that wait, as far as its capacity goes.
+    fn handle_queue(&mut self, conditions: &Conditions) {
+        let credit_per_step = self.day.capacity * STEP.as_secs_f64();
+        self.credit = f64::min(self.credit + credit_per_step, 1.0_f64.max(credit_per_step));
+        if conditions.down || conditions.refuses || conditions.mute {
+            self.queue.clear();
         }
-        while credit >= 1.0 {
-            let Some((n, at)) = queue.pop_front() else {
+        while self.credit >= 1.0 {
+            let Some((n, started)) = self.queue.pop_front() else {
                 break;
             };
             // A call that its node has given up has its turn all the same.
-            credit -= 1.0;
-            let call = nodes[n].call.as_mut();
-            if let Some(call) = call.filter(|c| c.at == at && c.stage == Stage::Queued) {
+            self.credit -= 1.0;
+            let call = self.nodes[n].call.as_mut();
+            let is_open =
+                |call: &&mut OpenCall| call.started == started && call.stage == Stage::Queued;
+            if let Some(call) = call.filter(is_open) {
                 call.stage = Stage::Held;
             }
         }
-        for (n, node) in nodes.iter_mut().enumerate() {
-            let mut fault = None;
-            if moves {
-                node.staleness.handle_move(now);
-                (node.call, node.again) = (None, Some(now));
-                node.moved = Some(now + secs(4.0));
-            }
-            if let Some(call) = &mut node.call {
-                if (falls && call.stage == Stage::Held)
-                    || (mute && !matches!(call.stage, Stage::Silent(_)))
-                {
-                    call.stage = Stage::Silent(now);
-                }
-                match call.stage {
-                    Stage::Queued if down && day.down.is_some_and(|d| call.at < secs(d.0)) => {
-                        fault = Some(Fault::Broken);
-                    }
-                    Stage::Queued if down => fault = Some(Fault::Unreachable),
-                    Stage::Queued if refuses || now - call.at > PATIENCE => {
-                        fault = Some(Fault::Refused);
-                    }
-                    Stage::Held if down => fault = Some(Fault::Broken),
-                    Stage::Held if refuses => fault = Some(Fault::Refused),
-                    Stage::Held => {
-                        let over = match call.query {
-                            Query::CompleteList => true,
-                            Query::Changes { wait } => {
-                                call.after < changes || now >= call.at + wait
-                            }
-                        };
-                        if over {
-                            (node.knows, node.moved, node.call) = (changes, None, None);
-                            node.staleness.handle_answer();
-                            node.again = Some(now);
-                        }
-                    }
-                    Stage::Silent(_) => {}
-                    Stage::Queued => {}
-                }
-            }
-            if node
-                .staleness
-                .call_deadline()
-                .is_some_and(|until| now >= until)
-                && fault.is_none()
-            {
-                fault = Some(Fault::Silent);
-            }
-            if let Some(fault) = fault {
-                node.call = None;
-                node.again = Some(node.staleness.handle_failure(now, fault));
-            }
-            if node.call.is_none() && node.again.is_some_and(|at| now >= at) {
-                let call = node.staleness.next_call(now);
-                node.call = Some(Out {
-                    at: now,
-                    query: call.query,
-                    after: node.knows,
-                    stage: Stage::Queued,
-                });
-                node.again = None;
-                queue.push_back((n, now));
-                seen.calls += 1;
-            }
-            // The rule: whatever became of the calls, a change counts as told so long after discovery had it and
-            // could be reached.
-            let told = had.get(node.knows).map(|had| match had {
-                Some(at) => *at + secs(6.0),
-                None => Micros(0),
-            });
-            let moved = node.moved.filter(|_| told.is_some());
-            let rule = told.into_iter().chain(moved).min();
-            let trusted = node
-                .staleness
-                .trusted_until()
-                .is_none_or(|until| now < until);
-            if !trusted {
-                seen.distrusted += STEP.as_secs_f64();
+    }
+
+    /// The rule: whatever became of the calls, a change counts as notified so long after discovery had it and could be
+    /// reached.
+    fn check_rule(&mut self, n: usize, conditions: &Conditions) {
+        let now = conditions.now;
+        let node = &self.nodes[n];
+        let next_change = self.changes.get(node.known_changes);
+        let notified = next_change.map(|change| match change {
+            Some(time) => *time + secs(NOTIFICATION_DELAY),
+            None => Micros(0),
+        });
+        let moved = node.move_deadline.filter(|_| notified.is_some());
+        let rule = notified.into_iter().chain(moved).min();
+        let expiry = node.staleness.trusted_until();
+        let trusted = expiry.is_none_or(|expiry| now < expiry);
+        if !trusted {
+            self.findings.distrusted += STEP.as_secs_f64();
+        }
+        let late = rule.is_some_and(|notified| now > notified + GRACE + SLACK);
+        let misses_changes = node.known_changes < conditions.changes;
+        let found = &mut self.findings.late;
+        if late && trusted && misses_changes && !found.iter().any(|(other, _)| *other == n) {
+            found.push((n, now));
+        }
+    }
+}
+
+impl Node {
+    fn handle_move(&mut self, now: Micros) {
+        self.staleness.handle_move(now);
+        self.call = None;
+        self.next_call = Some(now);
+        self.move_deadline = Some(now + secs(MOVE_DELAY));
+    }
+
+    /// Answers its call, or lets it go on. Returns why it has failed, if it has.
+    fn advance_call(&mut self, conditions: &Conditions) -> Option<Fault> {
+        let now = conditions.now;
+        let mut fault = None;
+        if let Some(call) = &mut self.call {
+            if conditions.mute || conditions.falls_silent && call.stage == Stage::Held {
+                call.stage = Stage::Silent;
             }
-            let late = rule.is_some_and(|told| now > told + GRACE + SLACK);
-            if late && trusted && node.knows < changes && !seen.late.iter().any(|(l, _)| *l == n) {
-                seen.late.push((n, now));
+            fault = call.fault(conditions);
+            if fault.is_none() && call.is_answered(conditions) {
+                self.known_changes = conditions.changes;
+                self.move_deadline = None;
+                self.call = None;
+                self.staleness.handle_answer();
+                self.next_call = Some(now);
             }
         }
-        now = next;
+        let deadline = self.staleness.call_deadline();
+        let overdue = deadline.is_some_and(|deadline| now >= deadline);
+        fault.or(overdue.then_some(Fault::Silent))
+    }
+
+    /// Starts its next call if that is due. Returns whether it has.
+    fn start_due_call(&mut self, now: Micros) -> bool {
+        let due = self.next_call.is_some_and(|time| now >= time);
+        if self.call.is_some() || !due {
+            return false;
+        }
+        let call = self.staleness.next_call(now);
+        self.call = Some(OpenCall {
+            started: now,
+            query: call.query,
+            after: self.known_changes,
+            stage: Stage::Queued,
+        });
+        self.next_call = None;
+        true
+    }
+}
+
+impl OpenCall {
+    /// How the call fails under these conditions.
+    fn fault(&self, conditions: &Conditions) -> Option<Fault> {
+        let connected_before = conditions
+            .down_since
+            .is_some_and(|since| self.started < since);
+        let waited = conditions.now - self.started;
+        match self.stage {
+            Stage::Queued if conditions.down && connected_before => Some(Fault::Broken),
+            Stage::Queued if conditions.down => Some(Fault::Unreachable),
+            Stage::Queued if conditions.refuses || waited > QUEUE_TIMEOUT => Some(Fault::Refused),
+            Stage::Held if conditions.down => Some(Fault::Broken),
+            Stage::Held if conditions.refuses => Some(Fault::Refused),
+            Stage::Queued | Stage::Held | Stage::Silent => None,
+        }
+    }
+
+    /// Whether discovery answers it now.
+    fn is_answered(&self, conditions: &Conditions) -> bool {
+        let is_over = match self.query {
+            Query::CompleteList => true,
+            Query::Changes { wait } => {
+                self.after < conditions.changes || conditions.now >= self.started + wait
+            }
+        };
+        self.stage == Stage::Held && is_over
     }
-    seen
 }
 
 /// All watches fall silent in one moment, whenever in their waits that is.
 #[test]
-fn a_silent_watch_is_found_out_before_what_it_misses_counts_as_told() {
+fn a_silent_watch_is_detected_before_what_it_misses_counts_as_notified() {
     for seed in 1..=3 {
         let silent = vec![3.0 + 0.37 * seed as f64, 14.2];
-        let seen = play(&Day { silent, ..CALM }, seed);
+        let findings = play(&Day { silent, ..CALM }, seed);
         assert!(
-            seen.late.is_empty(),
+            findings.late.is_empty(),
             "seed {seed}: {:?}",
-            &seen.late[..seen.late.len().min(5)]
+            &findings.late[..findings.late.len().min(5)]
         );
         assert_eq!(
-            seen.distrusted, 0.0,
+            findings.distrusted, 0.0,
             "seed {seed}: lists were asked for in time"
         );
     }
@@ -256,7 +352,7 @@
 
 /// The same before a discovery service that is asked for more than it can do: three calls a second for each ten nodes.
 #[test]
-fn a_directory_with_too_many_callers_leaves_no_drained_worker_usable() {
+fn an_overloaded_discovery_leaves_no_drained_worker_usable() {
     for capacity in [30.0, 90.0] {
         let day = Day {
             capacity,
@@ -264,80 +360,84 @@
             length: 40.0,
             ..CALM
         };
-        let seen = play(&day, 4);
+        let findings = play(&day, 4);
         assert!(
-            seen.late.is_empty(),
+            findings.late.is_empty(),
             "{capacity}: {:?}",
-            &seen.late[..seen.late.len().min(5)]
+            &findings.late[..findings.late.len().min(5)]
         );
     }
 }
 
-/// A directory that is down for some seconds costs nothing; in a longer time, calls that were still in its queue may have
+/// Discovery that is down for some seconds costs nothing; in a longer time, calls that were still in its queue may have
 /// missed something that it had before.
 #[test]
-fn a_directory_that_is_down_is_trusted_as_long_as_nothing_can_be_missed() {
-    for (length, most) in [(3.0, 0.0), (8.0, 5.5)] {
+fn a_list_is_trusted_while_discovery_is_down_as_long_as_nothing_can_be_missed() {
+    for (length, max_distrusted) in [(3.0, 0.0), (8.0, 5.5)] {
         let down = Some((6.0, 6.0 + length));
-        let seen = play(&Day { down, ..CALM }, 5);
-        assert!(seen.late.is_empty(), "{length}: {:?}", seen.late.first());
-        let each = seen.distrusted / NODES as f64;
-        assert!(each <= most, "{length}: {each} s a node");
+        let findings = play(&Day { down, ..CALM }, 5);
+        assert!(
+            findings.late.is_empty(),
+            "{length}: {:?}",
+            findings.late.first()
+        );
+        let each = findings.distrusted / NODES as f64;
+        assert!(each <= max_distrusted, "{length}: {each} s a node");
     }
 }
 
 /// A watch that discovery held tells all until it breaks; while connections are refused there is nothing to miss.
 #[test]
-fn a_directory_that_refuses_connections_after_a_held_watch_is_trusted_on() {
+fn a_list_is_trusted_while_connections_are_refused_after_a_held_watch() {
     let mut staleness = StalenessTracker::new(Micros(0), GRACE, false, 1);
     let (mut now, mut fault) = (secs(1.0), Fault::Broken);
     staleness.next_call(now);
     now = now + secs(3.0);
     for _ in 0..40 {
-        let again = staleness.handle_failure(now, fault);
-        let until = staleness.trusted_until().expect("in doubt");
+        let next_call = staleness.handle_failure(now, fault);
+        let expiry = staleness.trusted_until().expect("in doubt");
         assert!(
-            until > again + secs(2.0),
-            "asked again at {again:?}, trusted until {until:?}"
+            expiry > next_call + secs(2.0),
+            "asked again at {next_call:?}, trusted until {expiry:?}"
         );
-        (now, fault) = (again, Fault::Unreachable);
+        (now, fault) = (next_call, Fault::Unreachable);
         staleness.next_call(now);
     }
     // Silence is no such proof: from then on the clock runs.
-    let silent = staleness.call_deadline().expect("asked");
+    let silent = staleness.call_deadline().expect("an open call");
     staleness.handle_failure(silent, Fault::Silent);
-    let until = staleness.trusted_until().expect("in doubt");
+    let expiry = staleness.trusted_until().expect("in doubt");
     staleness.next_call(silent);
     staleness.handle_failure(silent, Fault::Unreachable);
-    assert_eq!(staleness.trusted_until(), Some(until));
+    assert_eq!(staleness.trusted_until(), Some(expiry));
 }
 
 /// A call that is refused after a short time may have waited for its turn since it was asked, and missed what came
 /// meanwhile; a watch that was held until discovery said no has missed nothing before that.
 #[test]
-fn a_refused_call_leaves_doubt_from_its_question_and_a_held_watch_from_its_end() {
+fn a_refused_call_leaves_doubt_from_its_start_and_a_held_watch_from_its_end() {
     for (out, since) in [(1.0, 0.0), (1.3, 1.3)] {
         let mut staleness = StalenessTracker::new(Micros(0), GRACE, false, 1);
         staleness.next_call(secs(10.0));
         staleness.handle_failure(secs(10.0 + out), Fault::Refused);
-        let until = secs(10.0 + since + 6.0) + GRACE;
-        assert_eq!(staleness.trusted_until(), Some(until), "out for {out} s");
+        let expiry = secs(10.0 + since + 6.0) + GRACE;
+        assert_eq!(staleness.trusted_until(), Some(expiry), "out for {out} s");
         // What fails after that is later: the first doubt counts.
         staleness.next_call(secs(12.0));
         staleness.handle_failure(secs(14.0), Fault::Refused);
-        assert_eq!(staleness.trusted_until(), Some(until), "out for {out} s");
+        assert_eq!(staleness.trusted_until(), Some(expiry), "out for {out} s");
     }
 }
 
 /// A node whose site grants no grace asks on at a bounded pace.
 #[test]
-fn a_pushed_list_without_a_grace_is_not_asked_for_without_end() {
+fn without_a_grace_a_pushed_list_is_polled_at_a_bounded_rate() {
     let mut staleness = StalenessTracker::new(Micros(0), Micros(0), true, 1);
     let mut now = Micros(0);
     for _ in 0..200 {
         staleness.next_call(now);
-        let until = staleness.call_deadline().expect("asked");
-        now = staleness.handle_failure(until, Fault::Silent);
+        let deadline = staleness.call_deadline().expect("an open call");
+        now = staleness.handle_failure(deadline, Fault::Silent);
     }
     assert!(now >= secs(9.0), "200 calls in {now:?}");
 }
@@ -345,22 +445,22 @@
 /// One that refuses all calls with an answer could be reached: its list is given up when the rule says so, and trusted
 /// soon after it answers again.
 #[test]
-fn a_directory_that_refuses_calls_ends_the_trust_in_its_list() {
+fn a_list_is_given_up_when_discovery_refuses_calls() {
     for (seed, from) in [(10, 0.0), (11, 6.0), (12, 7.3)] {
         let day = Day {
             refuses: Some((from, from + 9.0)),
             ..CALM
         };
-        let seen = play(&day, seed);
-        let late = &seen.late[..seen.late.len().min(5)];
+        let findings = play(&day, seed);
+        let late = &findings.late[..findings.late.len().min(5)];
         assert!(late.is_empty(), "seed {seed}: {late:?}");
-        let each = seen.distrusted / NODES as f64;
-        // Told after 6 s by the rule, and the grace; answered again within a second.
+        let each = findings.distrusted / NODES as f64;
+        // Notified after 6 s by the rule, and the grace; answered again within a second.
         assert!((2.0..6.0).contains(&each), "seed {seed}: {each} s a node");
     }
 }
 
-/// Down only a moment after a call was refused with an answer: what was missed then counts as told while it is down.
+/// Down only a moment after a call was refused with an answer: what was missed then counts as notified while it is down.
 #[test]
 fn a_refused_connection_ends_no_older_doubt() {
     let day = Day {
@@ -368,9 +468,9 @@
         down: Some((6.6, 15.0)),
         ..CALM
     };
-    let seen = play(&day, 13);
-    assert!(seen.late.is_empty(), "{:?}", seen.late.first());
-    assert!(seen.distrusted > 0.0);
+    let findings = play(&day, 13);
+    assert!(findings.late.is_empty(), "{:?}", findings.late.first());
+    assert!(findings.distrusted > 0.0);
 }
 
 /// A few seconds of refusals cost nothing: the nodes ask on, often enough and not in step.
@@ -381,45 +481,45 @@
             refuses: Some((from, from + 3.0)),
             ..CALM
         };
-        let seen = play(&day, 14);
-        assert!(seen.late.is_empty(), "{:?}", seen.late.first());
-        assert_eq!(seen.distrusted, 0.0);
+        let findings = play(&day, 14);
+        assert!(findings.late.is_empty(), "{:?}", findings.late.first());
+        assert_eq!(findings.distrusted, 0.0);
     }
 }
 
 /// One that takes calls and answers none of them: the lists are given up when the rule says so, and not before.
 #[test]
-fn a_directory_that_answers_nothing_ends_the_trust_in_its_list() {
-    let seen = play(
+fn a_list_is_given_up_when_discovery_answers_nothing() {
+    let findings = play(
         &Day {
             mute: Some((6.0, 18.0)),
             ..CALM
         },
         6,
     );
-    assert!(seen.late.is_empty(), "{:?}", seen.late.first());
-    let each = seen.distrusted / NODES as f64;
-    // Silent from 6 s on, told at 12 s by the rule, answered again soon after 18 s.
+    assert!(findings.late.is_empty(), "{:?}", findings.late.first());
+    let each = findings.distrusted / NODES as f64;
+    // Silent from 6 s on, notified at 12 s by the rule, answered again soon after 18 s.
     assert!((4.0..9.0).contains(&each), "{each} s a node");
 }
 
 #[test]
-fn after_a_move_the_new_list_is_had_within_the_rules_four_seconds() {
-    let seen = play(
+fn after_a_move_the_new_list_is_received_within_four_seconds() {
+    let findings = play(
         &Day {
             moved: Some(7.3),
             ..CALM
         },
         7,
     );
-    assert!(seen.late.is_empty(), "{:?}", seen.late.first());
-    assert_eq!(seen.distrusted, 0.0);
+    assert!(findings.late.is_empty(), "{:?}", findings.late.first());
+    assert_eq!(findings.distrusted, 0.0);
 }
 
 /// A node that is moved to a discovery service that is silent does not go on by the old list.
 #[test]
-fn a_move_to_a_silent_directory_ends_the_trust_in_the_old_list() {
-    let seen = play(
+fn the_old_list_is_given_up_after_a_move_to_a_silent_discovery_service() {
+    let findings = play(
         &Day {
             moved: Some(7.0),
             mute: Some((6.9, 16.0)),
@@ -427,26 +527,26 @@
         },
         8,
     );
-    assert!(seen.late.is_empty(), "{:?}", seen.late.first());
-    assert!(seen.distrusted > 0.0);
+    assert!(findings.late.is_empty(), "{:?}", findings.late.first());
+    assert!(findings.distrusted > 0.0);
 }
 
-/// Where lists are pushed, all of it counts as told from the first moment of a process.
+/// Where lists are pushed, all of it counts as notified from the first moment of a process.
 #[test]
-fn a_pushed_list_is_had_within_the_grace_of_the_start() {
-    let seen = play(
+fn a_pushed_list_is_received_within_the_grace_of_the_start() {
+    let findings = play(
         &Day {
             pushed: true,
             ..CALM
         },
         9,
     );
-    assert!(seen.late.is_empty(), "{:?}", seen.late.first());
+    assert!(findings.late.is_empty(), "{:?}", findings.late.first());
 }
 
 /// The nodes do not ask in step, though all were answered in one moment.
 #[test]
-fn nodes_that_were_answered_together_do_not_ask_together() {
+fn nodes_that_were_answered_together_do_not_poll_together() {
     let mut deadlines: Vec<u64> = (0..NODES as u64)
         .map(|n| {
             StalenessTracker::new(Micros(0), GRACE, false, n)
@@ -456,10 +556,13 @@
         })
         .collect();
     deadlines.sort_unstable();
-    let most = deadlines
+    let narrowest = deadlines
         .windows(60)
         .map(|w| w[59] - w[0])
         .min()
         .expect("300");
-    assert!(most > 150_000, "60 of 300 nodes ask within {most} us");
+    assert!(
+        narrowest > 150_000,
+        "60 of 300 nodes poll within {narrowest} us"
+    );
 }
--- a/crates/node/tests/eureka.rs
+++ b/crates/node/tests/eureka.rs
@@ -248,10 +248,10 @@
     let registry = EurekaStub::start();
     let lab = lab(&[&registry], "");
     for _ in 0..3 {
-        let told = Instant::now();
+        let notified_at = Instant::now();
         registry.override_status(APP, "w3", "OUT_OF_SERVICE");
         lab.wait_for_member("w3", is_out);
-        assert!(told.elapsed() < Duration::from_secs(20));
+        assert!(notified_at.elapsed() < Duration::from_secs(20));
         let begun = lab.workers[2].started_jobs().len();
         (0..5).for_each(|n| assert!(run(&lab, &format!("/{n}"))));
         assert_eq!(lab.workers[2].started_jobs().len(), begun);
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -6,11 +6,12 @@
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
-use std::time::Duration;
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
 
-/// A job at a consumer's address; the status of the answer, none where the node was lost.
-fn job(consumers: &str, txn: &str, labels: &str) -> Option<u16> {
-    let mut stream = TcpStream::connect(consumers).ok()?;
+/// A job at a node's client address; the status of the answer, none where the node was lost.
+fn job(address: &str, txn: &str, labels: &str) -> Option<u16> {
+    let mut stream = TcpStream::connect(address).ok()?;
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
         .ok()?;
@@ -51,10 +52,30 @@
 
 const POOL: &str = r#"{"pool":{"seats":4,"longest_run_ms":400}}"#;
 
+/// Changes the rates through this node, one version after the other. Returns how many changes hold.
+fn spawn_changer(operators: String, stop: Arc<AtomicBool>) -> JoinHandle<u64> {
+    std::thread::spawn(move || {
+        let mut done = 0;
+        while !stop.load(Ordering::SeqCst) {
+            let body = format!(r#"{{"rates":{{"per_s":{{"au":{}}}}}}}"#, 1000 + done);
+            let line = change("settings/rates", done, &body) + "\n";
+            let mut answer = String::new();
+            if let Ok(mut stream) = TcpStream::connect(&operators) {
+                let written = stream.write_all(line.as_bytes());
+                let _ = written.and_then(|()| stream.read_to_string(&mut answer));
+            }
+            if answer.starts_with("ACK") || answer.contains(&format!("has version {}", done + 1)) {
+                done += 1;
+            }
+        }
+        done
+    })
+}
+
 /// The leader is killed while changes are under way: each holds whole at all nodes that live, and at the killed one once it
 /// is back. What was agreed is acted on: a worker out of service gets nothing more.
 #[test]
-fn the_leader_is_killed_mid_change() {
+fn changes_hold_when_the_leader_is_killed_amid_them() {
     let mut fleet = Cluster::start(ClusterOptions::default());
     agree(&fleet, &[4], "workers/out", 0, r#"{"out":["w1"]}"#);
     for number in 1..=5 {
@@ -79,27 +100,7 @@
     let others: Vec<usize> = (1..=5).filter(|n| *n != leader).collect();
     let stop = Arc::new(AtomicBool::new(false));
     let operators = fleet.nodes[4].admin_address.clone();
-    let changer = std::thread::spawn({
-        let stop = stop.clone();
-        move || {
-            let mut done = 0;
-            while !stop.load(Ordering::SeqCst) {
-                let body = format!(r#"{{"rates":{{"per_s":{{"au":{}}}}}}}"#, 1000 + done);
-                let line = change("settings/rates", done, &body) + "\n";
-                let mut answer = String::new();
-                if let Ok(mut stream) = TcpStream::connect(&operators) {
-                    let said = stream.write_all(line.as_bytes());
-                    let _ = said.and_then(|()| stream.read_to_string(&mut answer));
-                }
-                if answer.starts_with("ACK")
-                    || answer.contains(&format!("has version {}", done + 1))
-                {
-                    done += 1;
-                }
-            }
-            done
-        }
-    });
+    let changer = spawn_changer(operators, stop.clone());
     fleet.wait_for_records(5, "the first changes", |text| {
         text.contains("settings/rates ")
     });
@@ -125,6 +126,36 @@
     );
 }
 
+/// Sends jobs that need a seat, one after the other, and counts those that are served.
+fn spawn_client(
+    address: String,
+    name: String,
+    stop: Arc<AtomicBool>,
+    served: Arc<AtomicUsize>,
+) -> JoinHandle<()> {
+    std::thread::spawn(move || {
+        let mut number = 0;
+        while !stop.load(Ordering::SeqCst) {
+            number += 1;
+            if job(&address, &format!("{name}-{number}"), "licence=codec") == Some(200) {
+                served.fetch_add(1, Ordering::SeqCst);
+            }
+            std::thread::sleep(Duration::from_millis(3));
+        }
+    })
+}
+
+/// Waits until these nodes together have served so many jobs more.
+fn wait_until_served(served: &[Arc<AtomicUsize>], nodes: &[usize], more: usize) {
+    let counts = || nodes.iter().map(|n| served[*n].load(Ordering::SeqCst));
+    let before: usize = counts().sum();
+    let deadline = Instant::now() + Duration::from_secs(60);
+    while counts().sum::<usize>() < before + more {
+        assert!(Instant::now() < deadline, "nodes {nodes:?} serve nothing");
+        std::thread::sleep(Duration::from_millis(5));
+    }
+}
+
 /// Jobs of a licence at five nodes, of which one is killed and one stands still for longer than its lease: there are
 /// never more of its calls at the workers than there are seats, counted at the workers themselves.
 #[test]
@@ -153,56 +184,31 @@
     let stop = Arc::new(AtomicBool::new(false));
     let served: Vec<Arc<AtomicUsize>> = (0..5).map(|_| Arc::default()).collect();
     let mut clients = Vec::new();
-    let addresses: Vec<String> = fleet
-        .nodes
-        .iter()
-        .map(|node| node.client_address.clone())
-        .collect();
-    for (n, consumers) in addresses.into_iter().enumerate() {
+    for (n, node) in fleet.nodes.iter().enumerate() {
         for c in 0..3 {
-            let (stop, served, consumers) = (stop.clone(), served[n].clone(), consumers.clone());
-            clients.push(std::thread::spawn(move || {
-                let mut i = 0;
-                while !stop.load(Ordering::SeqCst) {
-                    i += 1;
-                    if job(&consumers, &format!("s{n}-{c}-{i}"), "licence=codec") == Some(200) {
-                        served.fetch_add(1, Ordering::SeqCst);
-                    }
-                    std::thread::sleep(Duration::from_millis(3));
-                }
-            }));
+            let (stop, served) = (stop.clone(), served[n].clone());
+            let name = format!("s{n}-{c}");
+            clients.push(spawn_client(
+                node.client_address.clone(),
+                name,
+                stop,
+                served,
+            ));
         }
     }
-    let until_served = |which: &[usize], more: usize| {
-        let sum = || {
-            which
-                .iter()
-                .map(|n| served[*n].load(Ordering::SeqCst))
-                .sum::<usize>()
-        };
-        let from = sum();
-        let until = std::time::Instant::now() + Duration::from_secs(60);
-        while sum() < from + more {
-            assert!(
-                std::time::Instant::now() < until,
-                "nodes {which:?} serve nothing"
-            );
-            std::thread::sleep(Duration::from_millis(5));
-        }
-    };
-    until_served(&[0, 1, 2, 3, 4], 30);
+    wait_until_served(&served, &[0, 1, 2, 3, 4], 30);
     // An observer dies with its seats, and another one stands still for longer than its lease.
     fleet.kill(5);
     fleet.signal(4, "-STOP");
-    until_served(&[0, 1, 2], 40);
+    wait_until_served(&served, &[0, 1, 2], 40);
     std::thread::sleep(Duration::from_millis(1500));
     fleet.signal(4, "-CONT");
-    until_served(&[0, 1, 2, 3], 20);
+    wait_until_served(&served, &[0, 1, 2, 3], 20);
     // The leader dies: what the others hold they go on with, and a new one sees to the seats of the dead.
     let leader = fleet.leader();
     fleet.kill(leader);
     let live: Vec<usize> = (0..4).filter(|n| n + 1 != leader).collect();
-    until_served(&live, 60);
+    wait_until_served(&served, &live, 60);
     // The dead nodes' seats are back: those that live can have all four.
     stop.store(true, Ordering::SeqCst);
     clients
@@ -215,10 +221,10 @@
     );
 }
 
-/// A voter hears the others and is not heard, then the other way round; then it is delayed. Changes go on, and it comes
+/// A voter receives from the others and reaches none, then the other way round; then it is delayed. Changes go on, and it comes
 /// back to what was agreed.
 #[test]
-fn a_voter_behind_cut_cables_comes_back() {
+fn a_voter_behind_cut_links_catches_up() {
     let fleet = Cluster::start(ClusterOptions::default());
     let leader = fleet.leader();
     let others: Vec<usize> = (1..=5).filter(|n| *n != leader).collect();
@@ -258,7 +264,7 @@
 /// All voters are killed, and started again: what was agreed is there. One of them has lost its store, and does not vote
 /// under its old number.
 #[test]
-fn a_voter_with_amnesia_does_not_vote() {
+fn a_voter_that_lost_its_store_does_not_vote() {
     let mut fleet = Cluster::start(ClusterOptions::default());
     agree(&fleet, &[4], "seats/codec", 0, POOL);
     fleet.wait_for_records(5, "the pool", sees("seats/codec", 1));
@@ -337,11 +343,11 @@
     let mut version = 1;
     let body = |n: u64| format!(r#"{{"rates":{{"per_s":{{"au":{}.5}}}}}}"#, n % 50);
     let others: Vec<usize> = (4..=5).collect();
-    let until = std::time::Instant::now() + Duration::from_secs(60);
+    let deadline = Instant::now() + Duration::from_secs(60);
     while !fleet.logged(leader, "nothing is promised until it can be written") {
         agree(&fleet, &others, "settings/rates", version, &body(version));
         version += 1;
-        assert!(std::time::Instant::now() < until, "its disk never filled");
+        assert!(Instant::now() < deadline, "its disk never filled");
     }
     for _ in 0..3 {
         agree(&fleet, &others, "settings/rates", version, &body(version));
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -3,10 +3,10 @@
 //! Figures that move (times, addresses, folders) are replaced by names in angle brackets; names, order and structure of
 //! what is written are kept to the byte. A snapshot is a promise to those outside: it changes only with the form itself.
 
+#[path = "golden/clients.rs"]
+mod clients;
 #[path = "golden/command_line.rs"]
 mod command_line;
-#[path = "golden/consumers.rs"]
-mod consumers;
 #[path = "golden/node_file.rs"]
 mod node_file;
 #[path = "golden/operator_file.rs"]
--- a/crates/node/tests/golden/consumers.rs
+++ b/crates/node/tests/golden/clients.rs
@@ -1,4 +1,4 @@
-//! What consumers get: `/ready`, results, and every answer of the node's own, as bytes.
+//! What clients get: `/ready`, results, and every answer of the node's own, as bytes.
 
 use crate::assert_golden;
 use crate::support::{listener, member, node_file, Connection, Node};
@@ -32,39 +32,40 @@
 /// An answer; the time after which a refused job may come back depends on the load.
 fn answer(bytes: &[u8]) -> String {
     let text = text::bytes(bytes);
-    match text.starts_with("HTTP/1.1 429 ") {
-        true => without_numbers_after(&text, "Retry-After: ", "<seconds>"),
-        false => text,
+    if text.starts_with("HTTP/1.1 429 ") {
+        without_numbers_after(&text, "Retry-After: ", "<seconds>")
+    } else {
+        text
     }
 }
 
 struct Scene {
     node: Node,
     worker: TcpListener,
-    _directory: TcpListener,
+    _discovery: TcpListener,
 }
 
 impl Scene {
     /// A node with one worker, which the test plays.
     fn start(change: impl FnOnce(&mut serde_json::Value)) -> Self {
-        let (directory, directory_address) = listener();
+        let (discovery, discovery_address) = listener();
         let (worker, worker_address): (_, SocketAddr) = listener();
-        let mut file = node_file(directory_address, &[member("w1", worker_address)]);
+        let mut file = node_file(discovery_address, &[member("w1", worker_address)]);
         change(&mut file);
         Scene {
             node: Node::start(&file, ""),
             worker,
-            _directory: directory,
+            _discovery: discovery,
         }
     }
 
-    fn consumer(&self) -> Connection {
-        Connection::to(&self.node.consumers)
+    fn client(&self) -> Connection {
+        Connection::to(&self.node.client_address)
     }
 
     /// Asks on a connection of its own.
     fn ask(&self, request: impl AsRef<[u8]>) -> String {
-        answer(&self.consumer().ask(request))
+        answer(&self.client().ask(request))
     }
 }
 
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn answers_of_its_own() {
+fn requests_that_need_no_worker_are_answered_by_the_node() {
     let scene = Scene::start(|_| ());
     let mut golden = String::new();
     let ready = [
@@ -104,6 +105,7 @@
 }
 
 /// Requests that are answered without a worker.
+#[expect(clippy::too_many_lines, reason = "a table of requests")]
 fn refused_requests() -> Vec<(&'static str, String)> {
     let start = "POST /x HTTP/1.1";
     let (id, class, tenant) = ("X-Txn: t-1", "X-Lane: preview", "X-Org: au");
@@ -206,11 +208,11 @@
 
 /// Jobs that a worker is asked for, and how each comes back.
 #[test]
-fn answers_of_jobs() {
+fn jobs_come_back_with_the_answers_of_their_workers() {
     let scene = Scene::start(|_| ());
-    let mut consumer = scene.consumer();
+    let mut client = scene.client();
     let mut golden = String::new();
-    consumer.send(job("/served", "t-1", ""));
+    client.send(job("/served", "t-1", ""));
     let mut worker = Connection::accepted(&scene.worker);
     worker.message();
     // The first is open: its id is taken.
@@ -218,55 +220,55 @@
     worker.send(worker_says(
         "{\"id\":\"t-1\",\"state\":\"done\",\"result\":\"made\"}\n",
     ));
-    golden += &chapter("served", &answer(&consumer.message()));
-    consumer.send(job("/empty", "t-2", "Connection: close\r\n"));
+    golden += &chapter("served", &answer(&client.message()));
+    client.send(job("/empty", "t-2", "Connection: close\r\n"));
     worker.message();
     worker.send(worker_says(
         "{\"id\":\"t-2\",\"state\":\"done\",\"result\":\"\"}\n",
     ));
-    golden += &chapter("served, empty, and close", &answer(&consumer.rest()));
-    let mut consumer = scene.consumer();
-    consumer.send(keyed_job("/away", "t-3"));
+    golden += &chapter("served, empty, and close", &answer(&client.rest()));
+    let mut client = scene.client();
+    client.send(keyed_job("/away", "t-3"));
     worker.message();
     worker.send("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nX-Pressure: {\"x0\":2}\r\nContent-Length: 0\r\n\r\n");
-    golden += &chapter("turned away", &answer(&consumer.message()));
-    consumer.send(keyed_job("/failed", "t-4"));
+    golden += &chapter("turned away", &answer(&client.message()));
+    client.send(keyed_job("/failed", "t-4"));
     worker.message();
     worker.send(worker_says("{\"id\":\"t-4\",\"state\":\"failed\"}\n"));
-    golden += &chapter("failed", &answer(&consumer.message()));
+    golden += &chapter("failed", &answer(&client.message()));
     assert_golden("consumers_jobs", &golden);
 }
 
 /// The node invites the body of a request that waits for it.
 #[test]
-fn invites_a_body() {
+fn a_client_that_waits_is_invited_to_send_its_body() {
     let scene = Scene::start(|_| ());
-    let mut consumer = scene.consumer();
-    consumer.send("PUT /x HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n");
-    let mut golden = chapter("interim", &answer(&consumer.message()));
-    golden += &chapter("final", &answer(&consumer.ask("ab")));
+    let mut client = scene.client();
+    client.send("PUT /x HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n");
+    let mut golden = chapter("interim", &answer(&client.message()));
+    golden += &chapter("final", &answer(&client.ask("ab")));
     assert_golden("consumers_continue", &golden);
 }
 
 /// A request that does not come to its end.
 #[test]
-fn too_slow() {
+fn a_request_that_does_not_end_is_answered_after_a_timeout() {
     let scene = Scene::start(|_| ());
-    let mut half_head = scene.consumer();
+    let mut half_head = scene.client();
     half_head.send("POST /x HTTP/1.1\r\nX-Txn: t");
-    let mut half_body = scene.consumer();
+    let mut half_body = scene.client();
     half_body.send(job("/x", "t-1", "Content-Length: 9\r\n") + "x");
     let mut golden = chapter("half a head", &answer(&half_head.rest()));
     golden += &chapter("half a body", &answer(&half_body.rest()));
-    golden += &chapter("nothing", &answer(&scene.consumer().rest()));
+    golden += &chapter("nothing", &answer(&scene.client().rest()));
     assert_golden("consumers_too_slow", &golden);
 }
 
 /// More jobs than may be open, and more bodies than there is memory for.
 #[test]
-fn no_room() {
+fn jobs_and_bodies_beyond_the_limits_are_rejected() {
     let scene = Scene::start(|file| file["settings"]["bounds"]["max-open"] = 1.into());
-    let mut first = scene.consumer();
+    let mut first = scene.client();
     first.send(job("/first", "t-1", ""));
     let mut worker = Connection::accepted(&scene.worker);
     worker.message();
@@ -275,12 +277,12 @@
     let large = "POST /x HTTP/1.1\r\nContent-Length: 65536\r\nExpect: 100-continue\r\n\r\n";
     let mut held = Vec::new();
     for _ in 0..64 {
-        let mut consumer = scene.consumer();
-        consumer.send(large);
-        consumer.message();
-        held.push(consumer);
+        let mut client = scene.client();
+        client.send(large);
+        client.message();
+        held.push(client);
     }
-    let mut last = scene.consumer();
+    let mut last = scene.client();
     last.send(large);
     golden += &chapter("too many bodies", &answer(&last.rest()));
     assert_golden("consumers_no_room", &golden);
@@ -288,14 +290,14 @@
 
 /// Before a worker is known, and after SIGTERM.
 #[test]
-fn not_ready() {
-    let (_directory, directory) = listener();
-    let node = Node::start(&node_file(directory, &[]), "");
+fn a_node_without_workers_or_in_shutdown_is_not_ready() {
+    let (_discovery, discovery) = listener();
+    let node = Node::start(&node_file(discovery, &[]), "");
     let ready = "GET /ready HTTP/1.1\r\n\r\n";
-    let mut consumer = Connection::to(&node.consumers);
-    let mut golden = chapter("no worker: GET /ready", &answer(&consumer.ask(ready)));
+    let mut client = Connection::to(&node.client_address);
+    let mut golden = chapter("no worker: GET /ready", &answer(&client.ask(ready)));
     let mut scene = Scene::start(|_| ());
-    let mut open = scene.consumer();
+    let mut open = scene.client();
     open.ask(ready);
     scene.node.terminate();
     scene.node.until_logged("ending");
@@ -305,14 +307,14 @@
 
 /// Requests that come in one go are answered in their order.
 #[test]
-fn one_after_the_other() {
+fn pipelined_requests_are_answered_in_order() {
     let scene = Scene::start(|_| ());
-    let mut consumer = scene.consumer();
+    let mut client = scene.client();
     let first = "GET /ready HTTP/1.1\r\n\r\n";
     let last = "GET /none HTTP/1.1\r\nConnection: close\r\n\r\n";
-    consumer
+    client
         .0
         .write_all(format!("{first}{first}{last}").as_bytes())
         .expect("sent");
-    assert_golden("consumers_pipelined", &answer(&consumer.rest()));
+    assert_golden("consumers_pipelined", &answer(&client.rest()));
 }
--- a/crates/node/tests/golden/command_line.rs
+++ b/crates/node/tests/golden/command_line.rs
@@ -131,9 +131,9 @@
 /// `members` prints what the operators' address says.
 #[test]
 fn members() {
-    let (_directory, directory) = listener();
+    let (_discovery, discovery) = listener();
     let (_worker, worker) = listener();
-    let node = Node::start(&node_file(directory, &[member("w1", worker)]), "");
+    let node = Node::start(&node_file(discovery, &[member("w1", worker)]), "");
     let mut golden = chapter(
         "members OPS",
         &run_alone(&format!("members {}", node.operators)),
@@ -158,7 +158,8 @@
 
 /// Jobs, sessions and what a node tells of itself, one command after the other.
 #[test]
-fn against_a_node() {
+#[expect(clippy::too_many_lines, reason = "a table of command lines")]
+fn commands_print_what_a_node_answers() {
     let lab = TestEnvironment::start(EnvironmentOptions {
         workers: 1,
         ..EnvironmentOptions::default()
--- a/crates/node/tests/golden/operators.rs
+++ b/crates/node/tests/golden/operators.rs
@@ -25,11 +25,11 @@
 
 /// A node without an agreement: all calls, and what is none.
 #[test]
-fn calls() {
-    let (_directory, directory) = listener();
+fn each_call_has_its_answer() {
+    let (_discovery, discovery) = listener();
     let (_one, one) = listener();
     let (_two, two) = listener();
-    let file = node_file(directory, &[member("w1", one), member("w2", two)]);
+    let file = node_file(discovery, &[member("w1", one), member("w2", two)]);
     let node = Node::start(&file, "");
     let longest = [b"set-down ".to_vec(), vec![b'w'; 503], b"\n".to_vec()].concat();
     let too_long = [b"set-down ".to_vec(), vec![b'w'; 504], b"\n".to_vec()].concat();
@@ -80,15 +80,15 @@
 
 /// A node that knows no worker, and one that ends.
 #[test]
-fn cannot_serve() {
-    let (_directory, directory) = listener();
+fn a_node_without_workers_or_in_shutdown_says_so() {
+    let (_discovery, discovery) = listener();
     let (_one, one) = listener();
-    let node = Node::start(&node_file(directory, &[]), "");
+    let node = Node::start(&node_file(discovery, &[]), "");
     let mut golden = String::new();
     for bytes in [&b"check\n"[..], b"vars\n", b"members\n"] {
         golden += &chapter(&format!("no worker: {}", title(bytes)), &call(&node, bytes));
     }
-    let mut node = Node::start(&node_file(directory, &[member("w1", one)]), "");
+    let mut node = Node::start(&node_file(discovery, &[member("w1", one)]), "");
     node.terminate();
     node.until_logged("ending");
     golden += &chapter("ending: check", &call(&node, b"check\n"));
@@ -97,15 +97,15 @@
 
 /// Static workers are shown with the source that names them.
 #[test]
-fn static_workers() {
-    let (_directory, directory) = listener();
+fn static_workers_are_shown_with_their_source() {
+    let (_discovery, discovery) = listener();
     let (_one, one) = listener();
     let (_two, two) = listener();
     let site = format!(
         "[[static]]\nid = \"w1\"\naddress = \"{one}\"\nzone = \"east\"\nkind = \"std\"\n\
          [[static]]\nid = \"s1\"\naddress = \"{two}\"\nzone = \"nowhere\"\nkind = \"none\"\n"
     );
-    let node = Node::start(&node_file(directory, &[member("w1", one)]), &site);
+    let node = Node::start(&node_file(discovery, &[member("w1", one)]), &site);
     let golden = call(&node, b"members\n");
     let golden = golden
         .replace(&one.to_string(), "<w1>")
@@ -131,7 +131,8 @@
 
 /// Changes of the records: what holds, and what is refused.
 #[test]
-fn records_and_changes() {
+#[expect(clippy::too_many_lines, reason = "a table of changes")]
+fn changes_of_records_are_accepted_or_refused() {
     let fleet = Cluster::start(ClusterOptions {
         nodes: 4,
         workers: 1,
--- a/crates/node/tests/golden/outgoing.rs
+++ b/crates/node/tests/golden/outgoing.rs
@@ -1,4 +1,4 @@
-//! The bytes that the node writes to render workers, to the directory and to a Eureka registry.
+//! The bytes that the node writes to render workers, to discovery and to a Eureka registry.
 
 use crate::assert_golden;
 use crate::support::{listener, member, node_file, Connection, Node};
@@ -9,9 +9,9 @@
 /// Calls to a worker: every field that is passed on, and the body by its length however it came.
 #[test]
 fn calls_to_a_worker() {
-    let (_directory, directory) = listener();
+    let (_discovery, discovery) = listener();
     let (worker_listener, worker_address) = listener();
-    let file = node_file(directory, &[member("w1", worker_address)]);
+    let file = node_file(discovery, &[member("w1", worker_address)]);
     let node = Node::start(&file, "");
     let common = "X-Lane: preview\r\nX-Org: au\r\nX-Remaining-Ms: 7000\r\n";
     let requests = [
@@ -32,11 +32,11 @@
              X-Labels: slots=2,memory=1\r\nX-Other: dropped\r\nIdempotency-Key: k-5\r\n\r\n"
         ),
     ];
-    let mut consumer = Connection::to(&node.consumers);
+    let mut client = Connection::to(&node.client_address);
     let mut worker = None;
     let mut golden = String::new();
     for (at, request) in requests.iter().enumerate() {
-        consumer.send(request);
+        client.send(request);
         let worker = worker.get_or_insert_with(|| Connection::accepted(&worker_listener));
         let call = text::bytes(&worker.message());
         let call = without_numbers_after(&call, "X-Remaining-Ms: ", "<milliseconds>");
@@ -50,7 +50,7 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n0\r\n\r\n",
             line.len()
         ));
-        consumer.message();
+        client.message();
     }
     assert_golden("outgoing_calls", &golden);
 }
@@ -60,14 +60,14 @@
 fn load_probe() {
     let mut golden = String::new();
     for how in ["pull", ""] {
-        let (_directory, directory) = listener();
+        let (_discovery, discovery) = listener();
         let (worker_listener, worker_address) = listener();
-        let mut file = node_file(directory, &[member("w1", worker_address)]);
+        let mut file = node_file(discovery, &[member("w1", worker_address)]);
         file["settings"]["stats"]["how"] = how.into();
         file["settings"]["bounds"]["probes"] = true.into();
         let node = Node::start(&file, "");
-        let mut consumer = Connection::to(&node.consumers);
-        consumer.send("POST /x HTTP/1.1\r\nX-Txn: t-1\r\nX-Lane: preview\r\nX-Org: au\r\nX-Remaining-Ms: 7000\r\n\r\n");
+        let mut client = Connection::to(&node.client_address);
+        client.send("POST /x HTTP/1.1\r\nX-Txn: t-1\r\nX-Lane: preview\r\nX-Org: au\r\nX-Remaining-Ms: 7000\r\n\r\n");
         let probe = text::bytes(&Connection::accepted(&worker_listener).message());
         let probe = probe.replace(&worker_address.to_string(), "<w1>");
         golden += &chapter(&format!("stats.how = \"{how}\""), &probe);
@@ -80,11 +80,11 @@
 fn health_probe() {
     let mut golden = String::new();
     for how in ["pull", ""] {
-        let (_directory, directory) = listener();
+        let (_discovery, discovery) = listener();
         let (worker_listener, worker_address) = listener();
         let registry = EurekaStub::start();
         registry.register("RENDER", "w1", worker_address);
-        let mut file = node_file(directory, &[]);
+        let mut file = node_file(discovery, &[]);
         file["settings"]["stats"]["how"] = how.into();
         let url = registry.url();
         let site = format!(
@@ -103,21 +103,21 @@
     assert_golden("outgoing_health_probe", &golden);
 }
 
-/// The questions to the directory: without a list, and watching from a revision.
+/// The questions to the discovery: without a list, and watching from a revision.
 #[test]
-fn questions_to_the_directory() {
-    let (directory_listener, directory) = listener();
+fn polls_of_discovery() {
+    let (discovery_listener, discovery) = listener();
     let mut golden = String::new();
-    let mut file = node_file(directory, &[]);
+    let mut file = node_file(discovery, &[]);
     file.as_object_mut().expect("an object").remove("known");
     let mut question = |connection: &mut Connection, title: &str| {
         let asked = text::bytes(&connection.message());
         let asked = without_numbers_after(&asked, "wait_ms=", "<milliseconds>");
-        let asked = asked.replace(&directory.to_string(), "<directory>");
+        let asked = asked.replace(&discovery.to_string(), "<directory>");
         golden += &chapter(title, &asked);
     };
     let node = Node::start(&file, "");
-    let mut connection = Connection::accepted(&directory_listener);
+    let mut connection = Connection::accepted(&discovery_listener);
     question(&mut connection, "nothing is known");
     let list = r#"{"revision":4,"complete":true,"members":[]}"#;
     let answer = format!(
@@ -136,7 +136,7 @@
     drop(node);
     file["known"] = serde_json::json!({"revision": 1, "complete": true, "members": []});
     let _node = Node::start(&file, "");
-    let mut connection = Connection::accepted(&directory_listener);
+    let mut connection = Connection::accepted(&discovery_listener);
     question(&mut connection, "revision 1 is in the file");
     assert_golden("outgoing_directory", &golden);
 }
@@ -154,12 +154,12 @@
 fn questions_to_a_registry() {
     let mut golden = String::new();
     for form in ["json", "xml"] {
-        let (_directory, directory) = listener();
+        let (_discovery, discovery) = listener();
         let (registry, registry_address) = listener();
         let url = format!("http://{registry_address}/eureka");
         let section = format!("[eureka]\nurls = [\"{url}\"]\npoll_s = 1\nform = \"{form}\"\n");
         let entry = "[eureka.register]\napp = \"MARBLEDECK\"\nid = \"n0\"\naddress = \"127.0.0.1:8000\"\nrenew_s = 1\n";
-        let node = Node::start(&node_file(directory, &[]), &format!("{section}{entry}"));
+        let node = Node::start(&node_file(discovery, &[]), &format!("{section}{entry}"));
         // The question and the entry come side by side, in any order.
         let empty = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n";
         let mut asked = Vec::new();
--- a/crates/node/tests/golden/process.rs
+++ b/crates/node/tests/golden/process.rs
@@ -8,9 +8,9 @@
 /// The log of a node from its start to its end.
 #[test]
 fn log() {
-    let (_directory, directory) = listener();
+    let (_discovery, discovery) = listener();
     let (_worker, worker) = listener();
-    let file = node_file(directory, &[member("w1", worker)]);
+    let file = node_file(discovery, &[member("w1", worker)]);
     let mut node = Node::start(&file, "[submission]\nlisten = \"127.0.0.1:0\"\n");
     node.terminate();
     let status = node.ended();
@@ -19,7 +19,7 @@
     let (_, rest) = lines.split_once("takes submissions at ").expect("logged");
     let submitters = rest.lines().next().expect("an address");
     let lines = lines
-        .replace(&node.consumers, "<consumers>")
+        .replace(&node.client_address, "<consumers>")
         .replace(&node.operators, "<operators>")
         .replace(submitters, "<submitters>");
     assert_golden("process_log", &format!("{lines}status: {status}\n"));
@@ -47,12 +47,13 @@
 
 /// Nodes that do not start: the message and the exit status.
 #[test]
-fn cannot_start() {
+#[expect(clippy::too_many_lines, reason = "a table of configurations")]
+fn a_faulty_configuration_is_named_and_ends_the_start() {
     let folder = Folder::new();
-    let (_directory, directory) = listener();
+    let (_discovery, discovery) = listener();
     let (_taken, taken) = listener();
     let taken = taken.to_string();
-    let right = node_file(directory, &[]);
+    let right = node_file(discovery, &[]);
     let changed = |pointer: &str, value: Value| {
         let mut file = right.clone();
         *file.pointer_mut(pointer).expect("a key") = value;
--- a/crates/node/tests/golden/support.rs
+++ b/crates/node/tests/golden/support.rs
@@ -79,16 +79,16 @@
     (listener, address)
 }
 
-/// A worker as the directory writes it.
+/// A worker as discovery writes it.
 pub fn member(id: &str, address: SocketAddr) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "east", "flavor": "std", "cell": 0, "phase": "up",
         "up_since_ms": 0})
 }
 
 /// The file at `LB_CONFIG` for a node that knows these workers.
-pub fn node_file(directory: SocketAddr, members: &[Value]) -> Value {
+pub fn node_file(discovery: SocketAddr, members: &[Value]) -> Value {
     json!({
-        "name": "n0", "seed": "7", "discovery": directory.to_string(), "listen": "127.0.0.1:0", "ops": "127.0.0.1:0",
+        "name": "n0", "seed": "7", "discovery": discovery.to_string(), "listen": "127.0.0.1:0", "ops": "127.0.0.1:0",
         "limits": {"memory_mb": 192, "sockets": 1024},
         "known": {"revision": 1, "complete": true, "members": members},
         "settings": {
@@ -116,7 +116,7 @@
     /// The lines of the log that have been read.
     pub logged: Vec<String>,
     _folder: Folder,
-    pub consumers: String,
+    pub client_address: String,
     pub operators: String,
 }
 
@@ -145,11 +145,11 @@
             log,
             logged: Vec::new(),
             _folder: folder,
-            consumers: String::new(),
+            client_address: String::new(),
             operators: String::new(),
         };
         node.operators = node.until_logged("answers operators at ");
-        node.consumers = node.until_logged("serves at ");
+        node.client_address = node.until_logged("serves at ");
         node
     }
 
--- a/crates/node/tests/golden_handover.rs
+++ b/crates/node/tests/golden_handover.rs
@@ -23,7 +23,7 @@
 const DIGITS_OF_A_TIME: usize = 13;
 /// The length of what is handed on comes first: eight hexadecimal digits and a line's end.
 const HEAD: usize = 9;
-/// The listeners that a node hands on: for consumers and for submitters.
+/// The listeners that a node hands on: for clients and for submitters.
 const LISTENERS: usize = 2;
 
 /// The text with each time replaced; what stands for no time stays.
@@ -154,7 +154,7 @@
 
 /// What a running process tells one that comes to replace it.
 #[test]
-fn told_to_a_successor() {
+fn a_node_sends_its_state_to_its_successor() {
     let mut lab = TestEnvironment::start(EnvironmentOptions::default());
     for worker in &lab.workers {
         lab.wait_for_member(&worker.id, |line| {
@@ -206,7 +206,7 @@
     assert_snapshot!("told_to_a_successor", text);
 }
 
-/// The predecessor's side: hands on its state, hears the parties of the new process, and tells it these lines.
+/// The predecessor's side: hands on its state, receives the services of the new process, and sends it these lines.
 fn precede(listener: &UnixListener, listeners: &[OwnedFd], state: &str, lines: &[&str]) -> String {
     let (stream, _) = listener.accept().expect("the new process comes");
     let mut link = Link::new(stream);
@@ -217,9 +217,9 @@
         link.say(line);
     }
     // That it serves and that it has taken all, in either order.
-    let mut told = [link.next(), link.next()];
-    told.sort();
-    for line in told {
+    let mut lines = [link.next(), link.next()];
+    lines.sort();
+    for line in lines {
         let _ = writeln!(text, "< {line}");
     }
     text
@@ -227,7 +227,7 @@
 
 /// What a process makes of the golden words of the one that it replaces.
 #[test]
-fn heard_by_a_successor() {
+fn a_successor_takes_over_the_state_of_its_predecessor() {
     let mut lab = TestEnvironment::start(EnvironmentOptions::default());
     // What the running process hands on is handed on once more, by the test.
     let mut link = Link::new(UnixStream::connect(path(&lab)).expect("the node listens"));
@@ -262,7 +262,7 @@
     ];
     let predecessor = std::thread::spawn(move || precede(&listener, &listeners, &state, &lines));
     lab.crash_and_restart();
-    let said = predecessor.join().expect("it has heard all");
+    let said = predecessor.join().expect("it has received all");
     let mut text = settled(&lab, &said);
     let mut submitter = Submitter::connect(&lab);
     for request in [
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Far longer than anything takes; only a failure waits for so long.
-const PATIENCE: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The core of one of 300 nodes with so many workers, which probes four of them before it sends.
 fn core(workers: u64) -> Core {
@@ -129,17 +129,17 @@
     assert_eq!(attempted_worker(&mut core), Some(workers[1]));
 }
 
-/// The other nodes, all played by one socket, so that one of them keeps the only worker.
+/// The other nodes, all played by one socket, so that one of them owns the only worker.
 const OTHERS: usize = 40;
 
 fn run_a_job(lab: &TestEnvironment) {
-    let mut consumer = TcpStream::connect(&lab.client_address).expect("the node takes consumers");
-    consumer.set_read_timeout(Some(PATIENCE)).expect("set");
+    let mut client = TcpStream::connect(&lab.client_address).expect("the node takes clients");
+    client.set_read_timeout(Some(READ_TIMEOUT)).expect("set");
     let job = "POST /api HTTP/1.1\r\nHost: n\r\nX-Txn: 00000000000000a1\r\nX-Lane: preview\r\nX-Org: au\r\n\
                X-Remaining-Ms: 7000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    consumer.write_all(job.as_bytes()).expect("written");
+    client.write_all(job.as_bytes()).expect("written");
     let mut answer = String::new();
-    consumer.read_to_string(&mut answer).expect("answered");
+    client.read_to_string(&mut answer).expect("answered");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
@@ -152,23 +152,23 @@
     })
 }
 
-/// The keeper is told of a call and of its end, and what a stranger or a liar sends does no harm.
+/// The owner of a worker is notified of an attempt and of its end, and what a stranger or a faulty peer sends does no harm.
 #[test]
-fn the_keeper_is_told_of_calls_and_of_their_end() {
+fn the_owner_is_notified_of_attempts_and_of_their_end() {
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    peer.set_read_timeout(Some(PATIENCE)).expect("set");
+    peer.set_read_timeout(Some(READ_TIMEOUT)).expect("set");
     let lab = lab("[peers]\nshare = true", &peer);
-    let word = short_id(worker_id(&lab.workers[0].id));
-    assert_ne!(owner_of(word, OTHERS + 1), 0, "the node keeps it itself");
+    let short = short_id(worker_id(&lab.workers[0].id));
+    assert_ne!(owner_of(short, OTHERS + 1), 0, "the node owns it itself");
     run_a_job(&lab);
     let mut seen = Vec::new();
     let mut bytes = [0; 300];
     while seen.last() != Some(&0) {
-        let (len, node) = peer.recv_from(&mut bytes).expect("told");
+        let (len, node) = peer.recv_from(&mut bytes).expect("notified");
         match Message::decode(&bytes[..len]) {
             Some(Message::Count {
                 worker, in_flight, ..
-            }) if worker == word => seen.push(in_flight),
+            }) if worker == short => seen.push(in_flight),
             other => panic!("{other:?}"),
         }
         let stranger = UdpSocket::bind("127.0.0.1:0").expect("a free port");
@@ -183,7 +183,7 @@
 
 /// Unless the operators' file says so, nothing is sent to other nodes.
 #[test]
-fn without_leave_nothing_is_sent_to_other_nodes() {
+fn without_gossip_switched_on_nothing_is_sent_to_other_nodes() {
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     peer.set_nonblocking(true).expect("set");
     let mut lab = lab("", &peer);
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -1,4 +1,4 @@
-//! Two sites of several nodes each, and jobs that only the other one can run: whatever becomes of the cable between them
+//! Two sites of several nodes each, and jobs that only the other one can run: whatever becomes of the link between them
 //! and of the catalogs, one manifest is one accepted job and has one final state.
 
 use marbledeck_test_support::{Cluster, ClusterOptions, JobBehaviour, LinkState, NetworkLink};
@@ -83,23 +83,27 @@
     panic!("{record} was never set");
 }
 
-fn begun(fleet: &Cluster) -> BTreeMap<String, usize> {
-    let mut begun = BTreeMap::new();
+fn started_jobs(fleet: &Cluster) -> BTreeMap<String, usize> {
+    let mut started = BTreeMap::new();
     for job in fleet.workers[0].started_jobs() {
-        *begun.entry(job.target).or_default() += 1;
+        *started.entry(job.target).or_default() += 1;
     }
-    begun
+    started
 }
 
 #[test]
-fn two_sites_and_a_cut_between_them() {
+#[expect(
+    clippy::too_many_lines,
+    reason = "one run: each step builds on the records and jobs of those before"
+)]
+fn a_job_runs_once_at_one_site_whatever_the_link_loses_and_the_catalogs_say() {
     let (a, b) = (fleet("a"), fleet("b"));
     // Two ways to the second site, by two of its nodes: to a they are two sites, of which one may be asked at a time.
-    let cables = [NetworkLink::start(), NetworkLink::start()];
-    for (cable, node) in cables.iter().zip(&b.nodes[2..]) {
-        cable.set_target(Some(node.submission_address.parse().expect("an address")));
+    let links = [NetworkLink::start(), NetworkLink::start()];
+    for (link, node) in links.iter().zip(&b.nodes[2..]) {
+        link.set_target(Some(node.submission_address.parse().expect("an address")));
     }
-    let [to_b, to_c] = [cables[0].address.to_string(), cables[1].address.to_string()];
+    let [to_b, to_c] = [links[0].address.to_string(), links[1].address.to_string()];
     set(
         &a,
         4,
@@ -124,7 +128,7 @@
         (&json!("DONE"), &json!("made /there")),
         "{there} {ended}"
     );
-    assert_eq!((begun(&a).len(), begun(&b).len()), (1, 1));
+    assert_eq!((started_jobs(&a).len(), started_jobs(&b).len()), (1, 1));
     let nowhere = submitter.run(
         "nowhere",
         json!({"class": "preview", "codecs": ["vvc"], "slots": 9.0}),
@@ -152,17 +156,17 @@
             JobBehaviour::Serve(Duration::from_millis(20), format!("made {}", job.target))
         }
     });
-    cables[0].set_state(LinkState::Open, LinkState::Stalled);
+    links[0].set_state(LinkState::Open, LinkState::Stalled);
     let lost = submitter.run("lost", json!({"class": "preview", "codecs": ["av1"]}));
     assert!(lost["jobId"].is_string(), "{lost}");
     while served.load(Ordering::SeqCst) == 0 {
         std::thread::sleep(Duration::from_millis(5));
     }
     a.wait_for_log_line(4, "a site says nothing; it is asked again");
-    cables[0].reset_connections();
-    cables[0].set_state(LinkState::Open, LinkState::Open);
+    links[0].reset_connections();
+    links[0].set_state(LinkState::Open, LinkState::Open);
     assert_eq!(submitter.wait(&lost)["jobState"], "DONE");
-    assert_eq!(begun(&b).get("/lost"), Some(&1));
+    assert_eq!(started_jobs(&b).get("/lost"), Some(&1));
 
     // The other site's catalog has shrunk while a knows the old one: it refuses with the version that it has, before
     // the job is accepted, and the next is tried. Both are of one site here, so that nobody takes it.
@@ -181,7 +185,7 @@
         shrunk["error"] == "TRY_LATER" || ended["jobState"] == "FAILED",
         "{shrunk} {ended}"
     );
-    assert_eq!(begun(&b).get("/shrunk"), None);
+    assert_eq!(started_jobs(&b).get("/shrunk"), None);
     // Once a knows the new catalog, it says so at once.
     set(&a, 4, "sites/b", 1, &site(&to_b, 2, &["h265"]));
     set(&a, 4, "sites/c", 1, &Value::Null);
@@ -203,13 +207,13 @@
         moved["error"] == "TRY_LATER" || ended["error"] == "TRY_LATER",
         "{moved} {ended}"
     );
-    assert_eq!(begun(&b).get("/moved"), None);
+    assert_eq!(started_jobs(&b).get("/moved"), None);
     set(&a, 4, "sites/b", 2, &site(&to_b, 3, &["h265"]));
     let fits = submitter.run("fits", json!({"class": "preview", "codecs": ["h265"]}));
     assert_eq!(submitter.wait(&fits)["jobState"], "DONE");
 
     // Nothing ran twice, and nothing at both.
-    let (at_a, at_b) = (begun(&a), begun(&b));
+    let (at_a, at_b) = (started_jobs(&a), started_jobs(&b));
     assert!(
         at_a.values().chain(at_b.values()).all(|n| *n == 1),
         "{at_a:?} {at_b:?}"
@@ -219,7 +223,7 @@
 
 /// Two sites that each take the other for the one that fits: a job goes one way, and is not sent back.
 #[test]
-fn two_sites_do_not_hand_a_job_to_and_fro() {
+fn a_forwarded_job_is_not_sent_back() {
     let (a, b) = (fleet("a"), fleet("b"));
     let front = |fleet: &Cluster| fleet.nodes[3].submission_address.clone();
     // Each believes that the other has av1.
@@ -235,5 +239,5 @@
         job["error"] == "TRY_LATER" || ended["error"] == "TRY_LATER",
         "{job} {ended}"
     );
-    assert!(begun(&a).is_empty() && begun(&b).is_empty());
+    assert!(started_jobs(&a).is_empty() && started_jobs(&b).is_empty());
 }
