--- a/crates/node/tests/common/sockets.rs
+++ b/crates/node/tests/common/sockets.rs
@@ -1,4 +1,4 @@
-//! The player's sockets: what stands for clients, workers and the directory.
+//! The player's sockets: what stands for clients, workers and discovery.
 
 use super::script::match_start;
 use super::{Player, STEP_TIMEOUT};
--- a/crates/node/tests/eureka.rs
+++ b/crates/node/tests/eureka.rs
@@ -175,7 +175,7 @@
     }
 }
 
-/// The first registry falls silent: the second is asked, and a drain that it tells is kept.
+/// The first registry falls silent: the second is polled, and a drain that it reports is kept.
 #[test]
 fn a_failover_with_a_drain() {
     let (first, second) = (EurekaStub::start(), EurekaStub::start());
@@ -193,7 +193,7 @@
     assert_eq!(lab.workers[0].started_jobs().len(), before);
 }
 
-/// The same worker in the directory, the registry and by hand: each word against it counts. Static workers are there.
+/// The same worker in discovery, the registry and by hand: each report against it counts. Static workers are there.
 #[test]
 fn several_sources() {
     let registry = EurekaStub::start();
@@ -252,9 +252,9 @@
         registry.override_status(APP, "w3", "OUT_OF_SERVICE");
         lab.wait_for_member("w3", is_out);
         assert!(notified_at.elapsed() < Duration::from_secs(20));
-        let begun = lab.workers[2].started_jobs().len();
+        let started = lab.workers[2].started_jobs().len();
         (0..5).for_each(|n| assert!(run(&lab, &format!("/{n}"))));
-        assert_eq!(lab.workers[2].started_jobs().len(), begun);
+        assert_eq!(lab.workers[2].started_jobs().len(), started);
         registry.override_status(APP, "w3", "UP");
         lab.wait_for_member("w3", is_in);
     }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Several processes of the program that agree on records and share licence seats, while processes die or stand still,
-//! cables break and disks fill up. No verdict hangs on how fast the machine is.
+//! links break and disks fill up. No result depends on how fast the machine is.
 
 use marbledeck_test_support::{Cluster, ClusterOptions, JobBehaviour, LinkState};
 use std::io::{Read, Write};
@@ -249,13 +249,13 @@
     for number in &others {
         fleet.wait_for_records(*number, "the rates", sees("settings/rates", 1));
     }
-    for cables in fleet.nodes.iter().map(|node| &node.voter_links) {
-        for cable in cables {
-            cable.set_state(
+    for links in fleet.nodes.iter().map(|node| &node.voter_links) {
+        for link in links {
+            link.set_state(
                 LinkState::Delayed(Duration::from_millis(10)),
                 LinkState::Delayed(Duration::from_millis(10)),
             );
-            cable.reset_connections();
+            link.reset_connections();
         }
     }
     fleet.wait_for_records(leader, "the rates", sees("settings/rates", 1));
@@ -326,7 +326,7 @@
 }
 
 /// The disks of the leader and then of a follower are full: nothing is promised there, the others go on, and there is room
-/// again without anybody's word.
+/// again without an operator's call.
 #[test]
 fn a_full_disk_takes_a_voter_out_until_there_is_room() {
     let fleet = Cluster::start(ClusterOptions::default());
--- a/crates/node/tests/golden/outgoing.rs
+++ b/crates/node/tests/golden/outgoing.rs
@@ -55,7 +55,7 @@
     assert_golden("outgoing_calls", &golden);
 }
 
-/// Where workers tell their load only when they are asked, a job has the next worker asked.
+/// Where workers report their load only when they are probed, a job has the next worker probed.
 #[test]
 fn load_probe() {
     let mut golden = String::new();
@@ -111,10 +111,10 @@
     let mut file = node_file(discovery, &[]);
     file.as_object_mut().expect("an object").remove("known");
     let mut question = |connection: &mut Connection, title: &str| {
-        let asked = text::bytes(&connection.message());
-        let asked = without_numbers_after(&asked, "wait_ms=", "<milliseconds>");
-        let asked = asked.replace(&discovery.to_string(), "<directory>");
-        golden += &chapter(title, &asked);
+        let request = text::bytes(&connection.message());
+        let request = without_numbers_after(&request, "wait_ms=", "<milliseconds>");
+        let request = request.replace(&discovery.to_string(), "<directory>");
+        golden += &chapter(title, &request);
     };
     let node = Node::start(&file, "");
     let mut connection = Connection::accepted(&discovery_listener);
@@ -142,14 +142,14 @@
 }
 
 /// Reads a question to a registry and answers it.
-fn registry_is_asked(registry: &TcpListener, answer: &str) -> String {
+fn next_registry_request(registry: &TcpListener, answer: &str) -> String {
     let mut connection = Connection::accepted(registry);
-    let asked = text::bytes(&connection.message());
+    let request = text::bytes(&connection.message());
     connection.send(answer);
-    asked
+    request
 }
 
-/// What a Eureka registry is asked for, and the node's own entry there.
+/// The requests to a Eureka registry, and the node's own entry there.
 #[test]
 fn questions_to_a_registry() {
     let mut golden = String::new();
@@ -162,24 +162,24 @@
         let node = Node::start(&node_file(discovery, &[]), &format!("{section}{entry}"));
         // The question and the entry come side by side, in any order.
         let empty = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n";
-        let mut asked = Vec::new();
-        while asked.len() < 3 {
-            let question = registry_is_asked(&registry, empty);
-            if !asked.contains(&question) {
-                asked.push(question);
+        let mut requests = Vec::new();
+        while requests.len() < 3 {
+            let request = next_registry_request(&registry, empty);
+            if !requests.contains(&request) {
+                requests.push(request);
             }
         }
         node.terminate();
-        while !asked.iter().any(|question| question.starts_with("DELETE")) {
-            let question = registry_is_asked(&registry, empty);
-            if !asked.contains(&question) {
-                asked.push(question);
+        while !requests.iter().any(|request| request.starts_with("DELETE")) {
+            let request = next_registry_request(&registry, empty);
+            if !requests.contains(&request) {
+                requests.push(request);
             }
         }
-        asked.sort();
-        for question in asked {
-            let question = question.replace(&registry_address.to_string(), "<registry>");
-            golden += &chapter(form, &question);
+        requests.sort();
+        for request in requests {
+            let request = request.replace(&registry_address.to_string(), "<registry>");
+            golden += &chapter(form, &request);
         }
     }
     assert_golden("outgoing_eureka", &golden);
