--- a/crates/node/tests/golden/command_line.rs
+++ b/crates/node/tests/golden/command_line.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn help() {
+fn help_keeps_its_text() {
     let lines = [
         "--version",
         "--help",
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn completions() {
+fn completions_keep_their_text() {
     for shell in ["bash", "elvish", "fish", "powershell", "zsh"] {
         let output = run_alone(&format!("completions {shell}"));
         assert_golden(&format!("command_line_completions_{shell}"), &output);
@@ -69,7 +69,7 @@
 
 /// Lines that make no sense, and a node that is not there.
 #[test]
-fn refused() {
+fn a_wrong_command_line_is_refused_with_its_reason() {
     let lines = [
         "",
         "jbo",
@@ -130,7 +130,7 @@
 
 /// `members` prints what the operators' address says.
 #[test]
-fn members() {
+fn members_prints_the_workers_of_a_node() {
     let (_discovery, discovery) = listener();
     let (_worker, worker) = listener();
     let node = Node::start(&node_file(discovery, &[member("w1", worker)]), "");
--- a/crates/node/tests/golden/node_file.rs
+++ b/crates/node/tests/golden/node_file.rs
@@ -97,7 +97,7 @@
 
 /// Each key with values of other types, and left out.
 #[test]
-fn each_key() {
+fn each_missing_or_mistyped_key_is_named() {
     let folder = Folder::new();
     let whole = whole();
     let mut all = Vec::new();
@@ -126,7 +126,7 @@
 
 /// Values of the right type that are out of their bounds, or at them, and keys that nobody knows.
 #[test]
-fn values_out_of_bounds() {
+fn values_out_of_bounds_are_refused() {
     let folder = Folder::new();
     let values = [
         ("/limits/sockets", json!(95)),
@@ -186,7 +186,7 @@
 
 /// What the values of files come to, alone and with variables beside them.
 #[test]
-fn values() {
+fn values_are_read_with_their_defaults() {
     let folder = Folder::new();
     let variables = [
         ("LB_NAME", "other"),
--- a/crates/node/tests/golden/operator_file.rs
+++ b/crates/node/tests/golden/operator_file.rs
@@ -248,7 +248,7 @@
 
 /// Each key with another type, and left out; unknown keys; numbers at and beyond their bounds; further values.
 #[test]
-fn each_key() {
+fn each_missing_or_mistyped_key_is_named() {
     let folder = Folder::new();
     let mut golden = format!("whole file -> {}\n", check(&folder, WHOLE));
     let mut add = |title: &str, text: &str| {
@@ -292,7 +292,7 @@
 
 /// Sections that want others, files that are none, and those that the project ships.
 #[test]
-fn whole_files() {
+fn faults_across_sections_are_named() {
     let folder = Folder::new();
     let mut golden = String::new();
     let mut add = |title: &str, text: &str| {
@@ -341,7 +341,7 @@
 
 /// What the values of the whole file, and those of an empty one, come to.
 #[test]
-fn values() {
+fn values_are_read_with_their_defaults() {
     let folder = Folder::new();
     let read =
         |text: &str| OperatorConfig::read(&folder.file("site.toml", text)).expect("it is right");
--- a/crates/node/tests/golden/outgoing.rs
+++ b/crates/node/tests/golden/outgoing.rs
@@ -8,7 +8,7 @@
 
 /// Calls to a worker: every field that is passed on, and the body by its length however it came.
 #[test]
-fn calls_to_a_worker() {
+fn attempts_are_written_to_a_worker_as_http() {
     let (_discovery, discovery) = listener();
     let (worker_listener, worker_address) = listener();
     let file = node_file(discovery, &[member("w1", worker_address)]);
@@ -57,7 +57,7 @@
 
 /// Where workers report their load only when they are probed, a job has the next worker probed.
 #[test]
-fn load_probe() {
+fn a_load_probe_is_written_to_the_next_worker() {
     let mut golden = String::new();
     for how in ["pull", ""] {
         let (_discovery, discovery) = listener();
@@ -77,7 +77,7 @@
 
 /// What asks whether a worker is well, once a registry no longer names it.
 #[test]
-fn health_probe() {
+fn a_health_check_is_written_to_a_worker() {
     let mut golden = String::new();
     for how in ["pull", ""] {
         let (_discovery, discovery) = listener();
@@ -103,9 +103,9 @@
     assert_golden("outgoing_health_probe", &golden);
 }
 
-/// The questions to the discovery: without a list, and watching from a revision.
+/// The polls of discovery: without a list, and watching from a revision.
 #[test]
-fn polls_of_discovery() {
+fn discovery_is_polled_for_the_list_and_then_for_changes() {
     let (discovery_listener, discovery) = listener();
     let mut golden = String::new();
     let mut file = node_file(discovery, &[]);
@@ -151,7 +151,7 @@
 
 /// The requests to a Eureka registry, and the node's own entry there.
 #[test]
-fn questions_to_a_registry() {
+fn a_registry_is_polled_and_sent_the_nodes_own_entry() {
     let mut golden = String::new();
     for form in ["json", "xml"] {
         let (_discovery, discovery) = listener();
--- a/crates/node/tests/golden/process.rs
+++ b/crates/node/tests/golden/process.rs
@@ -7,7 +7,7 @@
 
 /// The log of a node from its start to its end.
 #[test]
-fn log() {
+fn the_log_of_a_life_cycle_keeps_its_lines() {
     let (_discovery, discovery) = listener();
     let (_worker, worker) = listener();
     let file = node_file(discovery, &[member("w1", worker)]);
