--- a/crates/node/tests/golden/command_line.rs
+++ b/crates/node/tests/golden/command_line.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn help() {
+fn help_keeps_its_text() {
     let lines = [
         "--version",
         "--help",
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn completions() {
+fn completions_keep_their_text() {
     for shell in ["bash", "elvish", "fish", "powershell", "zsh"] {
         let output = run_alone(&format!("completions {shell}"));
         assert_golden(&format!("command_line_completions_{shell}"), &output);
@@ -69,7 +69,7 @@
 
 /// Lines that make no sense, and a node that is not there.
 #[test]
-fn refused() {
+fn a_wrong_command_line_is_refused_with_its_reason() {
     let lines = [
         "",
         "jbo",
@@ -130,10 +130,10 @@
 
 /// `members` prints what the operators' address says.
 #[test]
-fn members() {
-    let (_directory, directory) = listener();
+fn members_prints_the_workers_of_a_node() {
+    let (_discovery, discovery) = listener();
     let (_worker, worker) = listener();
-    let node = Node::start(&node_file(directory, &[member("w1", worker)]), "");
+    let node = Node::start(&node_file(discovery, &[member("w1", worker)]), "");
     let mut golden = chapter(
         "members OPS",
         &run_alone(&format!("members {}", node.operators)),
@@ -158,7 +158,8 @@
 
 /// Jobs, sessions and what a node tells of itself, one command after the other.
 #[test]
-fn against_a_node() {
+#[expect(clippy::too_many_lines, reason = "a table of command lines")]
+fn commands_print_what_a_node_answers() {
     let lab = TestEnvironment::start(EnvironmentOptions {
         workers: 1,
         ..EnvironmentOptions::default()
