--- a/crates/test-support/src/bin/submission-bench.rs
+++ b/crates/test-support/src/bin/submission-bench.rs
@@ -206,6 +206,10 @@
 }
 
 /// 64 submitters come back in the same moment, each with 1,024 waits on jobs that have not ended.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one measurement, printed as it is taken"
+)]
 fn reconnects() {
     let lab = lab();
     let mut first = Submitter::connect(&lab.submission_address);
