--- a/crates/dispatcher/src/action.rs
+++ b/crates/dispatcher/src/action.rs
@@ -1,29 +1,30 @@
-//! What a dispatcher asks of its caller.
+//! Actions that a dispatcher requests from its caller.
 
 use crate::{Micros, RequestId, TimerId, WorkerId};
 
-/// Something that the caller is to do.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt. The attempts of a request are numbered from 0 in the order of their sends.
+    /// Send an attempt. The attempts of a request are numbered from 0 in the order in which they are
+    /// sent.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The worker to send it to.
         worker: WorkerId,
-        /// Where given, the attempt's last byte has to leave before this moment.
+        /// If given, the last byte of the attempt must be sent before this time.
         send_before: Option<Micros>,
     },
-    /// Final: reject; trying again does no harm.
+    /// Final answer: reject the request. The client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// The time to come back after.
+        /// After how long the client should retry, if it is told.
         retry_after: Option<Micros>,
     },
-    /// Final: failed, nothing is promised.
+    /// Final answer: fail the request. It may have run, so a retry may run it again.
     Fail(RequestId),
-    /// Give up waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
@@ -32,9 +33,9 @@
     },
     /// Probe a worker.
     Probe(WorkerId),
-    /// Hand back [`Event::TimerExpired`](crate::Event::TimerExpired) at this moment.
+    /// Pass in [`Event::TimerExpired`](crate::Event::TimerExpired) at this time.
     SetTimer {
-        /// When it expires.
+        /// When the timer expires.
         at: Micros,
         /// The timer.
         timer: TimerId,
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher: its state, and which part of the policy handles which event. Nothing is decided
-//! here.
+//! The state of a dispatcher, and the mapping of events to the functions of the policy that handle
+//! them. Holds no policy of its own.
 
 use crate::estimates::ServiceTimes;
 use crate::fleet::Fleet;
@@ -8,32 +8,33 @@
 use crate::{Action, Event, Micros, RequestId, Settings, SettingsError, WorkerId, WorkerListKind};
 use std::collections::HashMap;
 
-/// Decides for one dispatcher.
+/// The decisions and the state of one dispatcher.
 pub struct Dispatcher {
     pub(crate) settings: Settings,
-    /// How many dispatchers share the workers; a process of an upgrade counts as a part of one.
+    /// Number of dispatchers that share the workers. During an upgrade each process of a dispatcher
+    /// counts as one.
     pub(crate) dispatchers: f64,
     pub(crate) random: oorandom::Rand64,
-    /// The global bucket, then one for each tenant.
+    /// The global token bucket, then one for each tenant.
     pub(crate) buckets: Vec<TokenBucket>,
     pub(crate) fleet: Fleet,
-    /// The position of the worker that was probed last.
+    /// Position of the worker that was probed last.
     pub(crate) probe_cursor: usize,
     pub(crate) requests: HashMap<RequestId, Request>,
-    /// Requests that wait for the answers of probes, oldest first.
+    /// Requests that wait for answers to probes, oldest first.
     pub(crate) probing: Vec<RequestId>,
     pub(crate) service_times: ServiceTimes,
     /// When this dispatcher started.
     pub(crate) started_at: Micros,
-    /// When the list is next polled, if no watch is on.
+    /// When to poll the worker list next; none while it is being watched.
     pub(crate) poll_at: Option<Micros>,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows its settings only. All its random numbers come from the seed.
+    /// Creates a dispatcher that knows no workers yet. All its random numbers come from the seed.
     ///
     /// # Errors
-    /// A setting that it cannot work with.
+    /// If a setting is out of range; see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
         let dispatchers = f64::from(settings.dispatchers);
@@ -52,7 +53,7 @@
         })
     }
 
-    /// Takes what has happened and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if self.poll_at.is_some_and(|at| now >= at) {
             self.poll_at = None;
@@ -84,7 +85,7 @@
             } => {
                 if let Some(w) = self.fleet.position(worker) {
                     self.fleet[w].probe_in_flight = false;
-                    self.learn(now, w, outcome, report);
+                    self.record_outcome(now, w, outcome, report);
                     self.handle_probe_ended(now, w, out);
                 }
             }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Notes that an attempt runs.
+    /// Records that an attempt has started, and how long it was queued.
     pub(crate) fn record_start(&mut self, now: Micros, id: RequestId, attempt: u32) {
         let request = self.requests.get_mut(&id);
         let attempt = request.and_then(|r| r.attempts.get_mut(attempt as usize));
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Keeps a request until it is over and all its attempts have ended.
+    /// Stores a request again, unless it is finished and all its attempts have ended.
     pub(crate) fn retain(&mut self, mut request: Request, finished: bool) {
         request.finished |= finished;
         if !request.finished || request.has_attempt_in_flight() {
@@ -116,36 +117,36 @@
         }
     }
 
-    /// From now on so many processes stand in for this dispatcher, each with its part of the rates
-    /// and of what cold workers bear.
+    /// Sets the number of processes that share the work of this dispatcher, such as during an
+    /// upgrade. Each uses an equal share of the rates and of the slow-start budget.
     pub fn set_processes(&mut self, now: Micros, processes: u32) {
         let dispatchers = f64::from(self.settings.dispatchers) * f64::from(processes.max(1));
-        let part = std::mem::replace(&mut self.dispatchers, dispatchers) / dispatchers;
+        let scale = std::mem::replace(&mut self.dispatchers, dispatchers) / dispatchers;
         for bucket in &mut self.buckets {
             bucket.refill(now);
-            bucket.even_rate *= part;
-            bucket.rate *= part;
-            // A part of the tokens goes with the rate; it is not given back, since it may have been
-            // used.
-            bucket.tokens *= part.min(1.0);
+            bucket.even_rate *= scale;
+            bucket.rate *= scale;
+            // The tokens shrink with the rate, but do not grow again with it: the other processes
+            // may have used them.
+            bucket.tokens *= scale.min(1.0);
         }
     }
 
-    /// How many jobs a second each tenant may ask for, over all dispatchers.
+    /// The quota of each tenant in jobs per second, over all dispatchers.
     pub fn quotas(&self) -> Vec<Option<f64>> {
         self.settings.tenants.iter().map(|t| t.quota).collect()
     }
 
-    /// From now on the tenants may ask for so many jobs a second, over all dispatchers: none where
-    /// no figure is given. The tokens of a bucket stay, within its new burst.
+    /// Sets the quota of each tenant in jobs per second, over all dispatchers. A tenant without a
+    /// quota gets its share of the sum. A bucket keeps its tokens, up to its new burst size.
     pub fn set_quotas(&mut self, now: Micros, quotas: &[Option<f64>]) {
         for (tenant, quota) in self.settings.tenants.iter_mut().zip(quotas) {
             tenant.quota = *quota;
         }
         let tenants = &self.settings.tenants;
         let total: f64 = tenants.iter().filter_map(|t| t.quota).sum();
-        let own = tenants.iter().map(|t| t.quota.unwrap_or(t.share * total));
-        let rates = [total].into_iter().chain(own);
+        let tenant_rates = tenants.iter().map(|t| t.quota.unwrap_or(t.share * total));
+        let rates = [total].into_iter().chain(tenant_rates);
         let dispatchers = self.dispatchers;
         for (bucket, rate) in self.buckets.iter_mut().zip(rates.map(|r| r / dispatchers)) {
             bucket.refill(now);
@@ -154,14 +155,14 @@
         }
     }
 
-    /// Whether this worker is ejected now because it failed lately.
+    /// Whether this worker is ejected at this time because of recent failures.
     pub fn is_ejected(&self, now: Micros, worker: WorkerId) -> bool {
-        let known = self.fleet.position(worker);
-        known.is_some_and(|w| now < self.fleet[w].ejected_until)
+        let position = self.fleet.position(worker);
+        position.is_some_and(|w| now < self.fleet[w].ejected_until)
     }
 }
 
-/// The global bucket, then one for each tenant, full.
+/// Creates the global token bucket, then one for each tenant, all full.
 fn new_buckets(settings: &Settings, dispatchers: f64, now: Micros) -> Vec<TokenBucket> {
     let tenants = &settings.tenants;
     let quotas: f64 = tenants.iter().filter_map(|t| t.quota).sum();
--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -1,37 +1,37 @@
-//! What the caller tells a dispatcher.
+//! Events that the caller passes to a dispatcher.
 
 use crate::{ClassId, Micros, RequestId, TenantId, TimerId, WorkerEntry, WorkerId, WorkerListKind};
 
-/// A worker's load report. Values that make no sense are ignored.
+/// A worker's load report. Invalid values of free slots and memory are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Free slots.
     pub free_slots: Option<f64>,
     /// Free memory.
     pub free_memory: Option<f64>,
-    /// The jobs in flight at the worker at this moment, running and queued, as all dispatchers
-    /// count them together.
+    /// Jobs in flight at the worker now, running and queued, according to the count that all
+    /// dispatchers keep together.
     pub in_flight: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The worker served it.
     Served,
-    /// The worker answered with an error; it may have run.
+    /// The worker answered with an error; the attempt may have run.
     Failed,
-    /// Rejected by the worker unseen.
+    /// The worker rejected it; the attempt never ran.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the attempt may have run.
     TimedOut,
-    /// Not connected; it never ran.
+    /// The connection could not be opened; the attempt never ran.
     ConnectFailed,
-    /// Connection lost; it may have run.
+    /// The connection was lost; the attempt may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// It was cancelled; the attempt may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
@@ -45,26 +45,26 @@
     }
 }
 
-/// A job that a client has handed over.
+/// A job that a client has submitted.
 #[derive(Clone, Debug, Default)]
 pub struct Job {
-    /// This try.
+    /// Id of this request; a client's retry has another one.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// How long the client goes on waiting.
+    /// How much longer the client waits for the answer.
     pub time_left: Micros,
-    /// Work expected, at speed 1, where known.
+    /// Expected run time on a worker of speed 1, if known.
     pub expected_work: Option<Micros>,
-    /// Slots it takes; 0 counts as 1.
+    /// Slots that it needs; values below 1 count as 1.
     pub slots: f64,
-    /// Memory it takes.
+    /// Memory that it needs.
     pub memory: f64,
 }
 
-/// The end of an attempt; exactly one for each send.
+/// The end of an attempt. There is exactly one for each [`Action::Send`](crate::Action::Send).
 #[derive(Clone, Debug)]
 pub struct AttemptEnded {
     /// The request.
@@ -73,36 +73,36 @@
     pub attempt: u32,
     /// The worker.
     pub worker: WorkerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether the request is over, by this outcome or earlier.
+    /// Whether the request is closed, by this outcome or before it.
     pub request_closed: bool,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub latency: Micros,
-    /// The worker's report, if one came along.
+    /// The worker's load report, if the answer carried one.
     pub report: Option<LoadReport>,
 }
 
-/// Something that has happened.
+/// An event for a dispatcher to handle.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A client has handed over a job.
+    /// A client has submitted a job.
     JobReceived(Job),
-    /// The list of workers, or part of it.
+    /// The worker list, or changes of it.
     WorkerList {
-        /// How much of the list this is.
+        /// Which part of the list the event carries.
         kind: WorkerListKind,
         /// Its entries.
         workers: Vec<WorkerEntry>,
     },
-    /// An attempt has begun to run.
+    /// An attempt has started to run.
     AttemptStarted {
         /// The request.
         request: RequestId,
         /// The attempt's number, from 0.
         attempt: u32,
     },
-    /// The answer of a streamed job has begun: its time-out no longer runs.
+    /// The response of a streamed job has started; the attempt no longer times out.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -111,7 +111,7 @@
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnded),
-    /// The client has left.
+    /// The client of this request has disconnected.
     ClientLeft(RequestId),
     /// A probe has ended.
     ProbeEnded {
@@ -119,7 +119,7 @@
         worker: WorkerId,
         /// How the probe ended.
         outcome: Outcome,
-        /// The worker's report, if one came along.
+        /// The worker's load report, if the answer carried one.
         report: Option<LoadReport>,
     },
     /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) has expired.
--- a/crates/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/src/fleet.rs
@@ -1,34 +1,34 @@
-//! All workers that a dispatcher knows. Nothing is decided here.
+//! The workers that a dispatcher knows. Holds state only; the policy is in `policy/`.
 
 use crate::worker::{KindStatistics, Worker};
 use crate::{KindId, WorkerEntry, WorkerId, WorkerListKind, WorkerState};
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
 
-/// The ready workers of one kind, or of all.
+/// Number and slots of the ready workers of one kind or of all kinds.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ReadyCapacity {
     pub workers: f64,
     pub slots: f64,
 }
 
-/// The workers, by position.
+/// All known workers. Other parts of the crate refer to a worker by its position, named `w`.
 #[derive(Default)]
 pub(crate) struct Fleet {
-    /// In order of id, so that nothing depends on a hash.
+    /// Sorted by id, so that decisions do not depend on the iteration order of a hash table.
     #[expect(
         clippy::vec_box,
-        reason = "a new worker is put before thousands of others: pointers move, not workers"
+        reason = "inserting a worker shifts thousands of entries: pointers are cheaper to move than workers"
     )]
     pub workers: Vec<Box<Worker>>,
-    /// Their ids, side by side: a search reads these.
+    /// The ids of the workers in the same order, stored contiguously for fast binary search.
     ids: Vec<WorkerId>,
-    /// How many of them are removed.
+    /// Number of workers in the state `Removed`.
     removed: usize,
     pub kinds: BTreeMap<KindId, KindStatistics>,
-    /// Positions of the workers that lately reported or were sent to: as many as the jobs brought,
-    /// not the fleet.
-    pub recently_reporting: Vec<usize>,
+    /// Positions of the workers that recently reported or were sent an attempt. Their number depends
+    /// on the jobs and not on the size of the fleet.
+    pub recently_active: Vec<usize>,
 }
 
 impl Fleet {
@@ -37,30 +37,31 @@
         self.search(worker).ok()
     }
 
-    /// The position of a worker, or where it would be put in.
+    /// The position of a worker, or the position at which to insert it.
     fn search(&self, id: WorkerId) -> Result<usize, usize> {
         self.ids.binary_search(&id)
     }
 
-    /// Takes a complete list, or the entries that have changed: work in proportion to these.
+    /// Applies a complete list or changed entries. The cost of changes grows with their number, not
+    /// with the fleet.
     pub fn apply_list(&mut self, kind: WorkerListKind, mut entries: Vec<WorkerEntry>) {
-        let reporting = self.reporting_ids();
+        let active = self.active_ids();
         if kind != WorkerListKind::Delta {
-            // What a complete list omits is removed.
+            // Workers that a complete list omits are removed.
             for w in 0..self.workers.len() {
                 let entry = self.workers[w].entry.clone();
                 let state = WorkerState::Removed;
                 self.set_entry(w, WorkerEntry { state, ..entry });
             }
         }
-        // In the order of the workers, new ones are seldom put before many others; of several entries for one worker
-        // the last counts.
+        // Inserting in order of id shifts few workers. The sort is stable: if there are several
+        // entries for one worker, the last one counts.
         entries.sort_by_key(|entry| entry.worker);
         for entry in entries {
             self.apply_entry(entry);
         }
         self.drop_idle_removed();
-        self.find_reporting(&reporting);
+        self.restore_active(&active);
     }
 
     fn apply_entry(&mut self, entry: WorkerEntry) {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Sets what the list says of a worker.
+    /// Replaces a worker's list entry and updates the counters.
     fn set_entry(&mut self, w: usize, entry: WorkerEntry) {
         let is_removed = |entry: &WorkerEntry| usize::from(entry.state == WorkerState::Removed);
         self.removed += is_removed(&entry);
@@ -94,7 +95,7 @@
         self.count_ready(&old, -1.0);
     }
 
-    /// Counts a worker among the ready ones of its kind, if it is, or no longer.
+    /// Changes the number of ready workers of the kind by `change` if this worker is ready.
     fn count_ready(&mut self, entry: &WorkerEntry, change: f64) {
         let kind = self.kinds.entry(entry.kind).or_default();
         if entry.state == WorkerState::Ready {
@@ -102,40 +103,41 @@
         }
     }
 
-    /// Drops the workers that are removed and have nothing in flight.
+    /// Drops removed workers that have no attempt in flight.
     fn drop_idle_removed(&mut self) {
         if self.removed == 0 {
             return;
         }
-        let is_kept = |worker: &Worker| {
+        let must_stay = |worker: &Worker| {
             worker.entry.state != WorkerState::Removed || worker.slots_in_flight > 0.0
         };
         let before = self.workers.len();
-        self.workers.retain(|worker| is_kept(worker));
+        self.workers.retain(|worker| must_stay(worker));
         self.removed -= before - self.workers.len();
         let ids = self.workers.iter().map(|worker| worker.entry.worker);
         self.ids = ids.collect();
     }
 
-    /// The workers that lately reported or were sent to.
-    fn reporting_ids(&self) -> Vec<WorkerId> {
-        let reporting = self.recently_reporting.iter();
-        reporting.map(|&w| self[w].entry.worker).collect()
+    /// The ids of the workers that recently reported or were sent an attempt.
+    fn active_ids(&self) -> Vec<WorkerId> {
+        let active = self.recently_active.iter();
+        active.map(|&w| self[w].entry.worker).collect()
     }
 
-    /// Finds these workers anew, as far as they are still there, in the order of their positions.
-    fn find_reporting(&mut self, reporting: &[WorkerId]) {
-        let found = reporting.iter().filter_map(|id| self.position(*id));
+    /// Sets the recently active workers from their ids after positions have changed, in order of
+    /// position. Workers that no longer exist are left out.
+    fn restore_active(&mut self, active: &[WorkerId]) {
+        let found = active.iter().filter_map(|id| self.position(*id));
         let mut found: Vec<usize> = found.collect();
         found.sort_unstable();
-        self.recently_reporting = found;
+        self.recently_active = found;
     }
 
-    /// The ready workers of this kind, or of any, and their slots.
-    pub fn ready_capacity(&self, only: Option<KindId>) -> ReadyCapacity {
+    /// Number and slots of the ready workers of this kind, or of all kinds if none is given.
+    pub fn ready_capacity(&self, only_kind: Option<KindId>) -> ReadyCapacity {
         let mut capacity = ReadyCapacity::default();
         for (kind, statistics) in &self.kinds {
-            if only.is_none_or(|only| only == *kind) {
+            if only_kind.is_none_or(|only_kind| only_kind == *kind) {
                 capacity.workers += statistics.ready;
                 capacity.slots += statistics.ready * statistics.slots;
             }
@@ -143,29 +145,29 @@
         capacity
     }
 
-    /// The most slots of any kind, and at least one.
+    /// The greatest number of slots of any kind, at least one.
     pub fn max_slots(&self) -> f64 {
         self.kinds.values().map(|k| k.slots).fold(1.0, f64::max)
     }
 
-    /// The slots of workers of this one's kind, as far as reports have shown; 0 where none has.
+    /// The slots of workers of this worker's kind, as known from reports; 0 if there was none.
     pub fn kind_slots(&self, w: usize) -> f64 {
         self.kinds[&self[w].entry.kind].slots
     }
 
-    pub fn mark_reporting(&mut self, w: usize) {
-        if !std::mem::replace(&mut self[w].recently_reporting, true) {
-            self.recently_reporting.push(w);
+    pub fn mark_active(&mut self, w: usize) {
+        if !std::mem::replace(&mut self[w].recently_active, true) {
+            self.recently_active.push(w);
         }
     }
 
-    /// Takes the stale ones off the list of those that reported lately.
-    pub fn forget_reports(&mut self, is_stale: impl Fn(&Worker) -> bool) {
+    /// Removes stale workers from the recently active ones.
+    pub fn deactivate_workers(&mut self, is_stale: impl Fn(&Worker) -> bool) {
         let workers = &mut self.workers;
-        self.recently_reporting.retain(|&w| {
+        self.recently_active.retain(|&w| {
             let worker = &mut workers[w];
-            worker.recently_reporting = !is_stale(worker);
-            worker.recently_reporting
+            worker.recently_active = !is_stale(worker);
+            worker.recently_active
         });
     }
 }
--- a/crates/dispatcher/src/ids.rs
+++ b/crates/dispatcher/src/ids.rs
@@ -1,23 +1,23 @@
-//! Identifiers: of workers, requests and timers, and positions in the settings.
+//! Identifiers of workers, requests and timers, and positions in the settings.
 
-/// A worker, the same at every restart of its process and at every dispatcher.
+/// Id of a worker: the same at every dispatcher, and unchanged when the worker restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u64);
 
-/// One try of a client; never used twice.
+/// Id of one request of a client; never reused, not even for a client's retry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A timer of [`Action::SetTimer`](crate::Action::SetTimer).
+/// Id of a timer of [`Action::SetTimer`](crate::Action::SetTimer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
 impl TimerId {
-    /// The timer on which a new poll of the worker list is due. No request has this number.
+    /// The timer for the next poll of the worker list. No request has this id.
     pub(crate) const POLL: TimerId = TimerId(u64::MAX);
 }
 
-/// The timer on which the dispatcher looks at a request again.
+/// The timer at which the dispatcher checks a request again.
 impl From<RequestId> for TimerId {
     fn from(request: RequestId) -> Self {
         TimerId(request.0)
@@ -32,14 +32,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TenantId(pub u32);
 
-/// A zone of the deployment.
+/// Id of a zone of the deployment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneId(pub u32);
 
-/// A kind of machine.
+/// Id of a kind of machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KindId(pub u32);
 
-/// A small group of workers that share which idempotency keys they have seen.
+/// Id of a cell: a small group of workers that share the idempotency keys that they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CellId(pub u32);
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,15 +1,15 @@
 //! The decisions of a dispatcher that pushes jobs to workers: rate limiting, admission, worker
 //! selection, retries, slow start and probing.
 //!
-//! A [`Dispatcher`] does no input or output: the caller hands it events with the time at which they
-//! happened and carries out the actions it answers with. Random numbers come from the seed alone,
-//! so the same events give the same actions.
+//! A [`Dispatcher`] does no input or output and reads no clock: the caller passes in events with the
+//! time at which they happened and carries out the actions that it returns. Random numbers come from
+//! the seed alone, so the same events give the same actions.
 //!
 //! ```
 //! use marbledeck_dispatcher::*;
 //!
 //! let settings = Settings { dispatchers: 1, classes: vec![Class::default()], ..Settings::default() };
-//! let mut dispatcher = Dispatcher::new(settings, 42, Micros(0)).expect("sound settings");
+//! let mut dispatcher = Dispatcher::new(settings, 42, Micros(0)).expect("valid settings");
 //! let mut actions = Vec::new();
 //! let worker = WorkerEntry { worker: WorkerId(7), ..WorkerEntry::default() };
 //! let workers = vec![worker];
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! Every decision of a dispatcher. A job is charged, passes admission, is sent to a selected worker
-//! and followed up, in that order.
+//! All decisions of a dispatcher. A job is charged to token buckets, admitted, sent to a selected
+//! worker and, if need be, retried or hedged, in that order.
 
 mod admission;
 mod polling;
@@ -9,4 +9,4 @@
 mod selection;
 mod slow_start;
 
-pub(crate) use admission::MAX_GATE_REPORT_SECONDS;
+pub(crate) use admission::MAX_GATE_REPORT_AGE_SECONDS;
--- a/crates/dispatcher/src/policy/probing.rs
+++ b/crates/dispatcher/src/policy/probing.rs
@@ -1,47 +1,51 @@
-//! Probing: workers are asked for their load before a job is sent where most of the fleet did not
-//! report lately.
+//! Probing: asks workers for their load before a job is sent, if most of the fleet has not reported
+//! recently.
 
 use super::selection::MAX_SAMPLES;
 use crate::request::Request;
 use crate::worker::Worker;
 use crate::{Action, Dispatcher, Job, Micros, RequestId, WorkerId, WorkerState};
 
-/// Workers probed for a job before it is sent.
+/// Number of workers probed for a job in each round.
 pub(super) const PROBE_FANOUT: usize = 4;
-/// Steps of the walk to the next worker to probe.
+/// Maximum number of workers examined to find the next one to probe.
 const MAX_PROBE_STEPS: usize = 4 * MAX_SAMPLES;
-/// The part of its slack that a job waits for answers, or at a worker before it probes others.
-pub(super) const MIN_PROBE_WINDOW: f64 = 0.05;
-/// The part of its slack until which a job probes for room. Later it would only be queued at some
-/// worker, in the way of jobs that can still be in time.
-const MAX_PROBE_WINDOW: f64 = 0.3;
+/// Fraction of its slack that a job waits for the answers of the first probes. It is also how long
+/// a job stays queued at a worker before the dispatcher considers hedging it.
+pub(super) const MIN_PROBE_WINDOW_FRACTION: f64 = 0.05;
+/// Fraction of its slack after which a job no longer probes for a free slot. A later job would only
+/// be queued at some worker and delay jobs that can still meet their latency objective.
+const MAX_PROBE_WINDOW_FRACTION: f64 = 0.3;
 
 impl Dispatcher {
-    /// Whether jobs probe before they go, since most of the fleet did not report lately. A worker
-    /// whose load dispatchers counted did not: that is probed for anew.
+    /// Whether jobs probe before they are sent, since most of the fleet has not reported recently.
+    /// A worker whose load was counted by the dispatchers does not count as reporting: such a count
+    /// ages quickly and is probed for again.
     pub(super) fn needs_probing(&self) -> bool {
-        let reported = |w: &&usize| self.fleet[**w].counted_at.is_none();
-        let reporting = self.fleet.recently_reporting.iter();
-        let reported = reporting.filter(reported).count() as f64;
+        let has_reported = |w: &&usize| self.fleet[**w].counted_at.is_none();
+        let active = self.fleet.recently_active.iter();
+        let reported = active.filter(has_reported).count() as f64;
         self.settings.limits.probes && 2.0 * reported < self.fleet.ready_capacity(None).workers
     }
 
-    /// How long a request waits for the answers of probes that begin now, and for how long they
-    /// count.
+    /// How long a request waits for the answers of probes that are sent now, and how long these
+    /// answers stay valid.
     pub(super) fn probe_window(&self, now: Micros, request: &Request) -> Micros {
-        let min = self.part_of_slack(&request.job, MIN_PROBE_WINDOW);
+        let min = self.fraction_of_slack(&request.job, MIN_PROBE_WINDOW_FRACTION);
         request
             .age(now)
             .clamp(min, self.max_probe_window(&request.job))
     }
 
     fn max_probe_window(&self, job: &Job) -> Micros {
-        self.part_of_slack(job, MAX_PROBE_WINDOW)
+        self.fraction_of_slack(job, MAX_PROBE_WINDOW_FRACTION)
     }
 
-    /// Probes some workers on behalf of a job, which waits for a part of its slack, then as long as
-    /// it has waited: where none has room, probing is a load of its own. Guards against a blind
-    /// draw, and against a gate or an overload check that rests on the few workers that reported.
+    /// Probes some workers for a job and sets a timer for their answers. The first round lasts a
+    /// fraction of the job's slack and each further one as long as the job has waited so far, since
+    /// probing is a load of its own while no worker has a free slot. Without probes the worker would
+    /// be selected blindly, and the gate and the overload check would rely on the few workers that
+    /// reported.
     pub(super) fn probe_for(&mut self, now: Micros, mut request: Request, out: &mut Vec<Action>) {
         let probed = (0..PROBE_FANOUT).filter_map(|_| self.probe_next(now, Some(&request), out));
         request.pending_probes = probed.collect();
@@ -59,9 +63,10 @@
         self.requests.insert(id, request);
     }
 
-    /// The time to probe, or to probe no longer: a job that no worker has goes where there is room,
-    /// probes others within its window, and is given up then. Never later than its deadline: it
-    /// would probe without end.
+    /// Handles the timer of a request. An unsent job is sent if a worker has a free slot, probes
+    /// again within its probe window, and is given up after that, at its deadline at the latest, so
+    /// that it does not probe forever. A queued job that is due to be hedged probes for another
+    /// worker.
     pub(crate) fn handle_timer(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let was_probing = self.probing.contains(&id);
         self.probing.retain(|probing| *probing != id);
@@ -69,11 +74,11 @@
             return;
         };
         let unsent = !request.finished && !request.has_attempt_in_flight();
-        let mut reporting = self.fleet.recently_reporting.iter();
-        let room = reporting.any(|&w| self.has_room(now, &request, w));
+        let mut active = self.fleet.recently_active.iter();
+        let any_has_free_slots = active.any(|&w| self.has_free_slots(now, &request, w));
         let may_probe = request.age(now) < self.max_probe_window(&request.job);
         let hedge_due = |d: &Self| d.hedge_at(&request).is_some_and(|at| now >= at);
-        if unsent && room {
+        if unsent && any_has_free_slots {
             self.send_or_give_up(now, request, out);
         } else if unsent && now < request.deadline && may_probe {
             self.probe_for(now, request, out);
@@ -86,44 +91,47 @@
         }
     }
 
-    /// A worker has reported its free slots: the first of the probing jobs goes that has answers
-    /// from all that it probed, or probed others, and can go somewhere now. The first answer with
-    /// room is seldom the best.
+    /// Handles the end of a probe: sends the first waiting job that has the answers of all its own
+    /// probes and can be sent now. It does not take the first answer with a free slot, since that is
+    /// rarely the best one. The first job that had probed this worker may go to any worker with free
+    /// slots, the others are sent only if this worker has some.
     pub(crate) fn handle_probe_ended(&mut self, now: Micros, w: usize, out: &mut Vec<Action>) {
-        let prober = self.first_prober(self.fleet[w].entry.worker);
-        let can_go = |id: &RequestId| {
+        let first_prober = self.remove_pending_probe(self.fleet[w].entry.worker);
+        let can_be_sent = |id: &RequestId| {
             let request = self.requests.get(id);
             let answered = request.filter(|r| r.pending_probes.is_empty() && r.is_waiting());
-            let has_room = |r: &Request, w: usize| self.has_room(now, r, w);
-            let mut reporting = self.fleet.recently_reporting.iter();
+            let has_free_slots = |r: &Request, w: usize| self.has_free_slots(now, r, w);
+            let mut active = self.fleet.recently_active.iter();
             answered.is_some_and(|r| {
-                has_room(r, w) || Some(*id) == prober && reporting.any(|&w| has_room(r, w))
+                has_free_slots(r, w)
+                    || Some(*id) == first_prober && active.any(|&w| has_free_slots(r, w))
             })
         };
-        let first = self.probing.iter().copied().find(can_go);
+        let first = self.probing.iter().copied().find(can_be_sent);
         if let Some(request) = first.and_then(|id| self.requests.remove(&id)) {
             self.probing.retain(|id| *id != request.job.id);
             self.send_or_give_up(now, request, out);
         }
     }
 
-    /// Takes a worker off the pending probes of all jobs; the first job that had probed it.
-    fn first_prober(&mut self, worker: WorkerId) -> Option<RequestId> {
+    /// Removes a worker from the pending probes of all jobs and returns the first job that had
+    /// probed it.
+    fn remove_pending_probe(&mut self, worker: WorkerId) -> Option<RequestId> {
         let mut first = None;
         for id in &self.probing {
             if let Some(request) = self.requests.get_mut(id) {
                 let before = request.pending_probes.len();
                 request.pending_probes.retain(|pending| *pending != worker);
-                let probed_it = before > request.pending_probes.len();
-                first = first.or(Some(*id).filter(|_| probed_it));
+                let was_pending = before > request.pending_probes.len();
+                first = first.or(Some(*id).filter(|_| was_pending));
             }
         }
         first
     }
 
-    /// Probes the next worker of the walk, or the next that may take this request, and tells which.
-    /// Each job brings its probes, so that their price and work stay bounded however many workers
-    /// there are.
+    /// Probes the next worker in round-robin order, or the next one that is eligible for this
+    /// request, and returns its id. Probes are sent only on behalf of jobs, so their cost grows with
+    /// the jobs and not with the number of workers.
     pub(super) fn probe_next(
         &mut self,
         now: Micros,
@@ -133,13 +141,13 @@
         let workers = self.fleet.workers.len();
         for _ in 0..MAX_PROBE_STEPS.min(workers) {
             self.probe_cursor = self.probe_cursor.wrapping_add(1) % workers;
-            let fits = request.is_none_or(|r| self.is_eligible(now, r, self.probe_cursor));
+            let eligible = request.is_none_or(|r| self.is_eligible(now, r, self.probe_cursor));
             let Worker {
                 entry,
                 probe_in_flight,
                 ..
             } = &mut self.fleet[self.probe_cursor];
-            let may_probe = fits && self.settings.limits.probes && !*probe_in_flight;
+            let may_probe = eligible && self.settings.limits.probes && !*probe_in_flight;
             if may_probe && entry.state == WorkerState::Ready {
                 *probe_in_flight = true;
                 out.push(Action::Probe(entry.worker));
--- a/crates/dispatcher/src/policy/retry.rs
+++ b/crates/dispatcher/src/policy/retry.rs
@@ -1,16 +1,18 @@
-//! Attempts: sends, retries, hedged requests, and ejection of workers that fail.
+//! Attempts: sends, retries, hedged requests, and ejection of failing workers.
 
-use super::probing::MIN_PROBE_WINDOW;
+use super::probing::MIN_PROBE_WINDOW_FRACTION;
 use crate::request::{Attempt, Request};
 use crate::worker::SentWork;
 use crate::{Action, AttemptEnded, Dispatcher, Idempotency, Micros, Outcome, WorkerEntry};
 
-/// A failing worker is first ejected for as long as a slow connect takes, twice as long each time.
+/// Duration of the first ejection of a failing worker: as long as a slow connect takes. Each further
+/// ejection lasts twice as long as the one before.
 const INITIAL_EJECTION: Micros = Micros(500_000);
 
 impl Dispatcher {
-    /// Until when the idempotency allows this request an attempt at this worker, where it may have
-    /// run before.
+    /// The moment from which the request's idempotency forbids an attempt at this worker; zero if it
+    /// always does. `None` if there is no limit, because no earlier attempt can have run or repeats
+    /// are harmless.
     pub(super) fn repeat_deadline(&self, request: &Request, entry: &WorkerEntry) -> Option<Micros> {
         let first = request.attempts.iter().find(|a| !a.never_ran())?;
         match self.class(&request.job).idempotency {
@@ -24,22 +26,25 @@
         }
     }
 
-    /// When a request whose attempts are all queued looks for another worker, if it may be hedged:
-    /// only where its worker has failed others meanwhile. A hedge does not take back the first,
-    /// which still runs one day: where all dispatchers hedge what is queued, the copies queue the
-    /// next jobs, until little else runs.
+    /// When a request whose attempts are all queued may be hedged at another worker. This requires
+    /// that its worker has failed other attempts since the send. A hedge does not undo the first
+    /// attempt, which may still run: if all dispatchers hedged every queued job, the copies would
+    /// delay the next jobs, which would be hedged in turn, until the workers ran little but copies.
     pub(super) fn hedge_at(&self, request: &Request) -> Option<Micros> {
         let (limits, last) = (&self.settings.limits, request.attempts.last()?);
-        let repeatable = self.class(&request.job).idempotency != Idempotency::NotIdempotent;
-        let permitted = limits.hedging && repeatable && limits.cancellation;
+        let is_repeatable = self.class(&request.job).idempotency != Idempotency::NotIdempotent;
+        let is_permitted = limits.hedging && is_repeatable && limits.cancellation;
         let failed = |w: usize| self.fleet[w].ejected_until > last.sent_at;
         let failed = self.fleet.position(last.worker.worker).is_some_and(failed);
-        let queued = self.settings.reports_starts && last.is_queued() && request.is_waiting();
-        let hedged = permitted && queued && failed;
-        hedged.then(|| last.sent_at + self.part_of_slack(&request.job, MIN_PROBE_WINDOW))
+        let is_queued_now =
+            self.settings.reports_starts && last.is_queued() && request.is_waiting();
+        let may_hedge = is_permitted && is_queued_now && failed;
+        may_hedge
+            .then(|| last.sent_at + self.fraction_of_slack(&request.job, MIN_PROBE_WINDOW_FRACTION))
     }
 
-    /// Sends the request to a selected worker, or ends it where none can take it.
+    /// Sends the request to a selected worker and cancels its queued attempts; gives it up if no
+    /// worker is eligible.
     pub(super) fn send_or_give_up(
         &mut self,
         now: Micros,
@@ -56,9 +61,9 @@
             worker: entry.worker,
             send_before: self.repeat_deadline(&request, &entry),
         });
-        for (number, earlier) in request.attempts.iter().enumerate() {
+        for (index, earlier) in request.attempts.iter().enumerate() {
             if earlier.is_queued() {
-                let attempt = number as u32;
+                let attempt = index as u32;
                 out.push(Action::Cancel {
                     request: id,
                     attempt,
@@ -67,7 +72,7 @@
         }
         request.attempts.push(Attempt::new(entry, now));
         if self.settings.limits.hedging {
-            let at = now + self.part_of_slack(&request.job, MIN_PROBE_WINDOW);
+            let at = now + self.fraction_of_slack(&request.job, MIN_PROBE_WINDOW_FRACTION);
             out.push(Action::SetTimer {
                 at,
                 timer: id.into(),
@@ -77,7 +82,7 @@
     }
 
     fn record_send(&mut self, now: Micros, w: usize, request: &Request) {
-        self.fleet.mark_reporting(w);
+        self.fleet.mark_active(w);
         let slot_seconds = request.job.slots * self.expected_seconds(&request.job);
         let work = SentWork {
             at: now,
@@ -88,7 +93,8 @@
         self.fleet[w].record_send(request.job.slots, work, window, reports_starts);
     }
 
-    /// An attempt has ended: the request is over, waits for another attempt, or is retried.
+    /// Handles the end of an attempt: the request is closed, waits for another attempt, or is
+    /// retried.
     pub(crate) fn handle_attempt_ended(
         &mut self,
         now: Micros,
@@ -104,19 +110,19 @@
         let Some(attempt) = request.attempts.get_mut(ended.attempt as usize) else {
             return self.retain(request, ended.request_closed);
         };
-        let first_end = attempt.outcome.replace(ended.outcome).is_none();
-        if let Some(w) = self.fleet.position(ended.worker).filter(|_| first_end) {
+        let is_first_end = attempt.outcome.replace(ended.outcome).is_none();
+        if let Some(w) = self.fleet.position(ended.worker).filter(|_| is_first_end) {
             self.fleet[w].record_end(request.job.slots, attempt);
-            self.learn(now, w, ended.outcome, ended.report);
+            self.record_outcome(now, w, ended.outcome, ended.report);
         }
         if ended.outcome == Outcome::Served {
             let started_at = attempt.started_at.filter(|at| *at < now);
-            let ran = now - started_at.unwrap_or(attempt.sent_at);
+            let run_time = now - started_at.unwrap_or(attempt.sent_at);
             self.service_times
-                .record(request.job.class, ran.as_secs_f64());
+                .record(request.job.class, run_time.as_secs_f64());
         }
-        let over = ended.request_closed || request.finished;
-        if over || request.has_attempt_in_flight() {
+        let is_closed = ended.request_closed || request.finished;
+        if is_closed || request.has_attempt_in_flight() {
             return self.retain(request, ended.request_closed);
         }
         if self.needs_probing() {
@@ -126,7 +132,8 @@
         }
     }
 
-    /// Leaves a worker that fails alone, longer each time.
+    /// Ejects a failing worker from selection. Each ejection lasts twice as long as the one before,
+    /// up to the warm-up time; a served attempt resets it.
     pub(crate) fn eject(&mut self, now: Micros, w: usize) {
         let max = INITIAL_EJECTION.max(self.settings.rules.warm_up);
         let worker = &mut self.fleet[w];
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -1,17 +1,17 @@
-//! Selection: which worker an attempt goes to, by a random draw weighted with free slots.
+//! Selection: chooses the worker of an attempt by a random draw weighted with free slots.
 
 use crate::request::Request;
 use crate::{Dispatcher, Micros, WorkerState};
 
-/// Tries of a sampled draw before the whole fleet is looked through.
+/// Workers that a sampled draw tries before the whole fleet is searched.
 pub(super) const MAX_SAMPLES: usize = 32;
-/// How much more a free slot of the own zone weighs than one of another: crossing zones has its
-/// price.
+/// Weight of a free slot in this dispatcher's zone, relative to one in another zone: traffic between
+/// zones costs more.
 const SAME_ZONE_WEIGHT: f64 = 2.0;
 
 impl Dispatcher {
-    /// Whether the request may go to this worker now: it is ready and fits, and no rule stands
-    /// against it.
+    /// Whether the request may be sent to this worker now: the worker is ready, the job fits it, and
+    /// deadline, attempt limit, idempotency and slow start allow the attempt.
     pub(super) fn is_eligible(&self, now: Micros, request: &Request, w: usize) -> bool {
         let (job, worker, slots) = (&request.job, &self.fleet[w], self.fleet.kind_slots(w));
         let (entry, kind) = (&worker.entry, self.class(job).kind);
@@ -27,17 +27,19 @@
             && self.has_slow_start_budget(now, w, job)
     }
 
-    /// Whether it shows room for the request. What dispatchers counted together is probed for anew:
-    /// what it fades to would be room at full workers, too, for all that remember them.
-    pub(super) fn has_room(&self, now: Micros, request: &Request, w: usize) -> bool {
-        let is_old = |at| now - at > self.probe_window(at, request);
-        if self.fleet[w].counted_at.is_some_and(is_old) {
+    /// Whether the worker is known to have free slots for the request. A load that the dispatchers
+    /// counted together is used only within the probe window and then probed for again: its estimate
+    /// decays towards the mean, so every dispatcher that remembers a full worker would soon take it
+    /// for a free one.
+    pub(super) fn has_free_slots(&self, now: Micros, request: &Request, w: usize) -> bool {
+        let is_outdated = |at| now - at > self.probe_window(at, request);
+        if self.fleet[w].counted_at.is_some_and(is_outdated) {
             return false;
         }
-        // What was not charged leaves a slot to what is.
-        let reserved = f64::from(u8::from(request.token_wait > 0.0 && self.needs_probing()));
-        let room = self.free_slots(now, w) >= request.job.slots + reserved;
-        room && !self.is_outlier(now, w) && self.is_eligible(now, request, w)
+        // A job without a token leaves one slot free for charged jobs.
+        let reserved_slots = f64::from(u8::from(request.token_wait > 0.0 && self.needs_probing()));
+        let fits = self.free_slots(now, w) >= request.job.slots + reserved_slots;
+        fits && !self.is_outlier(now, w) && self.is_eligible(now, request, w)
     }
 
     /// Whether the worker is ejected now.
@@ -45,15 +47,15 @@
         now < self.fleet[w].ejected_until
     }
 
-    /// A worker for the request, if there is one that may take it.
+    /// Selects a worker for the request; none if no worker is eligible.
     pub(super) fn select_worker(&mut self, now: Micros, request: &Request) -> Option<usize> {
-        let reporting = self.fleet.recently_reporting.iter().copied();
-        let mut with_room: Vec<usize> = reporting
-            .filter(|&w| self.has_room(now, request, w))
+        let active = self.fleet.recently_active.iter().copied();
+        let mut with_free_slots: Vec<usize> = active
+            .filter(|&w| self.has_free_slots(now, request, w))
             .collect();
-        if !with_room.is_empty() {
-            self.keep_least_loaded(now, &mut with_room);
-            return self.draw_weighted(now, with_room);
+        if !with_free_slots.is_empty() {
+            self.keep_least_loaded(now, &mut with_free_slots);
+            return self.draw_weighted(now, with_free_slots);
         }
         let sampled = self.draw_sampled(now, request);
         if sampled.is_some() {
@@ -65,7 +67,7 @@
             .workers
             == 0.0
         {
-            return None; // No walk over thousands of workers that all drain.
+            return None; // Avoids a search of thousands of workers that are all draining.
         }
         let all = 0..self.fleet.workers.len();
         let eligible = all.filter(|&w| self.is_eligible(now, request, w));
@@ -81,34 +83,36 @@
         )
     }
 
-    /// A random worker, taken in proportion to its free slots: the same draw without a walk over
-    /// the fleet.
+    /// Draws a worker with a probability in proportion to its free slots by rejection sampling,
+    /// which avoids a search of the whole fleet.
     fn draw_sampled(&mut self, now: Micros, request: &Request) -> Option<usize> {
         let max_slots = self.fleet.max_slots();
         let workers = self.fleet.workers.len();
         for _ in 0..MAX_SAMPLES.min(workers) {
             let w = self.random.rand_range(0..workers as u64) as usize;
-            let taken = self.random.rand_float() * max_slots < self.free_slots(now, w);
-            if taken && !self.is_outlier(now, w) && self.is_eligible(now, request, w) {
+            let accepted = self.random.rand_float() * max_slots < self.free_slots(now, w);
+            if accepted && !self.is_outlier(now, w) && self.is_eligible(now, request, w) {
                 return Some(w);
             }
         }
         None
     }
 
-    /// Where attempts were counted, keeps the least loaded of those workers: only the few that
-    /// probe in the same milliseconds see that count, and the longest queue of all stays shortest
-    /// so (Azar et al. 1994).
-    fn keep_least_loaded(&self, now: Micros, with_room: &mut Vec<usize>) {
+    /// If the dispatchers counted the attempts at some of the workers, keeps only the least loaded
+    /// of those. Few dispatchers probe in the same milliseconds and see the same count, so they do
+    /// not all choose the same worker, and sending to the least loaded of a few random workers keeps
+    /// the longest queue short (Azar et al. 1994).
+    fn keep_least_loaded(&self, now: Micros, with_free_slots: &mut Vec<usize>) {
         let is_counted = |w: usize| self.fleet[w].counted_at.is_some();
-        let counted = with_room.iter().filter(|&&w| is_counted(w));
+        let counted = with_free_slots.iter().filter(|&&w| is_counted(w));
         if let Some(max) = counted.map(|&w| self.weight(now, w)).reduce(f64::max) {
-            // Slots are whole; what fades meanwhile is less than half of one.
-            with_room.retain(|&w| is_counted(w) && self.weight(now, w) > max - 0.5);
+            // Slots are whole numbers, and within a probe window an estimate decays by less than half
+            // a slot.
+            with_free_slots.retain(|&w| is_counted(w) && self.weight(now, w) > max - 0.5);
         }
     }
 
-    /// What a worker weighs in a draw: its free slots, those of the own zone more.
+    /// The weight of a worker in a draw: its free slots, which count more in this dispatcher's zone.
     fn weight(&self, now: Micros, w: usize) -> f64 {
         if self.fleet[w].entry.zone == self.settings.zone {
             SAME_ZONE_WEIGHT * self.free_slots(now, w)
@@ -117,16 +121,15 @@
         }
     }
 
-    /// A random one of these, the likelier the more free slots it has, and in the own zone. No
-    /// sharper than that: all dispatchers that probe while a report stands read the same one, and
-    /// if they were drawn to the most room rather than in proportion to it, they would fill it many
-    /// times over. Nor the own zone alone while it shows any room: those of the busier zone would
-    /// crowd there, beside idle workers.
+    /// Draws one of these workers with a probability in proportion to its weight. Always choosing
+    /// the greatest weight would overload that worker, since all dispatchers that read the same
+    /// report would choose it. Using only this dispatcher's zone while it has free slots would crowd
+    /// the busier zone while workers of another zone are idle.
     fn draw_weighted(&mut self, now: Micros, mut workers: Vec<usize>) -> Option<usize> {
         let mut weights: Vec<f64> = workers.iter().map(|&w| self.weight(now, w)).collect();
         if weights.iter().sum::<f64>() <= 0.0 {
-            // No room anywhere: an even draw, among the workers where the fewest own attempts are
-            // queued.
+            // No free slot anywhere: draws evenly among the workers with the fewest queued attempts
+            // of this dispatcher.
             let queued = |w: usize| self.fleet[w].queued_since.len();
             let fewest = workers.iter().map(|&w| queued(w)).min();
             workers.retain(|&w| Some(queued(w)) == fewest);
--- a/crates/dispatcher/src/request.rs
+++ b/crates/dispatcher/src/request.rs
@@ -1,11 +1,11 @@
-//! What is remembered of a request and its attempts. Nothing is decided here.
+//! State of a request and its attempts. Holds no policy.
 
 use crate::{Job, Micros, Outcome, WorkerEntry, WorkerId};
 
 /// One send of a request to a worker.
 #[derive(Default)]
 pub(crate) struct Attempt {
-    /// Its worker, as it was then.
+    /// List entry of its worker at the time of the send.
     pub worker: WorkerEntry,
     pub sent_at: Micros,
     pub started_at: Option<Micros>,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether it is proved that it never ran.
+    /// Whether its outcome proves that it never ran.
     pub fn never_ran(&self) -> bool {
         self.outcome.is_some_and(Outcome::never_ran)
     }
@@ -41,16 +41,16 @@
     }
 }
 
-/// A request that is not over, or whose attempts have not all ended.
+/// A request that is not finished, or has attempts in flight.
 pub(crate) struct Request {
     pub job: Job,
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
-    /// It has had its final answer, or needs none.
+    /// Whether it has its final answer, or needs none because the client has left.
     pub finished: bool,
-    /// Seconds until its buckets have a token; it has paid if zero.
+    /// Seconds until its token buckets hold a token, as of its arrival; zero if it was charged.
     pub token_wait: f64,
-    /// The workers probed for it that have not answered yet.
+    /// Workers that were probed for it and have not answered yet.
     pub pending_probes: Vec<WorkerId>,
 }
 
@@ -66,12 +66,12 @@
         }
     }
 
-    /// How long ago it came.
+    /// Time since its arrival.
     pub fn age(&self, now: Micros) -> Micros {
         now - Micros(self.deadline.0 - self.job.time_left.0)
     }
 
-    /// Whether it was sent to this worker.
+    /// Whether any of its attempts was sent to this worker.
     pub fn was_sent_to(&self, worker: WorkerId) -> bool {
         self.attempts.iter().any(|a| a.worker.worker == worker)
     }
@@ -80,7 +80,7 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether none of its attempts is running, and it is not over.
+    /// Whether it is not finished and none of its attempts is running.
     pub fn is_waiting(&self) -> bool {
         !self.finished && !self.attempts.iter().any(Attempt::is_running)
     }
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -1,9 +1,9 @@
-//! What a dispatcher is given at its start.
+//! Settings of a dispatcher.
 
 use crate::{KindId, Micros, ZoneId};
 use thiserror::Error;
 
-/// The workers that discard repeats of a keyed job.
+/// Which workers discard repeats of a keyed job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every worker.
@@ -14,72 +14,72 @@
     Cell,
 }
 
-/// What a repeated execution of a job does.
+/// Whether a job may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It is harmless.
+    /// Yes: a repeat is harmless.
     #[default]
     Idempotent,
-    /// It is discarded by its idempotency key.
+    /// Workers recognise a repeat by its idempotency key and discard it.
     Keyed {
-        /// The workers that know the key.
+        /// The workers that share the key.
         scope: DeduplicationScope,
-        /// How long the key is known after the first send that may have run.
+        /// How long workers remember the key after the first send that may have run.
         window: Micros,
     },
-    /// It is never allowed.
+    /// No: a repeat is never allowed.
     NotIdempotent,
 }
 
 /// A class of jobs.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// What repeating does.
+    /// Whether its jobs may be repeated.
     pub idempotency: Idempotency,
-    /// The kind of machine that alone runs it, if any.
+    /// The only kind of machine that runs its jobs; none if all do.
     pub kind: Option<KindId>,
-    /// An answer within this (plus `objective_stretch` times the job's own work) has its full
-    /// value.
+    /// Latency objective of its jobs, to which `objective_stretch` times the run time of a job is
+    /// added.
     pub latency_objective: Micros,
-    /// Multiple of the job's own work that is added to the latency objective.
+    /// Multiple of a job's own run time that is added to the latency objective.
     pub objective_stretch: f64,
-    /// The longest that a client waits.
+    /// The longest time that a client waits for an answer.
     pub deadline: Micros,
 }
 
-/// A tenant and what it may ask for.
+/// A tenant and its quota.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Jobs a second within its share, over all dispatchers; none where not given.
+    /// Quota in jobs per second, over all dispatchers; none if the tenant has no quota.
     pub quota: Option<f64>,
-    /// Its part of the service, from 0 to 1.
+    /// Its share of the total service, from 0 to 1.
     pub share: f64,
 }
 
 /// How load reports reach a dispatcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// Not at all.
+    /// There are no load reports.
     #[default]
     Never,
-    /// With each outcome and probe result.
+    /// With the answer of each attempt and probe.
     Piggybacked,
-    /// With probe results only.
+    /// With the answers of probes only.
     Probed,
 }
 
-/// What a deployment permits.
+/// Features and limits of a deployment.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Attempts for one request; at least 1.
+    /// Maximum number of attempts for one request; at least 1.
     pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
     /// Whether workers may be probed.
     pub probes: bool,
-    /// Whether an attempt may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// The longest wait that clients honour; none where rejections carry no time.
+    /// The longest retry time that clients honour; none if rejections carry no retry time.
     pub max_retry_after: Option<Micros>,
 }
 
@@ -95,18 +95,20 @@
     }
 }
 
-/// The parameters of the rules about slow start and the worker list.
+/// Parameters of slow start and of the worker list.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// A worker starts with no less than this part of its capacity, from 0 to 1 ...
+    /// Fraction of its capacity, from 0 to 1, that a worker has at its start at least.
     pub initial_capacity: f64,
-    /// ... and has all of it after this.
+    /// Time after its start at which a worker has its full capacity.
     pub warm_up: Micros,
-    /// A cold worker falls over when sent more than this multiple of its capacity ...
+    /// A cold worker fails if it is sent more than this multiple of its present capacity within
+    /// `overload_window`.
     pub overload_factor: f64,
-    /// ... within this window.
+    /// Window over which the work sent to a cold worker is summed up.
     pub overload_window: Micros,
-    /// Where the list must be polled: a dispatcher without a watch polls at least this often.
+    /// The longest time between two polls of a dispatcher that polls the worker list and has no
+    /// watch.
     pub poll_interval: Micros,
 }
 
@@ -122,14 +124,14 @@
     }
 }
 
-/// What a dispatcher is given at its start.
+/// Settings of a dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many dispatchers share the workers; at least 1.
+    /// Number of dispatchers that share the workers; at least 1.
     pub dispatchers: u32,
-    /// The place of this dispatcher among them, from 0.
+    /// Index of this dispatcher among them, from 0.
     pub index: u32,
-    /// The zone of this dispatcher.
+    /// Zone of this dispatcher.
     pub zone: ZoneId,
     /// The classes of jobs; at least one.
     pub classes: Vec<Class>,
@@ -137,17 +139,17 @@
     pub tenants: Vec<Tenant>,
     /// How load reports arrive.
     pub load_reporting: LoadReporting,
-    /// Whether workers tell that a job has started.
+    /// Whether workers report that a job has started.
     pub reports_starts: bool,
     /// Whether the worker list must be polled.
     pub polls_worker_list: bool,
-    /// What the deployment permits.
+    /// Features and limits of the deployment.
     pub limits: Limits,
-    /// The parameters of the rules.
+    /// Parameters of slow start and of the worker list.
     pub rules: Rules,
 }
 
-/// Settings that no dispatcher can work with. The message names the value to correct.
+/// A setting is out of range. The message names the value to correct.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The number of dispatchers is zero.
@@ -156,25 +158,25 @@
     /// The list of classes is empty.
     #[error("settings: there must be at least one class")]
     NoClasses,
-    /// A class's stretch is no sensible multiple.
+    /// The stretch of a class is negative or not finite.
     #[error("settings: a class has a negative or non-finite stretch")]
     InvalidStretch,
-    /// A tenant's share or quota is no sensible figure.
+    /// The share or the quota of a tenant is negative or not finite.
     #[error("settings: a tenant has a negative or non-finite share or quota")]
     InvalidTenant,
     /// The slow-start parameters are out of range.
     #[error("settings: cold_from must be between 0 and 1 and overload_factor not negative")]
     InvalidSlowStart,
-    /// No attempt is allowed.
+    /// The maximum number of attempts is zero.
     #[error("settings: at least one attempt must be allowed")]
     NoAttempts,
 }
 
 impl Settings {
-    /// Checks that a dispatcher can work with these settings.
+    /// Checks that all settings are in range.
     ///
     /// # Errors
-    /// The first value that is out of range.
+    /// The first setting that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.dispatchers == 0 {
             return Err(SettingsError::NoDispatchers);
@@ -212,6 +214,6 @@
     }
 }
 
-fn is_invalid(figure: f64) -> bool {
-    !figure.is_finite() || figure < 0.0
+fn is_invalid(value: f64) -> bool {
+    !value.is_finite() || value < 0.0
 }
--- a/crates/dispatcher/src/token_bucket.rs
+++ b/crates/dispatcher/src/token_bucket.rs
@@ -1,26 +1,26 @@
-//! The state of a token bucket. How it refills is decided in `policy/rate_limit.rs`.
+//! State of a token bucket. `policy/rate_limit.rs` refills it.
 
 use crate::Micros;
 
-/// A token bucket: one token pays for one job.
+/// A token bucket; a job costs one token.
 #[derive(Default)]
 pub(crate) struct TokenBucket {
-    /// The tokens that it holds.
+    /// Tokens in the bucket.
     pub tokens: f64,
-    /// Tokens a second, as it refills now.
+    /// Current refill rate, in tokens per second.
     pub rate: f64,
-    /// Tokens a second where traffic reaches all dispatchers evenly.
+    /// Refill rate if traffic is spread evenly over all dispatchers, in tokens per second.
     pub even_rate: f64,
-    /// Jobs a second asked for lately, whether admitted or not.
+    /// Recent demand in jobs per second, whether admitted or not.
     pub demand: f64,
-    /// When it was last refilled.
+    /// Time of the last refill.
     pub refilled_at: Micros,
-    /// When a job last passed without paying.
-    pub passed_uncharged_at: Micros,
+    /// When a job was last admitted without a token.
+    pub last_uncharged_at: Micros,
 }
 
 impl TokenBucket {
-    /// A full bucket: the first refill cuts it to the burst.
+    /// Creates a full bucket; the first refill limits its tokens to the burst size.
     pub fn new(now: Micros, even_rate: f64) -> Self {
         TokenBucket {
             tokens: f64::INFINITY,
--- a/crates/dispatcher/src/worker.rs
+++ b/crates/dispatcher/src/worker.rs
@@ -1,29 +1,30 @@
-//! What is remembered of a worker and of a kind of worker. Nothing is decided here.
+//! State of a worker and of a kind of worker. Holds no policy.
 
 use crate::request::Attempt;
 use crate::{Micros, Outcome, WorkerEntry};
 
-/// What is known of the workers of one kind: what one dispatcher sees of one worker is too little.
+/// Statistics of all workers of one kind, since one dispatcher receives too few reports of a single
+/// worker.
 #[derive(Default)]
 pub(crate) struct KindStatistics {
-    /// How many are ready.
+    /// Number of ready workers.
     pub ready: f64,
-    /// The most free slots that any has ever reported.
+    /// The most free slots that any worker of the kind has ever reported.
     pub slots: f64,
-    /// The part of all slots that other dispatchers use, a running mean.
-    pub foreign_load: f64,
-    /// How many reports that mean comes from.
+    /// Running mean of the fraction of slots that other dispatchers use.
+    pub load_of_others: f64,
+    /// Number of reports in that mean.
     pub reports: f64,
 }
 
-/// Free slots that were seen at a moment.
+/// A number of slots and the time at which it was observed.
 #[derive(Clone, Copy)]
-pub(crate) struct SlotsSeen {
+pub(crate) struct SlotObservation {
     pub slots: f64,
     pub at: Micros,
 }
 
-/// How long the last own attempt to start was queued.
+/// How long the attempt that last started was queued at the worker.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct QueueDelay {
     pub delay: Micros,
@@ -32,47 +33,49 @@
 }
 
 impl QueueDelay {
-    /// Whether it is recent against its own length.
+    /// Whether the measurement is younger than the delay that it measured.
     pub fn is_current(&self, now: Micros) -> bool {
         now - self.measured_at < self.delay
     }
 }
 
-/// Work that was sent.
+/// Work of one attempt that was sent.
 #[derive(Clone, Copy)]
 pub(crate) struct SentWork {
     pub at: Micros,
     pub slot_seconds: f64,
 }
 
-/// What is known of a worker.
+/// State of one worker as this dispatcher sees it.
 #[derive(Default)]
 pub(crate) struct Worker {
     pub entry: WorkerEntry,
-    /// Whether it is among those that lately reported or were sent to.
-    pub recently_reporting: bool,
-    /// Slots that other dispatchers left when it last reported, free or used by own attempts. Not
-    /// the slots that they used: how many there are is learned from later reports.
-    pub left_by_others: Option<SlotsSeen>,
-    /// When that was what all dispatchers together had counted, not what the worker reported.
+    /// Whether it recently reported or was sent an attempt.
+    pub recently_active: bool,
+    /// Slots that other dispatchers did not use at the time of the last report: free ones and those
+    /// used by this dispatcher's attempts. Stored instead of the slots that others used, because the
+    /// total number of slots becomes known only from later reports.
+    pub slots_left_by_others: Option<SlotObservation>,
+    /// When `slots_left_by_others` was last set from a count that the dispatchers keep together; none
+    /// if it comes from a report of the worker.
     pub counted_at: Option<Micros>,
-    /// Slots of own attempts in flight.
+    /// Slots of this dispatcher's attempts in flight.
     pub slots_in_flight: f64,
-    /// When own attempts were sent that have not started yet, oldest first.
+    /// Send times of this dispatcher's attempts that have not started yet, oldest first.
     pub queued_since: Vec<Micros>,
     pub queue_delay: QueueDelay,
-    /// The most memory that it has ever reported.
+    /// The most free memory that it has ever reported.
     pub max_memory: f64,
-    /// How long it was last ejected for a failure.
+    /// Duration of its last ejection; zero after a served attempt.
     pub ejection: Micros,
     pub ejected_until: Micros,
     pub probe_in_flight: bool,
-    /// What was sent there within the overload window.
+    /// Work sent to it within the overload window.
     pub recent_work: Vec<SentWork>,
 }
 
 impl Worker {
-    /// Notes the send of an attempt, and drops what was sent before the window.
+    /// Records the send of an attempt and drops records older than the overload window.
     pub fn record_send(
         &mut self,
         slots: f64,
@@ -88,7 +91,7 @@
         self.recent_work.push(work);
     }
 
-    /// Notes the end of an attempt that took so many slots.
+    /// Records the end of an attempt that used this many slots.
     pub fn record_end(&mut self, slots: f64, attempt: &Attempt) {
         self.slots_in_flight -= slots;
         if attempt.outcome == Some(Outcome::Served) {
@@ -99,14 +102,15 @@
         }
     }
 
-    /// A restarted process is empty and healthy, but cold: what it was lately sent counts on.
+    /// Resets the state after a restart of the worker: its process is idle and healthy. Recently sent
+    /// work still counts, since it limits what a cold worker may be sent.
     pub fn reset_after_restart(&mut self) {
-        self.left_by_others = None;
+        self.slots_left_by_others = None;
         self.queue_delay = QueueDelay::default();
         self.ejected_until = Micros(0);
     }
 
-    /// An attempt that was sent at this moment is no longer queued.
+    /// Removes one attempt with this send time from the queued ones.
     pub fn dequeue(&mut self, sent_at: Micros) {
         if let Some(i) = self.queued_since.iter().position(|at| *at == sent_at) {
             self.queued_since.remove(i);
--- a/crates/dispatcher/src/worker_list.rs
+++ b/crates/dispatcher/src/worker_list.rs
@@ -1,23 +1,23 @@
-//! The list of workers as a dispatcher receives it.
+//! The worker list as a dispatcher receives it.
 
 use crate::{CellId, DeduplicationScope, KindId, Micros, WorkerId, ZoneId};
 
-/// What the list says of a worker's readiness.
+/// State of a worker according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It takes jobs.
+    /// It accepts jobs.
     #[default]
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its jobs and accepts no new ones.
     Draining,
-    /// It is no longer part of the fleet.
+    /// It has left the fleet.
     Removed,
 }
 
-/// A worker on the list.
+/// An entry of the worker list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerEntry {
-    /// The worker.
+    /// Id of the worker.
     pub worker: WorkerId,
     /// Its state.
     pub state: WorkerState,
@@ -27,12 +27,12 @@
     pub kind: KindId,
     /// Its cell, if it has one.
     pub cell: Option<CellId>,
-    /// When its process last started; none if long ago.
+    /// When its process last started; none if that was long ago.
     pub started_at: Option<Micros>,
 }
 
 impl WorkerEntry {
-    /// Whether each of the two workers discards repeats of what the other has seen.
+    /// Whether each of the two workers discards repeats of jobs that the other one has seen.
     pub fn shares_deduplication(&self, scope: DeduplicationScope, other: &WorkerEntry) -> bool {
         match scope {
             DeduplicationScope::All => true,
@@ -42,15 +42,15 @@
     }
 }
 
-/// How much of the list an event carries.
+/// Which part of the worker list an event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerListKind {
-    /// The complete list as this dispatcher last had it; may be old.
+    /// The complete list that this dispatcher last stored; it may be outdated.
     Cached,
     /// The complete list.
     Full,
-    /// Changed entries.
+    /// Only the changed entries.
     Delta,
-    /// A call failed or a watch broke; nothing has changed.
+    /// No entries: a call to discovery failed or a watch ended.
     Failed,
 }
