--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -159,13 +159,13 @@
     #[error("settings: there must be at least one class")]
     NoClasses,
     /// The stretch of a class is negative or not finite.
-    #[error("settings: a class has a negative or non-finite stretch")]
+    #[error("settings: a class has a negative or non-finite aim-stretch or class-stretch")]
     InvalidStretch,
     /// The share or the quota of a tenant is negative or not finite.
     #[error("settings: a tenant has a negative or non-finite share or quota")]
     InvalidTenant,
     /// The slow-start parameters are out of range.
-    #[error("settings: cold_from must be between 0 and 1 and overload_factor not negative")]
+    #[error("settings: rules: cold-from must be between 0 and 1, and overload-factor finite and not negative")]
     InvalidSlowStart,
     /// The maximum number of attempts is zero.
     #[error("settings: at least one attempt must be allowed")]
--- a/crates/platform-settings/src/settings.rs
+++ b/crates/platform-settings/src/settings.rs
@@ -186,7 +186,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlatformSettingsError {
     /// A class has an unknown effect, or an unknown deduplication scope.
-    #[error("settings: class {class}: unknown effect '{effect}' of group '{scope}'")]
+    #[error("settings: class {class}: unknown effect '{effect}' or dedup-scope '{scope}'")]
     UnknownEffect {
         /// Position of the class in the settings.
         class: usize,
