--- a/crates/gossip/src/in_flight.rs
+++ b/crates/gossip/src/in_flight.rs
@@ -1,29 +1,30 @@
-//! The counts of attempts in flight: a node's own, and those that it owns for all.
+//! Counts of attempts in flight: this node's own, and those of other nodes at the workers that it owns.
 
 use crate::message::{Message, MAX_COUNT};
 use crate::{owner_of, short_id};
 use marbledeck_dispatcher::{Micros, WorkerId};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// How often a node repeats what it has in flight. An owner that has just started knows of all after this.
+/// Interval at which a node repeats its counts. An owner that has just started knows all counts after this time.
 pub const REFRESH_INTERVAL: Micros = Micros(1_000_000);
-/// A count that was not repeated for so long is void: its sender has died, or is cut off. Two datagrams may be lost.
+/// Time after which a count that was not repeated expires, since its sender has died or cannot be reached. Up to two
+/// datagrams in a row may be lost.
 pub const EXPIRY: Micros = Micros(2_500_000);
-/// The workers for which an owner keeps counts at most; counts for more are dropped, whoever sends them.
+/// Maximum number of workers for which an owner stores counts of other nodes. Counts for further workers are dropped.
 pub const MAX_OWNED_WORKERS: usize = 4096;
 
-/// The workers whose owners a node remembers at most: those that it asks about or sends to.
+/// Maximum number of workers whose owners a node caches; only those that it queries or sends to.
 const MAX_CACHED_OWNERS: usize = 8192;
 
-/// What became of a query.
+/// The immediate result of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// This node owns the count itself: so many attempts are in flight.
+    /// This node owns the worker: the number of attempts in flight there.
     Known(u8),
-    /// The owner is queried; [`InFlightGossip::receive`] will have its answer, unless it is lost.
+    /// The query is on its way to the owner. [`InFlightGossip::receive`] returns the answer, unless a datagram is lost.
     Sent,
-    /// No answer is to be waited for: the owner did not answer lately, or this node owns the count and has not listened
-    /// for long enough.
+    /// There is no answer to wait for: the owner did not answer the last time, or this node owns the worker and has not
+    /// yet run long enough to know the count.
     Unavailable,
 }
 
@@ -32,92 +33,92 @@
 pub struct LoadAnswer {
     /// Short id of the worker.
     pub worker: u32,
-    /// The attempts of all nodes in flight there; none where the owner does not know.
+    /// The attempts of all nodes in flight there; none if the owner does not know.
     pub in_flight: Option<u8>,
 }
 
-/// What another node has reported of its attempts in flight at a worker.
-struct ForeignCount {
+/// The attempts in flight at a worker that another node has reported.
+struct PeerCount {
     in_flight: u8,
     sequence: u8,
     received_at: Micros,
 }
 
-impl ForeignCount {
+impl PeerCount {
     fn is_fresh(&self, now: Micros) -> bool {
         now - self.received_at < EXPIRY
     }
 
-    /// Whether a count of this number was sent before this one, or is this one again.
+    /// Whether a count with this sequence number was sent before this count or repeats it.
     fn is_newer_than(&self, sequence: u8) -> bool {
         sequence.wrapping_sub(self.sequence) as i8 <= 0
     }
 }
 
-/// What this node has in flight at a worker.
+/// This node's attempts in flight at a worker.
 #[derive(Default)]
 struct OwnCount {
     in_flight: u8,
     sequence: u8,
-    /// When the owner is next sent this count.
-    refresh_at: Micros,
+    /// When to send this count to the owner again.
+    next_refresh_at: Micros,
 }
 
-/// One node's part in the gossip.
+/// The gossip state of one node.
 pub struct InFlightGossip {
     index: usize,
     nodes: usize,
     started_at: Micros,
-    own: BTreeMap<u32, OwnCount>,
-    /// By worker, then by node.
-    foreign: HashMap<u32, HashMap<usize, ForeignCount>>,
-    /// Whether each node left a query open and has sent nothing since.
+    own_counts: BTreeMap<u32, OwnCount>,
+    /// Counts of other nodes, by worker and then by node.
+    peer_counts: HashMap<u32, HashMap<usize, PeerCount>>,
+    /// For each node, whether it left a query unanswered and has sent nothing since.
     is_silent: Vec<bool>,
-    /// The owners of workers, cached.
+    /// Cache of the owners of workers.
     owners: HashMap<u32, usize>,
-    /// When void counts are next removed.
-    sweep_at: Micros,
+    /// When to remove expired counts next.
+    next_sweep_at: Micros,
     outgoing: VecDeque<(usize, Message)>,
 }
 
 impl InFlightGossip {
-    /// The node at this position, from 0, among so many.
+    /// Creates the state of the node at this position, from 0, among `nodes` nodes.
     pub fn new(index: usize, nodes: usize, now: Micros) -> Self {
         InFlightGossip {
             index,
             nodes,
             started_at: now,
-            own: BTreeMap::new(),
-            foreign: HashMap::new(),
+            own_counts: BTreeMap::new(),
+            peer_counts: HashMap::new(),
             is_silent: vec![false; nodes],
             owners: HashMap::new(),
-            sweep_at: now,
+            next_sweep_at: now,
             outgoing: VecDeque::new(),
         }
     }
 
-    /// The next datagram to send, and the position of the node that it is for.
+    /// Takes out the next datagram to send, with the position of the receiving node.
     pub fn next_datagram(&mut self) -> Option<(usize, Vec<u8>)> {
         let (to, message) = self.outgoing.pop_front()?;
         Some((to, message.encode()))
     }
 
-    /// An attempt is sent to this worker.
+    /// Records that an attempt is sent to this worker.
     pub fn record_send(&mut self, now: Micros, worker: WorkerId) {
-        let own = self.own.entry(short_id(worker)).or_default();
-        own.in_flight = own.in_flight.saturating_add(1).min(MAX_COUNT);
+        let own_count = self.own_counts.entry(short_id(worker)).or_default();
+        own_count.in_flight = own_count.in_flight.saturating_add(1).min(MAX_COUNT);
         self.send_count(now, short_id(worker));
     }
 
-    /// An attempt at this worker has ended, however.
+    /// Records that an attempt at this worker has ended, with whatever outcome.
     pub fn record_end(&mut self, now: Micros, worker: WorkerId) {
-        if let Some(own) = self.own.get_mut(&short_id(worker)) {
-            own.in_flight = own.in_flight.saturating_sub(1);
+        if let Some(own_count) = self.own_counts.get_mut(&short_id(worker)) {
+            own_count.in_flight = own_count.in_flight.saturating_sub(1);
             self.send_count(now, short_id(worker));
         }
     }
 
-    /// Asks how many attempts are in flight at this worker.
+    /// Queries the number of attempts in flight at this worker.
     pub fn query(&mut self, now: Micros, worker: WorkerId) -> QueryOutcome {
         let worker = short_id(worker);
         let owner = self.owner(worker);
@@ -133,13 +134,14 @@
         }
     }
 
-    /// The owner of this worker did not answer in time: it is not waited for until it sends something again.
+    /// Records that the owner of this worker did not answer in time. Queries to it are [`QueryOutcome::Unavailable`]
+    /// until it sends something again.
     pub fn mark_owner_silent(&mut self, worker: WorkerId) {
         let owner = self.owner(short_id(worker));
         self.is_silent[owner] = true;
     }
 
-    /// Takes a datagram from the node at this position. What is not understood does nothing.
+    /// Handles a datagram from the node at this position, and returns the answer if it is one. Ignores invalid datagrams.
     pub fn receive(&mut self, now: Micros, from: usize, bytes: &[u8]) -> Option<LoadAnswer> {
         let message = Message::decode(bytes)?;
         *self.is_silent.get_mut(from)? = false;
@@ -149,7 +151,7 @@
                 sequence,
                 in_flight,
             } => {
-                let count = ForeignCount {
+                let count = PeerCount {
                     in_flight,
                     sequence,
                     received_at: now,
@@ -166,99 +168,108 @@
                 None
             }
             Message::Answer { worker, in_flight } => {
-                // Only the owner knows.
+                // Only the owner knows the count.
                 let is_from_owner = self.is_owner(from, worker);
                 is_from_owner.then_some(LoadAnswer { worker, in_flight })
             }
         }
     }
 
-    fn receive_count(&mut self, now: Micros, from: usize, worker: u32, count: ForeignCount) {
+    fn receive_count(&mut self, now: Micros, from: usize, worker: u32, count: PeerCount) {
         let has_capacity =
-            self.foreign.len() < MAX_OWNED_WORKERS || self.foreign.contains_key(&worker);
+            self.peer_counts.len() < MAX_OWNED_WORKERS || self.peer_counts.contains_key(&worker);
         if !has_capacity || !self.is_owner(self.index, worker) {
             return;
         }
-        let counts = self.foreign.entry(worker).or_default();
+        let counts = self.peer_counts.entry(worker).or_default();
         let is_outdated =
-            |known: &ForeignCount| known.is_fresh(now) && known.is_newer_than(count.sequence);
+            |known: &PeerCount| known.is_fresh(now) && known.is_newer_than(count.sequence);
         if !counts.get(&from).is_some_and(is_outdated) {
             counts.insert(from, count);
         }
     }
 
-    /// How many counts of other nodes are stored, void ones included until the next sweep.
+    /// Number of stored counts of other nodes, including expired ones until the next sweep.
     pub fn stored_counts(&self) -> usize {
-        self.foreign.values().map(HashMap::len).sum()
+        self.peer_counts.values().map(HashMap::len).sum()
     }
 
-    /// When [`InFlightGossip::wake`] is next wanted.
+    /// When to call [`InFlightGossip::wake`] next.
     pub fn next_wake(&self) -> Option<Micros> {
-        self.own.values().map(|own| own.refresh_at).min()
+        self.own_counts
+            .values()
+            .map(|own_count| own_count.next_refresh_at)
+            .min()
     }
 
-    /// Repeats the counts that have not changed for a while, and forgets what is void.
+    /// Repeats the counts that are due, and removes expired counts of other nodes.
     pub fn wake(&mut self, now: Micros) {
-        let due = self.own.iter().filter(|(_, own)| own.refresh_at <= now);
+        let due = self
+            .own_counts
+            .iter()
+            .filter(|(_, own_count)| own_count.next_refresh_at <= now);
         for worker in due.map(|(worker, _)| *worker).collect::<Vec<_>>() {
-            // That nothing is in flight any more is sent once more and no longer.
-            let is_over = self.own[&worker].in_flight == 0;
+            // A count of zero is repeated once and then dropped.
+            let is_idle = self.own_counts[&worker].in_flight == 0;
             self.send_count(now, worker);
-            if is_over {
-                self.own.remove(&worker);
+            if is_idle {
+                self.own_counts.remove(&worker);
             }
         }
-        // No total includes a void count, so they may stay for a while: a walk over all on each turn of the node's loop
-        // would be work that any node could make.
-        if self.sweep_at <= now {
-            self.sweep_at = now + REFRESH_INTERVAL;
-            self.foreign.retain(|_, counts| {
+        // Totals leave out expired counts, so these need not be removed at once. Searching all counts on each turn of
+        // the node's loop would let any node cause much work by sending many counts.
+        if self.next_sweep_at <= now {
+            self.next_sweep_at = now + REFRESH_INTERVAL;
+            self.peer_counts.retain(|_, counts| {
                 counts.retain(|_, count| count.is_fresh(now));
                 !counts.is_empty()
             });
         }
     }
 
-    /// Sends the owner of this worker what this node has in flight there.
+    /// Sends this node's count for this worker to its owner.
     fn send_count(&mut self, now: Micros, worker: u32) {
         let owner = self.owner(worker);
-        let Some(own) = self.own.get_mut(&worker) else {
+        let Some(own_count) = self.own_counts.get_mut(&worker) else {
             return;
         };
-        own.sequence = own.sequence.wrapping_add(1);
-        own.refresh_at = now + REFRESH_INTERVAL;
+        own_count.sequence = own_count.sequence.wrapping_add(1);
+        own_count.next_refresh_at = now + REFRESH_INTERVAL;
         if owner != self.index {
             let count = Message::Count {
                 worker,
-                sequence: own.sequence,
-                in_flight: own.in_flight,
+                sequence: own_count.sequence,
+                in_flight: own_count.in_flight,
             };
             self.outgoing.push_back((owner, count));
         }
     }
 
-    /// The attempts of all nodes in flight at a worker that this one owns; none while it has not listened for long
-    /// enough to know of all.
+    /// The attempts of all nodes in flight at a worker that this node owns; none while it has not run long enough to
+    /// have received all counts.
     fn total_in_flight(&self, now: Micros, worker: u32) -> Option<u8> {
         if now - self.started_at < REFRESH_INTERVAL {
             return None;
         }
         let counts = self
-            .foreign
+            .peer_counts
             .get(&worker)
             .into_iter()
             .flat_map(HashMap::values);
         let fresh = counts.filter(|count| count.is_fresh(now));
-        let foreign: u32 = fresh.map(|count| u32::from(count.in_flight)).sum();
-        let own = self.own.get(&worker).map_or(0, |own| own.in_flight);
-        Some((foreign + u32::from(own)).min(u32::from(MAX_COUNT)) as u8)
+        let peer_total: u32 = fresh.map(|count| u32::from(count.in_flight)).sum();
+        let own_total = self
+            .own_counts
+            .get(&worker)
+            .map_or(0, |own_count| own_count.in_flight);
+        Some((peer_total + u32::from(own_total)).min(u32::from(MAX_COUNT)) as u8)
     }
 
-    /// Whether this node owns the count of a worker that another node names. Nothing is remembered of it: whatever
-    /// ids others send, the owners of this node's own workers stay known.
+    /// Whether the node at position `node` owns a worker that a datagram names. Does not add to the cache of owners, so
+    /// that invented ids in datagrams cannot displace the workers that this node uses.
     fn is_owner(&self, node: usize, worker: u32) -> bool {
         let known = self.owners.get(&worker).copied();
-        node == self.index && self.foreign.contains_key(&worker)
+        node == self.index && self.peer_counts.contains_key(&worker)
             || known.unwrap_or_else(|| owner_of(worker, self.nodes)) == node
     }
 
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,19 +1,19 @@
-//! The datagrams, byte by byte. The first byte holds the version in its upper half and the kind in its lower one; numbers
-//! are big-endian. A datagram of another version, kind or length is not understood, and is dropped.
+//! The format of the datagrams. The first byte holds the version in its upper half and the kind in its lower half;
+//! numbers are big-endian. A datagram with another version, kind or length is dropped.
 //!
 //! | kind | bytes | fields |
 //! | --- | --- | --- |
 //! | 1, count | 7 | short id of the worker (4), sequence number (1), the sender's attempts in flight there (1) |
 //! | 2, query | 5 | short id of the worker (4) |
-//! | 3, answer | 6 | short id of the worker (4), attempts in flight there of all nodes (1), 255 where not known |
+//! | 3, answer | 6 | short id of the worker (4), all nodes' attempts in flight there (1), 255 if unknown |
 
-/// The version of the messages that this crate speaks.
+/// The version of the datagram format.
 pub const VERSION: u8 = 1;
 /// The length of the longest message, in bytes.
 pub const MAX_LENGTH: usize = 7;
 /// The greatest count that a message can carry.
 pub const MAX_COUNT: u8 = 254;
-/// Stands for a count that is not known.
+/// The encoding of an unknown count.
 const UNKNOWN: u8 = 255;
 
 const KIND_COUNT: u8 = 1;
@@ -27,12 +27,12 @@
     Count {
         /// Short id of the worker.
         worker: u32,
-        /// Each count for a worker has the next number, so that one that overtook another is not undone.
+        /// Number of this count for the worker, modulo 256. An owner ignores counts that arrive after a later one.
         sequence: u8,
         /// The sender's attempts in flight there.
         in_flight: u8,
     },
-    /// How many attempts are in flight at a worker?
+    /// Asks the owner of a worker for the attempts of all nodes in flight there.
     Query {
         /// Short id of the worker.
         worker: u32,
@@ -41,13 +41,13 @@
     Answer {
         /// Short id of the worker.
         worker: u32,
-        /// None where the owner has not listened for long enough.
+        /// The number of attempts; none if the owner has not yet run long enough to know it.
         in_flight: Option<u8>,
     },
 }
 
 impl Message {
-    /// The message as it goes out.
+    /// Encodes the message as a datagram.
     pub fn encode(self) -> Vec<u8> {
         let (kind, worker, rest) = match self {
             Message::Count {
@@ -67,7 +67,7 @@
         bytes
     }
 
-    /// The message that has come; none where it is not understood.
+    /// Decodes a datagram; none if its version, kind or length is unknown.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         let (first, rest) = bytes.split_first()?;
         let (worker, rest) = rest.split_first_chunk::<4>()?;
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! The settings object that the platform gives a dispatcher, and what it means to the decision
-//! module. The adapter and the node read the same object through this one place.
+//! The settings object that the platform gives a dispatcher, and its conversion to the settings of
+//! the dispatcher crate. The simulator adapter and the node both read it with this crate.
 //!
-//! Field names are those of the project; `serde` keeps the platform's names on the wire
-//! (`kebab-case`, or the name in the attribute where the platform has another word). Keys that are
-//! not known are ignored.
+//! Fields have this project's names; `serde` attributes map them to the platform's names on the wire
+//! (`kebab-case`, or the name in the attribute if the platform uses another word). Unknown keys are
+//! ignored.
 #![forbid(unsafe_code)]
 
 mod load_report;
@@ -18,7 +18,8 @@
 use marbledeck_dispatcher::WorkerId;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
-/// A worker's id: a hash of its name, so that it is the same at every dispatcher and every restart.
+/// The id of a worker: a hash of its name, so that it is the same at every dispatcher and after every
+/// restart.
 pub fn worker_id(name: &str) -> WorkerId {
     WorkerId(BuildHasherDefault::<DefaultHasher>::default().hash_one(name))
 }
--- a/crates/platform-settings/src/load_report.rs
+++ b/crates/platform-settings/src/load_report.rs
@@ -1,9 +1,9 @@
-//! Load reports as workers write them.
+//! Load reports in the form in which workers send them.
 
 use marbledeck_dispatcher::LoadReport;
 use serde::Deserialize;
 
-/// A load report as it is written: the deployment names what each value means.
+/// A load report as received. The settings of the deployment give the meaning of each value.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct RawLoadReport {
@@ -13,17 +13,17 @@
     pub x1: Option<f64>,
 }
 
-/// Which values of a load report carry a meaning that the decision module knows.
+/// Which values of a load report have a meaning that the dispatcher crate uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportFields {
-    /// The value `x0` is free slots.
+    /// Whether the value `x0` is the number of free slots.
     pub free_slots: bool,
-    /// The value `x1` is free memory.
+    /// Whether the value `x1` is the free memory.
     pub free_memory: bool,
 }
 
 impl ReportFields {
-    /// The values of a load report that the decision module knows.
+    /// Converts a load report to that of the dispatcher crate, without values of other meaning.
     pub fn interpret(self, report: RawLoadReport) -> LoadReport {
         LoadReport {
             free_slots: report.x0.filter(|_| self.free_slots),
--- a/crates/platform-settings/src/settings.rs
+++ b/crates/platform-settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings object, and its conversion to the settings of a dispatcher.
+//! The settings object and its conversion to the settings of a dispatcher.
 
 use crate::ReportFields;
 use marbledeck_dispatcher::{
@@ -8,35 +8,36 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// The value of `report-x0` and `report-x1` for free slots and free memory.
+/// Value of `report-x0` if `x0` of a load report is the number of free slots.
 const FREE_SLOTS: &str = "free slots";
+/// Value of `report-x1` if `x1` of a load report is the free memory.
 const FREE_MEMORY: &str = "free memory";
-/// The value of `registry-mode` where the worker list must be polled.
+/// Value of `registry-mode` if the dispatcher must poll the worker list.
 const SUBSCRIBE: &str = "subscribe";
 
 /// The settings as the platform writes them.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct PlatformSettings {
-    /// How many dispatchers share the workers.
+    /// Number of dispatchers that share the workers.
     #[serde(rename = "balancers")]
     pub dispatchers: u32,
     /// The classes of requests.
     #[serde(rename = "profiles")]
     pub classes: Vec<ClassSettings>,
-    /// What the deployment permits.
+    /// Features and limits of the deployment.
     #[serde(default, rename = "bounds")]
     pub limits: DeploymentLimits,
-    /// What is particular to this family of workers.
+    /// Properties of this family of workers.
     #[serde(default, rename = "family-info")]
     pub worker_family: WorkerFamily,
-    /// How workers are discovered; `subscribe` where the list must be polled.
+    /// How workers are discovered; `subscribe` if the dispatcher must poll the worker list.
     #[serde(default, rename = "registry-mode")]
     pub discovery_mode: String,
-    /// The parameters of the rules.
+    /// Parameters of slow start, the worker list and draining.
     #[serde(default)]
     pub rules: RuleParameters,
-    /// How load reports arrive.
+    /// How load reports reach the dispatcher.
     #[serde(default, rename = "stats")]
     pub load_reports: LoadReportSettings,
     /// The tenants.
@@ -48,10 +49,10 @@
     /// The names of the kinds of machines.
     #[serde(default)]
     pub kinds: Vec<String>,
-    /// The zone of this dispatcher, a position in `zones`.
+    /// Zone of this dispatcher, as a position in `zones`.
     #[serde(default)]
     pub zone: u32,
-    /// The place of this dispatcher among all, from 0.
+    /// Index of this dispatcher among all dispatchers, from 0.
     #[serde(default, rename = "self-index")]
     pub index: u32,
 }
@@ -66,28 +67,29 @@
     /// `safe`, `keyed` or `unsafe`.
     #[serde(default, rename = "effect")]
     pub idempotency: String,
-    /// Where repeats of a keyed class are dropped: `all`, `zone` or `cell`.
+    /// Which workers discard repeats of a job of a keyed class: `all`, those of a `zone`, or of a
+    /// `cell`.
     #[serde(default, rename = "dedup-scope")]
     pub deduplication_scope: String,
-    /// How long an idempotency key is known, in microseconds.
+    /// How long workers remember an idempotency key, in microseconds.
     #[serde(default, rename = "dedup-window-us")]
     pub deduplication_window_us: u64,
     /// The latency objective, in microseconds.
     #[serde(default, rename = "promise-us")]
     pub latency_objective_us: u64,
-    /// The longest that a client waits, in microseconds.
+    /// The longest time that a client waits, in microseconds.
     #[serde(default)]
     pub deadline_us: u64,
-    /// Multiple of a job's own work that is added to the objective.
+    /// Multiple of a job's own run time that is added to the latency objective.
     #[serde(default, rename = "aim-stretch")]
     pub objective_stretch: f64,
 }
 
-/// What the deployment permits.
+/// Features and limits of the deployment.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct DeploymentLimits {
-    /// Attempts for one request.
+    /// Maximum number of attempts for one request.
     #[serde(rename = "try-limit")]
     pub max_attempts: Option<u32>,
     /// Whether two attempts of one request may be in flight at once.
@@ -101,68 +103,70 @@
     /// Whether nodes may send datagrams to one another.
     #[serde(rename = "may-tell")]
     pub gossip: bool,
-    /// Whether rejections may carry a time to come back after.
+    /// Whether rejections may carry a retry time.
     pub retry_after: bool,
-    /// The longest such time that clients honour, in microseconds.
+    /// The longest retry time that clients honour, in microseconds.
     pub max_retry_after_us: Option<u64>,
-    /// After how long a worker closes an idle connection, in microseconds.
+    /// Idle time after which a worker closes a connection, in microseconds.
     #[serde(rename = "conn-idle-us")]
     pub connection_idle_us: Option<u64>,
-    /// How long a connect may take, in microseconds.
+    /// Timeout for opening a connection, in microseconds.
     pub connect_timeout_us: Option<u64>,
-    /// How many requests a node may hold.
+    /// Maximum number of open requests at a node.
     #[serde(rename = "max-open")]
     pub max_open_requests: Option<u32>,
 }
 
-/// What is particular to this family of workers.
+/// Properties of a family of workers.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct WorkerFamily {
-    /// For each class the kind of machine that alone runs it, or -1.
+    /// For each class, the only kind of machine that runs it, or -1 if all do.
     pub class_kind: Vec<i64>,
-    /// For each class the stretch of its latency objective.
+    /// For each class, the stretch of its latency objective; takes precedence over `aim-stretch`.
     pub class_stretch: Vec<f64>,
-    /// What the value `x0` of a load report means.
+    /// Meaning of the value `x0` of a load report.
     #[serde(rename = "report-x0")]
     pub report_x0: String,
-    /// What the value `x1` of a load report means.
+    /// Meaning of the value `x1` of a load report.
     #[serde(rename = "report-x1")]
     pub report_x1: String,
-    /// Whether workers tell that a job has started.
+    /// Whether workers report that a job has started.
     #[serde(rename = "tells-start")]
     pub reports_starts: bool,
-    /// How often a running job tells its progress, in microseconds.
+    /// Interval between the progress reports of a running job, in microseconds.
     #[serde(rename = "progress-us")]
     pub progress_interval_us: u64,
 }
 
-/// The parameters of the rules about slow start, the worker list and draining.
+/// Parameters of slow start, the worker list and draining.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct RuleParameters {
-    /// The part of its capacity that a worker starts with.
+    /// Fraction of its capacity that a worker has at its start.
     #[serde(rename = "cold-from")]
     pub initial_capacity: Option<f64>,
-    /// When it has all of it, in microseconds after its start.
+    /// Time after its start at which a worker has its full capacity, in microseconds.
     pub warm_up_us: Option<u64>,
-    /// The multiple of its capacity that makes a cold worker fall over.
+    /// A cold worker fails if it is sent more than this multiple of its present capacity within the
+    /// overload window.
     pub overload_factor: Option<f64>,
-    /// The window in which that is counted, in microseconds.
+    /// The overload window, in microseconds.
     #[serde(rename = "tip-after-us")]
     pub overload_window_us: Option<u64>,
-    /// How often the list must be polled without a watch, in microseconds.
+    /// The longest time between two polls of the worker list without a watch, in microseconds.
     #[serde(rename = "must-ask-in-us")]
     pub poll_interval_us: Option<u64>,
-    /// How long after notice of a drain new work may still be sent, in microseconds.
+    /// How long new work may still be sent to a worker after notice of its drain, in microseconds.
     pub drain_grace_us: Option<u64>,
 }
 
-/// How load reports arrive.
+/// How load reports reach the dispatcher.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct LoadReportSettings {
-    /// `piggyback`, `pull`, or anything else for none.
+    /// `piggyback` for reports in all answers, `pull` for reports in answers to probes only, any
+    /// other value for none.
     #[serde(rename = "how")]
     pub mode: String,
 }
@@ -174,18 +178,18 @@
     /// Its name.
     #[serde(default)]
     pub name: String,
-    /// Requests a second that it may ask for, over all dispatchers.
+    /// Quota in requests per second, over all dispatchers.
     #[serde(rename = "quota-per-s")]
     pub quota_per_second: Option<f64>,
-    /// Its part of the service.
+    /// Its share of the total service, from 0 to 1.
     #[serde(default)]
     pub share: f64,
 }
 
-/// Settings whose meaning is not known. The message names the class to correct.
+/// A setting has an unknown value or is out of range. The message names the value to correct.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlatformSettingsError {
-    /// A class has an unknown effect, or an unknown deduplication scope.
+    /// The `effect` or the `dedup-scope` of a class is unknown.
     #[error("settings: class {class}: unknown effect '{effect}' or dedup-scope '{scope}'")]
     UnknownEffect {
         /// Position of the class in the settings.
@@ -195,13 +199,13 @@
         /// The value of `dedup-scope`.
         scope: String,
     },
-    /// The dispatcher cannot work with a value.
+    /// A setting of the dispatcher is out of range.
     #[error(transparent)]
     Invalid(#[from] SettingsError),
 }
 
 impl PlatformSettings {
-    /// What the values of load reports mean here.
+    /// The meaning of the values of load reports in this deployment.
     pub fn report_fields(&self) -> ReportFields {
         ReportFields {
             free_slots: self.worker_family.report_x0 == FREE_SLOTS,
@@ -209,11 +213,11 @@
         }
     }
 
-    /// The settings of a dispatcher.
+    /// Converts to the settings of a dispatcher.
     ///
     /// # Errors
-    /// A class whose `effect` or `dedup-scope` is not known, or a value that a dispatcher cannot
-    /// work with.
+    /// If the `effect` or the `dedup-scope` of a class is unknown, or a setting of the dispatcher is
+    /// out of range.
     pub fn dispatcher_settings(&self) -> Result<Settings, PlatformSettingsError> {
         let classes = (0..self.classes.len()).map(|class| self.class(class));
         let tenants = self.tenants.iter().map(|tenant| Tenant {
@@ -302,7 +306,7 @@
 impl RuleParameters {
     fn dispatcher_rules(&self) -> Rules {
         let default = Rules::default();
-        let micros = |given: Option<u64>, default| given.map_or(default, Micros);
+        let micros = |value: Option<u64>, default| value.map_or(default, Micros);
         Rules {
             initial_capacity: self.initial_capacity.unwrap_or(default.initial_capacity),
             warm_up: micros(self.warm_up_us, default.warm_up),
