--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! Small helpers for the module's tests.
+//! Helpers for the tests of the dispatcher crate.
 #![allow(dead_code, reason = "each test file uses a part of the helpers")]
 
 use marbledeck_dispatcher::*;
 
 pub const SECOND: u64 = 1_000_000;
 
-/// Every outcome but the good one.
+/// Every outcome except `Served`.
 pub const OUTCOMES: [Outcome; 7] = [
     Outcome::Failed,
     Outcome::Rejected,
@@ -16,7 +16,7 @@
     Outcome::NotSent,
 ];
 
-/// Every idempotency.
+/// Every idempotency, with a window of 5 s where it has one.
 pub fn idempotencies() -> [Idempotency; 5] {
     let window = Micros(5 * SECOND);
     [
@@ -37,7 +37,8 @@
     ]
 }
 
-/// Settings with one class of this idempotency, free-slot reports by probe, and starts reported.
+/// Settings with one class of this idempotency. Workers report free slots in answers to probes, and
+/// report when a job starts.
 pub fn settings(idempotency: Idempotency) -> Settings {
     let class = Class {
         idempotency,
@@ -55,7 +56,8 @@
     }
 }
 
-pub fn tenants(mut settings: Settings, quotas: &[f64]) -> Settings {
+/// Adds a tenant for each quota, with a share in proportion to it.
+pub fn with_tenants(mut settings: Settings, quotas: &[f64]) -> Settings {
     let sum: f64 = quotas.iter().sum();
     let tenant = |&q: &f64| Tenant {
         quota: Some(q),
@@ -65,6 +67,7 @@
     settings
 }
 
+/// A ready worker; two neighbours share a cell and four share a zone.
 pub fn worker(id: u32) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(id.into()),
@@ -82,59 +85,59 @@
     }
 }
 
-/// A dispatcher with its last answers.
-pub struct Rig {
+/// A dispatcher with the actions of its last event.
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub out: Vec<Action>,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, workers: u32) -> Rig {
-        Rig::seeded(settings, workers, 7)
+impl Harness {
+    pub fn new(settings: Settings, workers: u32) -> Harness {
+        Harness::seeded(settings, workers, 7)
     }
 
-    pub fn seeded(settings: Settings, workers: u32, seed: u64) -> Rig {
+    pub fn seeded(settings: Settings, workers: u32, seed: u64) -> Harness {
         let dispatcher = Dispatcher::new(settings, seed, Micros(0)).unwrap();
-        let mut rig = Rig {
+        let mut harness = Harness {
             dispatcher,
             out: Vec::new(),
         };
-        rig.at(
+        harness.handle(
             0,
             Event::WorkerList {
                 kind: WorkerListKind::Cached,
                 workers: (0..workers).map(worker).collect(),
             },
         );
-        rig
+        harness
     }
 
-    /// Handles an event and gives the actions other than timers and probes.
-    pub fn at(&mut self, now: u64, event: Event) -> Vec<Action> {
+    /// Handles an event and returns its actions other than timers and probes.
+    pub fn handle(&mut self, now: u64, event: Event) -> Vec<Action> {
         self.out.clear();
         self.dispatcher.handle(Micros(now), event, &mut self.out);
-        let kept = |a: &&Action| !matches!(a, Action::SetTimer { .. } | Action::Probe(_));
-        self.out.iter().filter(kept).cloned().collect()
+        let is_other = |a: &&Action| !matches!(a, Action::SetTimer { .. } | Action::Probe(_));
+        self.out.iter().filter(is_other).cloned().collect()
     }
 
-    /// A worker tells of its free slots.
-    pub fn report(&mut self, now: u64, worker: u32, free: f64) {
-        self.probed(now, worker, free, None);
+    /// Ends a probe with a report of the worker's free slots.
+    pub fn report(&mut self, now: u64, worker: u32, free_slots: f64) {
+        self.end_probe(now, worker, free_slots, None);
     }
 
-    /// A worker tells that all of nine slots are free; all dispatchers together have so many calls
-    /// out there.
-    pub fn counted(&mut self, now: u64, worker: u32, in_flight: f64) {
-        self.probed(now, worker, 9.0, Some(in_flight));
+    /// Ends a probe with a report of nine free slots and a count of the attempts that all dispatchers
+    /// together have in flight there.
+    pub fn report_count(&mut self, now: u64, worker: u32, in_flight: f64) {
+        self.end_probe(now, worker, 9.0, Some(in_flight));
     }
 
-    fn probed(&mut self, now: u64, worker: u32, free: f64, in_flight: Option<f64>) {
+    fn end_probe(&mut self, now: u64, worker: u32, free_slots: f64, in_flight: Option<f64>) {
         let report = LoadReport {
-            free_slots: Some(free),
+            free_slots: Some(free_slots),
             in_flight,
             ..LoadReport::default()
         };
-        self.at(
+        self.handle(
             now,
             Event::ProbeEnded {
                 worker: WorkerId(worker.into()),
@@ -144,41 +147,42 @@
         );
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         now: u64,
         id: u64,
         attempt: u32,
-        to: WorkerId,
+        worker: WorkerId,
         outcome: Outcome,
     ) -> Vec<Action> {
         let ended = AttemptEnded {
             request: RequestId(id),
             attempt,
-            worker: to,
+            worker,
             outcome,
             request_closed: outcome == Outcome::Served,
             latency: Micros(1000),
             report: None,
         };
-        self.at(now, Event::AttemptEnded(ended))
+        self.handle(now, Event::AttemptEnded(ended))
     }
 
-    /// Sends a job, and tells where it went.
-    pub fn place_or_none(&mut self, now: u64, id: u64) -> Option<WorkerId> {
-        sent(&self.at(now, Event::JobReceived(job(id))))
+    /// Submits a job and returns the worker that it is sent to, if any.
+    pub fn submit(&mut self, now: u64, id: u64) -> Option<WorkerId> {
+        first_send(&self.handle(now, Event::JobReceived(job(id))))
     }
 
-    /// Sends a job that must be placed, and tells where.
-    pub fn place(&mut self, now: u64, id: u64) -> WorkerId {
-        sent(&self.at(now, Event::JobReceived(job(id)))).expect("placed")
+    /// Submits a job that must be sent, and returns its worker.
+    pub fn submit_and_send(&mut self, now: u64, id: u64) -> WorkerId {
+        first_send(&self.handle(now, Event::JobReceived(job(id))))
+            .expect("job was not sent to a worker")
     }
 }
 
-/// The worker of the first send.
-pub fn sent(actions: &[Action]) -> Option<WorkerId> {
+/// The worker of the first `Send` action, if there is one.
+pub fn first_send(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { worker: to, .. } => Some(*to),
+        Action::Send { worker, .. } => Some(*worker),
         _ => None,
     })
 }
--- a/crates/dispatcher/tests/decision_digest.rs
+++ b/crates/dispatcher/tests/decision_digest.rs
@@ -1,6 +1,6 @@
-//! Pins every decision of a dispatcher over seeded event histories: one changed random draw, timer
-//! or rejection changes a digest. The expected digests are written in `tests/snapshots/` and never
-//! edited by hand.
+//! Compares all decisions of a dispatcher over seeded event histories with recorded digests, which
+//! change with a single changed random draw, timer or rejection. The recorded digests are in
+//! `tests/snapshots/` and are never edited by hand.
 
 use marbledeck_dispatcher::*;
 use std::collections::VecDeque;
@@ -12,7 +12,7 @@
 const STEPS: u32 = 4_000;
 const SEEDS: [u64; 3] = [1, 77, 9_001];
 
-/// FNV-1a over the text of all actions.
+/// FNV-1a hash of the text of all actions.
 struct Digest(u64);
 
 impl Digest {
@@ -26,24 +26,24 @@
     }
 }
 
-/// An attempt that the history has not ended yet.
+/// An attempt that has not ended yet.
 #[derive(Clone, Copy)]
 struct OpenAttempt {
     request: RequestId,
     number: u32,
     worker: WorkerId,
-    sent: u64,
+    sent_at: u64,
 }
 
-/// Plays random events against one dispatcher and answers its actions like workers, clients and a
-/// list would.
+/// Passes random events to one dispatcher and responds to its actions in the place of workers, clients
+/// and discovery.
 struct History {
     dispatcher: Dispatcher,
     random: oorandom::Rand64,
     digest: Digest,
     now: u64,
     next_request: u64,
-    open: Vec<OpenAttempt>,
+    open_attempts: Vec<OpenAttempt>,
     attempts_sent: Vec<(RequestId, u32)>,
     probes: VecDeque<WorkerId>,
     timers: Vec<(u64, u64)>,
@@ -57,12 +57,12 @@
         History {
             classes: settings.classes.len() as u64,
             tenants: settings.tenants.len().max(1) as u64,
-            dispatcher: Dispatcher::new(settings.clone(), seed, Micros(0)).expect("sound settings"),
+            dispatcher: Dispatcher::new(settings.clone(), seed, Micros(0)).expect("valid settings"),
             random: oorandom::Rand64::new(u128::from(seed) + 1),
             digest: Digest(Digest::OFFSET_BASIS),
             now: 0,
             next_request: 0,
-            open: Vec::new(),
+            open_attempts: Vec::new(),
             attempts_sent: Vec::new(),
             probes: VecDeque::new(),
             timers: Vec::new(),
@@ -75,14 +75,14 @@
     }
 
     fn run(mut self) -> String {
-        let everything = (0..WORKERS).map(|id| self.entry(id)).collect();
+        let all_workers = (0..WORKERS).map(|id| self.entry(id)).collect();
         self.handle(Event::WorkerList {
             kind: WorkerListKind::Cached,
-            workers: everything,
+            workers: all_workers,
         });
         for _ in 0..STEPS {
             self.now += self.below(40 * MILLISECOND);
-            self.fire_timers();
+            self.expire_timers();
             self.step();
         }
         format!("{:016x} of {} actions", self.digest.0, self.actions)
@@ -90,25 +90,25 @@
 
     fn step(&mut self) {
         match self.below(20) {
-            0..=6 => self.hand_in_job(),
+            0..=6 => self.submit_job(),
             7..=9 => self.answer_probe(),
             10..=11 => self.start_attempt(),
             12..=16 => self.end_attempt(),
             17 => self.change_list(),
-            18 => self.client_leaves(),
+            18 => self.leave_client(),
             _ => self.now += self.random.rand_range(0..200 * MILLISECOND),
         }
     }
 
-    fn hand_in_job(&mut self) {
+    fn submit_job(&mut self) {
         self.next_request += 1;
-        let hint = self.below(900 * MILLISECOND);
+        let expected_work = self.below(900 * MILLISECOND);
         let job = Job {
             id: RequestId(self.next_request),
             class: ClassId(self.below(self.classes) as u32),
             tenant: TenantId(self.below(self.tenants) as u32),
             time_left: Micros(200 * MILLISECOND + self.below(6 * SECOND)),
-            expected_work: (hint > 300 * MILLISECOND).then_some(Micros(hint)),
+            expected_work: (expected_work > 300 * MILLISECOND).then_some(Micros(expected_work)),
             slots: self.below(4) as f64,
             memory: self.below(3) as f64,
         };
@@ -133,13 +133,13 @@
     }
 
     fn report(&mut self) -> Option<LoadReport> {
-        let (slots, memory, held) = (self.below(10), self.below(8), self.below(9));
+        let (slots, memory, in_flight) = (self.below(10), self.below(8), self.below(9));
         match self.below(4) {
             0 => None,
             1 => Some(LoadReport {
                 free_slots: Some(9.0),
                 free_memory: None,
-                in_flight: Some(held as f64),
+                in_flight: Some(in_flight as f64),
             }),
             _ => Some(LoadReport {
                 free_slots: Some(slots as f64 + 0.2),
@@ -149,16 +149,16 @@
         }
     }
 
-    fn pick_open(&mut self) -> Option<usize> {
-        let count = self.open.len() as u64;
+    fn pick_attempt(&mut self) -> Option<usize> {
+        let count = self.open_attempts.len() as u64;
         (count > 0).then(|| self.below(count) as usize)
     }
 
     fn start_attempt(&mut self) {
-        if let Some(i) = self.pick_open() {
+        if let Some(i) = self.pick_attempt() {
             let OpenAttempt {
                 request, number, ..
-            } = self.open[i];
+            } = self.open_attempts[i];
             let attempt = number;
             let event = if self.below(5) == 0 {
                 Event::ResponseStarted { request, attempt }
@@ -170,8 +170,8 @@
     }
 
     fn end_attempt(&mut self) {
-        let Some(i) = self.pick_open() else { return };
-        let attempt = self.open.swap_remove(i);
+        let Some(i) = self.pick_attempt() else { return };
+        let attempt = self.open_attempts.swap_remove(i);
         let outcome = match self.below(14) {
             0 => Outcome::Failed,
             1 => Outcome::Rejected,
@@ -189,7 +189,7 @@
             worker: attempt.worker,
             outcome,
             request_closed: outcome == Outcome::Served,
-            latency: Micros(self.now - attempt.sent),
+            latency: Micros(self.now - attempt.sent_at),
             report,
         }));
     }
@@ -214,7 +214,7 @@
     }
 
     fn change_list(&mut self) {
-        let changed = 1 + self.below(4);
+        let count = 1 + self.below(4);
         let event = match self.below(8) {
             0 => Event::WorkerList {
                 kind: WorkerListKind::Failed,
@@ -228,7 +228,7 @@
                 }
             }
             _ => {
-                let ids: Vec<u64> = (0..changed).map(|_| self.below(WORKERS)).collect();
+                let ids: Vec<u64> = (0..count).map(|_| self.below(WORKERS)).collect();
                 let entries = ids.into_iter().map(|id| self.entry(id)).collect();
                 Event::WorkerList {
                     kind: WorkerListKind::Delta,
@@ -239,14 +239,14 @@
         self.handle(event);
     }
 
-    fn client_leaves(&mut self) {
+    fn leave_client(&mut self) {
         if self.next_request > 0 {
-            let back = self.below(12).min(self.next_request - 1);
-            self.handle(Event::ClientLeft(RequestId(self.next_request - back)));
+            let offset = self.below(12).min(self.next_request - 1);
+            self.handle(Event::ClientLeft(RequestId(self.next_request - offset)));
         }
     }
 
-    fn fire_timers(&mut self) {
+    fn expire_timers(&mut self) {
         while let Some(i) = self.timers.iter().position(|(at, _)| *at <= self.now) {
             let (_, id) = self.timers.remove(i);
             self.handle(Event::TimerExpired(TimerId(id)));
@@ -259,24 +259,24 @@
             .handle(Micros(self.now), event, &mut actions);
         for action in actions {
             self.actions += 1;
-            let text = self.carry_out(action);
+            let text = self.apply_action(action);
             let now = self.now;
             self.digest.add(&format!("{now} {text}\n"));
         }
     }
 
-    /// Carries an action out and gives its text.
-    fn carry_out(&mut self, action: Action) -> String {
+    /// Carries out an action and returns its text for the digest.
+    fn apply_action(&mut self, action: Action) -> String {
         let mut text = String::new();
         let micros = |moment: Option<Micros>| moment.map_or("-".to_owned(), |m| m.0.to_string());
         match action {
             Action::Send {
                 request: id,
                 worker,
-                send_before: latest,
+                send_before,
             } => {
-                self.open_attempt(id, worker);
-                write!(text, "send {} {} {}", id.0, worker.0, micros(latest))
+                self.record_attempt(id, worker);
+                write!(text, "send {} {} {}", id.0, worker.0, micros(send_before))
             }
             Action::Reject {
                 request: id,
@@ -302,36 +302,36 @@
             }
             Action::WatchWorkers => write!(text, "watch"),
         }
-        .expect("a string takes it");
+        .expect("writing to a string succeeds");
         text
     }
 
-    fn open_attempt(&mut self, request: RequestId, worker: WorkerId) {
+    fn record_attempt(&mut self, request: RequestId, worker: WorkerId) {
         let earlier = self.attempts_sent.iter_mut().find(|(id, _)| *id == request);
         let number = match earlier {
-            Some((_, sent)) => {
-                *sent += 1;
-                *sent
+            Some((_, last_number)) => {
+                *last_number += 1;
+                *last_number
             }
             None => {
                 self.attempts_sent.push((request, 0));
                 0
             }
         };
-        self.open.push(OpenAttempt {
+        self.open_attempts.push(OpenAttempt {
             request,
             number,
             worker,
-            sent: self.now,
+            sent_at: self.now,
         });
     }
 }
 
-fn class(effect: Idempotency, aim: u64, kind: Option<u32>) -> Class {
+fn class(idempotency: Idempotency, latency_objective: u64, kind: Option<u32>) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         kind: kind.map(KindId),
-        latency_objective: Micros(aim),
+        latency_objective: Micros(latency_objective),
         objective_stretch: 1.5,
         deadline: Micros(6 * SECOND),
     }
@@ -378,7 +378,7 @@
     ]
 }
 
-fn base(dispatchers: u32) -> Settings {
+fn base_settings(dispatchers: u32) -> Settings {
     Settings {
         dispatchers,
         index: dispatchers / 2,
@@ -389,12 +389,12 @@
     }
 }
 
-/// The settings of one history, by name.
+/// The names and the settings of the histories.
 fn variants() -> Vec<(&'static str, Settings)> {
     let mut variants = Vec::new();
     for (name, dispatchers) in [("3 dispatchers", 3), ("300 dispatchers", 300)] {
-        let plain = base(dispatchers);
-        let mut probing = plain.clone();
+        let piggybacked = base_settings(dispatchers);
+        let mut probing = piggybacked.clone();
         probing.load_reporting = LoadReporting::Probed;
         probing.limits.probes = true;
         let mut polled = probing.clone();
@@ -404,51 +404,52 @@
         hedged.limits.hedging = true;
         hedged.limits.cancellation = true;
         hedged.zone = ZoneId(1);
-        let mut silent = plain.clone();
-        silent.load_reporting = LoadReporting::Never;
-        silent.reports_starts = false;
-        silent.tenants = tenants();
-        silent.limits.max_retry_after = None;
+        let mut without_reports = piggybacked.clone();
+        without_reports.load_reporting = LoadReporting::Never;
+        without_reports.reports_starts = false;
+        without_reports.tenants = tenants();
+        without_reports.limits.max_retry_after = None;
         variants.extend([
-            (name, "carried reports, pushed list", plain),
+            (name, "carried reports, pushed list", piggybacked),
             (name, "probed reports, pushed list", probing),
             (name, "probed reports, polled list, tenants", polled),
             (name, "hedged requests, polled list, tenants", hedged),
-            (name, "no reports, tenants", silent),
+            (name, "no reports, tenants", without_reports),
         ]);
     }
-    let named = |(count, what, settings): (&str, &str, Settings)| {
-        let name: &'static str = Box::leak(format!("{count}, {what}").into_boxed_str());
+    let with_full_name = |(count, variant, settings): (&str, &str, Settings)| {
+        let name: &'static str = Box::leak(format!("{count}, {variant}").into_boxed_str());
         (name, settings)
     };
-    variants.into_iter().map(named).collect()
+    variants.into_iter().map(with_full_name).collect()
 }
 
 #[test]
-fn decisions_are_the_same_to_the_last_draw() {
+fn decisions_match_the_recorded_digests() {
     let mut digests = String::new();
     for (name, settings) in variants() {
         for seed in SEEDS {
             let digest = History::new(&settings, seed).run();
-            writeln!(digests, "{name}, seed {seed}: {digest}").expect("a string takes it");
+            writeln!(digests, "{name}, seed {seed}: {digest}")
+                .expect("writing to a string succeeds");
         }
     }
     insta::assert_snapshot!("decisions", digests);
 }
 
-/// Sharing among successors and new quotas are decisions, too.
+/// Decisions also depend on the number of processes and on changed quotas.
 #[test]
-fn decisions_after_a_change_of_quotas_and_shares_are_the_same() {
+fn decisions_after_changed_quotas_and_processes_match_the_recorded_digests() {
     let mut digests = String::new();
     for seed in SEEDS {
-        let mut settings = base(3);
+        let mut settings = base_settings(3);
         settings.tenants = tenants();
         settings.limits.probes = true;
         let mut history = History::new(&settings, seed);
         history.dispatcher.set_processes(Micros(0), 2);
         let quotas = [Some(3.0), None, Some(20.0)];
         history.dispatcher.set_quotas(Micros(0), &quotas);
-        writeln!(digests, "seed {seed}: {}", history.run()).expect("a string takes it");
+        writeln!(digests, "seed {seed}: {}", history.run()).expect("writing to a string succeeds");
     }
     insta::assert_snapshot!("decisions_after_changes", digests);
 }
--- a/crates/dispatcher/tests/large_fleet.rs
+++ b/crates/dispatcher/tests/large_fleet.rs
@@ -1,13 +1,12 @@
-//! Hundreds of workers and dispatchers, each dispatcher with a thin view.
+//! Fleets of hundreds of workers and dispatchers, in which each dispatcher receives few reports.
 
 mod common;
 use common::*;
 use marbledeck_dispatcher::*;
 
-/// Settings as at full size: far more dispatchers than one hears of workers, probes and hedged requests
-/// allowed.
-fn large(idempotency: Idempotency, dispatchers: u32) -> Settings {
-    let mut s = tenants(settings(idempotency), &[300.0, 300.0]);
+/// Settings of a large deployment, with probes, cancellation and hedging.
+fn large_deployment(idempotency: Idempotency, dispatchers: u32) -> Settings {
+    let mut s = with_tenants(settings(idempotency), &[300.0, 300.0]);
     s.dispatchers = dispatchers;
     s.limits.probes = true;
     s.limits.cancellation = true;
@@ -23,7 +22,7 @@
     out.iter().filter_map(probe).collect()
 }
 
-/// When the dispatcher wants to be woken, and the number to wake it with.
+/// Expiry time and id of the first timer that is set.
 fn timer(out: &[Action]) -> Option<(u64, u64)> {
     out.iter().find_map(|action| match action {
         Action::SetTimer { at, timer } => Some((at.0, timer.0)),
@@ -38,32 +37,35 @@
     })
 }
 
-/// Guards the price of probes: 500 workers are no reason for more of them than the jobs bring, and
-/// without jobs there are none, nor timers.
+/// The cost of probes and timers must depend on the number of jobs and not on the number of workers;
+/// without jobs there are none.
 #[test]
-fn probes_and_timers_grow_with_the_jobs_and_not_with_the_fleet() {
+fn probes_and_timers_depend_on_the_jobs_and_not_on_the_fleet() {
     let count = |workers: u32| {
-        let mut rig = Rig::new(large(Idempotency::Idempotent, 600), workers);
-        assert!(rig.out.is_empty(), "a list alone brings nothing");
+        let mut harness = Harness::new(large_deployment(Idempotency::Idempotent, 600), workers);
+        assert!(
+            harness.out.is_empty(),
+            "a worker list without jobs causes actions"
+        );
         let (mut probed, mut timers) = (0, 0);
         for id in 0..200u64 {
             let now = id * SECOND / 4;
-            rig.at(now, job_of(id, id as u32 % 2));
-            probed += probes(&rig.out).len();
-            timers += rig
+            harness.handle(now, job_of(id, id as u32 % 2));
+            probed += probes(&harness.out).len();
+            timers += harness
                 .out
                 .iter()
                 .filter(|a| matches!(a, Action::SetTimer { .. }))
                 .count();
-            for w in probes(&rig.out.clone()) {
-                rig.report(now + 5000, w.0 as u32, 4.0);
-                timers += rig
+            for w in probes(&harness.out.clone()) {
+                harness.report(now + 5000, w.0 as u32, 4.0);
+                timers += harness
                     .out
                     .iter()
                     .filter(|a| matches!(a, Action::SetTimer { .. }))
                     .count();
             }
-            rig.at(
+            harness.handle(
                 now + 6000,
                 Event::AttemptStarted {
                     request: RequestId(id),
@@ -86,146 +88,160 @@
     }
 }
 
-/// Guards against a blind draw: a job waits for all the answers and goes where there is most capacity.
-/// Half of the jobs sent on a single free slot wait there, since others are sent on it too.
+/// A job waits for the answers of all its probes instead of taking the first free slot: half of the
+/// jobs that are sent to a single free slot are queued there, since other dispatchers use it too.
 #[test]
 fn a_job_waits_for_all_its_probes() {
-    let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
-    assert_eq!(rig.at(0, job_of(1, 0)), [], "probing");
-    let probed = probes(&rig.out);
+    let mut harness = Harness::new(large_deployment(Idempotency::Idempotent, 600), 300);
+    assert_eq!(
+        harness.handle(0, job_of(1, 0)),
+        [],
+        "the job waits for its probes"
+    );
+    let probed = probes(&harness.out);
     assert_eq!(probed.len(), 4, "{probed:?}");
-    // Reports are noisy: nine tenths of a slot is one.
+    // Reports are noisy: 0.9 free slots are rounded to one.
     for (n, free) in [(0, 0.0), (1, 0.9), (2, 5.0)] {
-        rig.report(5000 + n as u64, probed[n].0 as u32, free);
-        assert_eq!(sent(&rig.out), None, "one has not answered");
+        harness.report(5000 + n as u64, probed[n].0 as u32, free);
+        assert_eq!(
+            first_send(&harness.out),
+            None,
+            "sent before all probes were answered"
+        );
     }
-    rig.report(6000, probed[3].0 as u32, 0.0);
-    assert_eq!(sent(&rig.out), Some(probed[2]));
+    harness.report(6000, probed[3].0 as u32, 0.0);
+    assert_eq!(first_send(&harness.out), Some(probed[2]));
 }
 
-/// What all dispatchers count together is known to those few only that probe in the same
-/// milliseconds: the job goes to the freest of those counted, not to it in proportion, and not to
-/// one that reported more capacity itself.
+/// If the dispatchers counted the attempts in flight, the job goes to the least loaded of the counted
+/// workers, and not to one that itself reported more free slots. The draw need not be random, since
+/// only the few dispatchers that probe in the same milliseconds know the same count.
 #[test]
 fn a_job_goes_to_the_least_loaded_counted_worker() {
     for seed in 0..60 {
-        let mut rig = Rig::seeded(large(Idempotency::Idempotent, 600), 300, seed);
-        // Known since a moment ago, by its own report.
-        rig.report(0, 299, 9.0);
-        rig.at(1000, job_of(1, 0));
-        let probed = probes(&rig.out);
+        let mut harness =
+            Harness::seeded(large_deployment(Idempotency::Idempotent, 600), 300, seed);
+        // Known from its own report, not from a count.
+        harness.report(0, 299, 9.0);
+        harness.handle(1000, job_of(1, 0));
+        let probed = probes(&harness.out);
         for (n, in_flight) in [1.0, 3.0, 2.0, 2.0].into_iter().enumerate() {
-            rig.counted(5000, probed[n].0 as u32, in_flight);
+            harness.report_count(5000, probed[n].0 as u32, in_flight);
         }
-        assert_eq!(sent(&rig.out), Some(probed[0]), "seed {seed}");
+        assert_eq!(first_send(&harness.out), Some(probed[0]), "seed {seed}");
     }
 }
 
-/// A slot of the own zone weighs two of another, whose crossing would have its price.
+/// A free slot of the own zone weighs as much as two of another zone, since traffic between zones
+/// costs more.
 #[test]
-fn the_least_loaded_worker_is_sought_in_the_own_zone_first() {
-    let mut s = large(Idempotency::Idempotent, 600);
+fn the_own_zone_counts_double_among_counted_workers() {
+    let mut s = large_deployment(Idempotency::Idempotent, 600);
     s.zone = ZoneId(3);
     for (in_flight, to) in [(5.0, 12), (7.0, 10)] {
-        // The walk of the probes begins after the seed; the own zone has 12 to 15.
-        let mut rig = Rig::seeded(s.clone(), 300, 9);
-        rig.at(0, job_of(1, 0));
+        // The first probed worker is the one after the seed; the own zone has the workers 12 to 15.
+        let mut harness = Harness::seeded(s.clone(), 300, 9);
+        harness.handle(0, job_of(1, 0));
         for (n, in_flight) in [3.0, 9.0, in_flight, 9.0].into_iter().enumerate() {
-            rig.counted(5000, 10 + n as u32, in_flight);
+            harness.report_count(5000, 10 + n as u32, in_flight);
         }
-        assert_eq!(sent(&rig.out), Some(WorkerId(to)), "{in_flight} in_flight");
+        assert_eq!(
+            first_send(&harness.out),
+            Some(WorkerId(to)),
+            "{in_flight} in flight at worker 12"
+        );
     }
 }
 
-/// What was counted a while ago is no capacity: at 300 dispatchers half of all jobs went to full
-/// workers while the fleet was too small, by what their nodes remembered of them. The job probes
-/// anew, also where most of the fleet had reported.
+/// Old counts are not used: with 300 dispatchers and too small a fleet, half of all jobs went to full
+/// workers because of counts that the nodes had stored. The job probes again, even if there are
+/// counts of the whole fleet.
 #[test]
-fn old_counts_are_probed_for_anew() {
+fn a_job_probes_again_when_counts_are_old() {
     for counted in [20, 300] {
-        let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
-        (0..counted).for_each(|w| rig.counted(0, w, 3.0));
+        let mut harness = Harness::new(large_deployment(Idempotency::Idempotent, 600), 300);
+        (0..counted).for_each(|w| harness.report_count(0, w, 3.0));
         let mut now = SECOND / 5;
-        rig.at(now, job_of(1, 0));
-        assert_eq!(sent(&rig.out), None, "{counted} counted");
+        harness.handle(now, job_of(1, 0));
+        assert_eq!(first_send(&harness.out), None, "{counted} counted");
         for _ in 0..3 {
-            let probed = probes(&rig.out);
+            let probed = probes(&harness.out);
             assert_eq!(probed.len(), 4, "{counted} counted: probes");
-            let wake = timer(&rig.out);
+            let next_timer = timer(&harness.out);
             for worker in probed {
-                rig.counted(now + 5000, worker.0 as u32, 12.0);
+                harness.report_count(now + 5000, worker.0 as u32, 12.0);
                 assert_eq!(
-                    sent(&rig.out),
+                    first_send(&harness.out),
                     None,
-                    "{counted} counted: sent on what is old"
+                    "{counted} counted: sent because of an old count"
                 );
             }
-            let (at, n) = wake.expect("probes on");
+            let (at, n) = next_timer.expect("no timer is set");
             now = at;
-            rig.at(now, Event::TimerExpired(TimerId(n)));
+            harness.handle(now, Event::TimerExpired(TimerId(n)));
         }
-        let probed = probes(&rig.out);
+        let probed = probes(&harness.out);
         for (n, worker) in probed.iter().enumerate() {
             let in_flight = if n == 2 { 8.0 } else { 9.0 };
-            rig.counted(now + 5000, worker.0 as u32, in_flight);
+            harness.report_count(now + 5000, worker.0 as u32, in_flight);
         }
-        assert_eq!(sent(&rig.out), Some(probed[2]));
+        assert_eq!(first_send(&harness.out), Some(probed[2]));
     }
 }
 
-/// Where no worker has capacity every job probes, for nothing, and that is a load as well: each round
-/// comes at twice the time since the first, so that a job that finds none probes four times, not six,
-/// and is given up after four tenths of what its slack.
+/// If no worker has a free slot, every job probes in vain, which adds load. Each round ends at twice
+/// the time of the one before, so that such a job probes four times instead of six, and is given up
+/// after four tenths of its slack.
 #[test]
 fn a_job_that_finds_no_free_slot_probes_with_backoff() {
-    let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
-    rig.at(0, job_of(1, 0));
+    let mut harness = Harness::new(large_deployment(Idempotency::Idempotent, 600), 300);
+    harness.handle(0, job_of(1, 0));
     let mut probed = vec![];
     loop {
         let now = probed.last().map_or(0, |(_, at)| *at);
-        let wake = timer(&rig.out);
-        let Some((at, n)) = wake else {
+        let next_timer = timer(&harness.out);
+        let Some((at, n)) = next_timer else {
             break;
         };
-        probed.push((probes(&rig.out).len(), at));
-        for worker in probes(&rig.out.clone()) {
-            rig.counted(now + 5000, worker.0 as u32, 12.0);
+        probed.push((probes(&harness.out).len(), at));
+        for worker in probes(&harness.out.clone()) {
+            harness.report_count(now + 5000, worker.0 as u32, 12.0);
         }
-        rig.at(at, Event::TimerExpired(TimerId(n)));
+        harness.handle(at, Event::TimerExpired(TimerId(n)));
     }
     let first = probed[0].1;
     let at: Vec<u64> = probed.iter().map(|(_, at)| at / first).collect();
     assert_eq!(at, [1, 2, 4, 8]);
     assert!(probed.iter().all(|(probes, _)| *probes == 4), "{probed:?}");
     assert!(
-        matches!(rig.out[..], [Action::Reject { .. }]),
+        matches!(harness.out[..], [Action::Reject { .. }]),
         "{:?}",
-        rig.out
+        harness.out
     );
 }
 
-/// Where none of them has capacity, the job goes to the first that shows some.
+/// If no probed worker has a free slot, the job goes to the first worker that reports one.
 #[test]
-fn a_probing_job_goes_when_any_worker_has_a_free_slot() {
-    let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
-    rig.at(0, job_of(1, 0));
-    for w in probes(&rig.out.clone()) {
-        rig.report(5000, w.0 as u32, 0.0);
-        assert_eq!(sent(&rig.out), None);
+fn a_probing_job_is_sent_when_any_worker_reports_a_free_slot() {
+    let mut harness = Harness::new(large_deployment(Idempotency::Idempotent, 600), 300);
+    harness.handle(0, job_of(1, 0));
+    for w in probes(&harness.out.clone()) {
+        harness.report(5000, w.0 as u32, 0.0);
+        assert_eq!(first_send(&harness.out), None);
     }
-    rig.report(9000, 299, 1.0);
-    assert_eq!(sent(&rig.out), Some(WorkerId(299)));
+    harness.report(9000, 299, 1.0);
+    assert_eq!(first_send(&harness.out), Some(WorkerId(299)));
 }
 
-/// A job probes others while none has capacity, and is given up well before it is late: in a worker's
-/// queue it would be in the way of jobs that can still be in time. It says when to come back, and
-/// probes no longer than its client waits.
+/// A job that finds no free slot probes again, and is rejected well before it misses its latency
+/// objective: queued at a worker, it would delay jobs that can still meet theirs. The rejection
+/// carries a retry time, and a job never probes beyond its deadline.
 #[test]
-fn a_probing_job_probes_on_and_is_rejected_in_good_time() {
-    for (left, latest) in [(10 * SECOND, SECOND), (SECOND / 5, SECOND / 5), (1, 1)] {
-        let mut rig = Rig::new(large(Idempotency::Idempotent, 600), 300);
-        let time_left = Micros(left);
-        rig.at(
+fn a_job_without_a_free_slot_probes_again_and_is_rejected_early() {
+    for (time_left_us, latest) in [(10 * SECOND, SECOND), (SECOND / 5, SECOND / 5), (1, 1)] {
+        let mut harness = Harness::new(large_deployment(Idempotency::Idempotent, 600), 300);
+        let time_left = Micros(time_left_us);
+        harness.handle(
             0,
             Event::JobReceived(Job {
                 time_left,
@@ -234,17 +250,17 @@
         );
         let (mut now, mut rounds) = (0, 0);
         let answer = loop {
-            for w in probes(&rig.out.clone()) {
-                let timers = rig.out.clone();
-                rig.report(now, w.0 as u32, 0.0);
-                assert_eq!(sent(&rig.out), None);
-                rig.out = timers;
+            for w in probes(&harness.out.clone()) {
+                let timers = harness.out.clone();
+                harness.report(now, w.0 as u32, 0.0);
+                assert_eq!(first_send(&harness.out), None);
+                harness.out = timers;
             }
-            let wake = timer(&rig.out);
-            let (at, n) = wake.expect("probes on");
+            let next_timer = timer(&harness.out);
+            let (at, n) = next_timer.expect("no timer is set");
             (now, rounds) = (at, rounds + 1);
-            assert!(rounds < 50, "without end");
-            if let Some(last) = rig.at(at, Event::TimerExpired(TimerId(n))).first() {
+            assert!(rounds < 50, "the job probes without end");
+            if let Some(last) = harness.handle(at, Event::TimerExpired(TimerId(n))).first() {
                 break last.clone();
             }
         };
@@ -259,34 +275,34 @@
             "{answer:?}"
         );
         assert!(now <= latest, "{now}");
-        assert!(rounds > 2 || left < SECOND, "{rounds} rounds");
+        assert!(rounds > 2 || time_left_us < SECOND, "{rounds} rounds");
     }
 }
 
-/// Guards against waiting at a worker that has failed: a job that has not started goes to one with
-/// capacity and the first attempt is cancelled; only where hedging is allowed, and only there. A hedge
-/// does not take the first one back: where every queued job is hedged, the hedges of 100
-/// dispatchers make the next jobs wait.
+/// A job that is queued at a worker that has failed another attempt is hedged: it is sent to a worker
+/// with a free slot and the first attempt is cancelled. This happens only if hedging is allowed and
+/// only for failed workers. A cancelled attempt may still run: if every queued job were hedged, the
+/// hedges of 100 dispatchers would delay the next jobs.
 #[test]
 fn a_queued_job_is_hedged_away_from_a_failed_worker() {
-    let group = Idempotency::Keyed {
+    let keyed_by_cell = Idempotency::Keyed {
         scope: DeduplicationScope::Cell,
         window: Micros(9 * SECOND),
     };
-    for (idempotency, hedging, fails, moves) in [
+    for (idempotency, hedging, has_failed, is_hedged) in [
         (Idempotency::Idempotent, true, true, true),
-        (group, true, true, true),
+        (keyed_by_cell, true, true, true),
         (Idempotency::Idempotent, true, false, false),
         (Idempotency::Idempotent, false, true, false),
         (Idempotency::NotIdempotent, true, true, false),
     ] {
-        let mut s = large(idempotency, 600);
+        let mut s = large_deployment(idempotency, 600);
         s.limits.hedging = hedging;
-        let mut rig = Rig::new(s, 4);
-        (0..4).for_each(|w| rig.report(0, w, 1.0));
-        let first = rig.place(0, 1);
-        if fails {
-            rig.at(
+        let mut harness = Harness::new(s, 4);
+        (0..4).for_each(|w| harness.report(0, w, 1.0));
+        let first = harness.submit_and_send(0, 1);
+        if has_failed {
+            harness.handle(
                 SECOND / 4,
                 Event::ProbeEnded {
                     worker: first,
@@ -295,151 +311,158 @@
                 },
             );
         }
-        rig.at(SECOND / 2, Event::TimerExpired(TimerId(1)));
-        let mut moved = None;
+        harness.handle(SECOND / 2, Event::TimerExpired(TimerId(1)));
+        let mut hedged_to = None;
         for w in (0..4).filter(|w| u64::from(*w) != first.0) {
-            rig.report(SECOND / 2 + 5000, w, 1.0);
-            if let Some(to) = sent(&rig.out) {
-                moved = Some(to);
-                assert!(rig.out.contains(&Action::Cancel {
+            harness.report(SECOND / 2 + 5000, w, 1.0);
+            if let Some(to) = first_send(&harness.out) {
+                hedged_to = Some(to);
+                assert!(harness.out.contains(&Action::Cancel {
                     request: RequestId(1),
                     attempt: 0
                 }));
             }
         }
-        assert_eq!(moved.is_some(), moves, "{idempotency:?} {hedging} {fails}");
-        if let (Idempotency::Keyed { .. }, Some(to)) = (idempotency, moved) {
-            assert_eq!(to.0 / 2, first.0 / 2, "within its cell");
+        assert_eq!(
+            hedged_to.is_some(),
+            is_hedged,
+            "{idempotency:?} {hedging} {has_failed}"
+        );
+        if let (Idempotency::Keyed { .. }, Some(to)) = (idempotency, hedged_to) {
+            assert_eq!(to.0 / 2, first.0 / 2, "hedged in another cell");
         }
     }
 }
 
-/// Guards the fourth rule at size: a part of a cold worker's budget is below one job, so some of
-/// 200 dispatchers may send a whole one and the sum stays within the budget. They are others in
-/// each window: a worker that has to wait for the same few finds them without a job, and stays idle
-/// while it warms up.
+/// With 200 dispatchers, each one's share of a cold worker's budget is less than one job. Some may
+/// send a whole job, so that the sum stays within the budget, and these change with each window: if
+/// they were always the same few, these would often have no job and the worker would stay idle while
+/// it warms up.
 #[test]
-fn the_parts_of_all_dispatchers_keep_a_cold_workers_budget_and_use_it() {
+fn all_dispatchers_together_use_a_cold_workers_budget_and_no_more() {
     for id in [0, 7, 123] {
-        let mut s = large(Idempotency::Idempotent, 200);
+        let mut s = large_deployment(Idempotency::Idempotent, 200);
         s.limits.probes = false;
-        s.classes[0].latency_objective = Micros(SECOND / 2); // the first guess of a job's length
+        s.classes[0].latency_objective = Micros(SECOND / 2); // initial estimate of the run time
         s.rules.initial_capacity = 0.25;
         s.rules.warm_up = Micros(800 * SECOND);
         let start = 100 * SECOND;
-        let mut rigs: Vec<Rig> = (0..200)
+        let mut harnesses: Vec<Harness> = (0..200)
             .map(|index| {
-                let mut rig = Rig::new(Settings { index, ..s.clone() }, 0);
+                let mut harness = Harness::new(Settings { index, ..s.clone() }, 0);
                 let cold = WorkerEntry {
                     started_at: Some(Micros(start)),
                     ..worker(id)
                 };
-                rig.at(
+                harness.handle(
                     start,
                     Event::WorkerList {
                         kind: WorkerListKind::Full,
                         workers: vec![cold],
                     },
                 );
-                rig
+                harness
             })
             .collect();
         let mut senders = std::collections::BTreeSet::new();
         for window in 0..8 {
             let now = start + window * SECOND;
             let mut sum = 0;
-            for (index, rig) in rigs.iter_mut().enumerate() {
-                rig.report(now, id, 4.0);
+            for (index, harness) in harnesses.iter_mut().enumerate() {
+                harness.report(now, id, 4.0);
                 for n in 0..4 {
                     let n = 10 * window + n;
-                    if sent(&rig.at(now, job_of(n, n as u32 % 2))).is_some() {
-                        rig.end(now, n, 0, WorkerId(id.into()), Outcome::Served);
+                    if first_send(&harness.handle(now, job_of(n, n as u32 % 2))).is_some() {
+                        harness.end_attempt(now, n, 0, WorkerId(id.into()), Outcome::Served);
                         sum += 1;
                         senders.insert(index);
                     }
                 }
             }
-            // Factor 2, a quarter of 4 slots, one second: four half-second jobs.
+            // The budget is 2 * 0.25 * 4 slots * 1 s = 2 slot-seconds, or four half-second jobs.
             assert_eq!(sum, 4, "worker {id}, window {window}");
         }
-        assert!(senders.len() >= 16, "always the same {senders:?}");
+        assert!(
+            senders.len() >= 16,
+            "too few different senders: {senders:?}"
+        );
     }
 }
 
-/// However many dispatchers there are, and wherever a window begins: all of them together send a
-/// cold worker no more than its budget of calls and what the rule puts down to chance, though each
-/// has a job for it at all times.
+/// Whatever the number of dispatchers and the start of the window, all dispatchers together send a
+/// cold worker no more than its budget and the random excess that the rule tolerates, even if each
+/// always has a job for it.
 #[test]
-fn no_window_of_a_cold_worker_holds_more_than_its_budget_and_chance() {
+fn no_window_of_a_cold_worker_holds_more_than_its_budget_and_tolerance() {
     const STEP: u64 = SECOND / 40;
     for dispatchers in [3, 20, 30, 300] {
         for budget in [1, 2, 4, 8, 15, 20, 25, 29, 40, 60, 150] {
-            let mut s = large(Idempotency::Idempotent, dispatchers);
+            let mut s = large_deployment(Idempotency::Idempotent, dispatchers);
             s.limits.probes = false;
-            // Factor 2, a quarter of 4 slots, one second: two slot-seconds, in so many jobs.
+            // The budget is 2 * 0.25 * 4 slots * 1 s = 2 slot-seconds, or `budget` jobs of this length.
             s.classes[0].latency_objective = Micros(2 * SECOND / budget);
             s.rules.initial_capacity = 0.25;
             s.rules.warm_up = Micros(8000 * SECOND);
             let start = 100 * SECOND;
-            let mut rigs: Vec<Rig> = (0..dispatchers)
+            let mut harnesses: Vec<Harness> = (0..dispatchers)
                 .map(|index| {
-                    let mut rig = Rig::new(Settings { index, ..s.clone() }, 0);
+                    let mut harness = Harness::new(Settings { index, ..s.clone() }, 0);
                     let cold = WorkerEntry {
                         started_at: Some(Micros(start)),
                         ..worker(7)
                     };
-                    rig.at(
+                    harness.handle(
                         start,
                         Event::WorkerList {
                             kind: WorkerListKind::Full,
                             workers: vec![cold],
                         },
                     );
-                    rig
+                    harness
                 })
                 .collect();
             let mut sends = Vec::new();
             for step in 0..200 {
                 let now = start + step * STEP;
-                for rig in &mut rigs {
-                    rig.report(now, 7, 4.0);
-                    while sent(&rig.at(now, job_of(step, 0))).is_some() {
-                        rig.end(now, step, 0, WorkerId(7), Outcome::Cancelled);
+                for harness in &mut harnesses {
+                    harness.report(now, 7, 4.0);
+                    while first_send(&harness.handle(now, job_of(step, 0))).is_some() {
+                        harness.end_attempt(now, step, 0, WorkerId(7), Outcome::Cancelled);
                         sends.push(now);
                     }
                 }
             }
             let budget = budget as f64;
-            let most = budget + 2.0 * budget.sqrt() + 2.0;
+            let max_allowed = budget + 2.0 * budget.sqrt() + 2.0;
             let in_window = |from: u64| {
                 sends
                     .iter()
                     .filter(|at| (from..from + SECOND).contains(at))
                     .count()
             };
-            let fullest = sends.iter().map(|from| in_window(*from)).max();
-            let fullest = fullest.unwrap_or(0) as f64;
+            let max_in_window = sends.iter().map(|from| in_window(*from)).max();
+            let max_in_window = max_in_window.unwrap_or(0) as f64;
             assert!(
-                fullest <= most,
-                "{dispatchers} dispatchers, {budget} calls: {fullest} in a window"
+                max_in_window <= max_allowed,
+                "{dispatchers} dispatchers, budget {budget}: {max_in_window} jobs in a window"
             );
             let mean = sends.len() as f64 / 5.0;
-            let few = f64::min(budget / 3.0, f64::from(dispatchers) / 2.0);
+            let min_mean = f64::min(budget / 3.0, f64::from(dispatchers) / 2.0);
             assert!(
-                mean >= few,
-                "{dispatchers} dispatchers, {budget} calls: {mean} in the mean"
+                mean >= min_mean,
+                "{dispatchers} dispatchers, budget {budget}: only {mean} jobs per window on average"
             );
         }
     }
 }
 
-/// A dispatcher that has just started has forgotten what it sent to a cold worker, so it waits a
-/// window.
+/// A dispatcher that has just started does not know what it sent to a cold worker before, so it waits
+/// for one overload window.
 #[test]
 fn a_restarted_dispatcher_sends_a_cold_worker_nothing_at_first() {
-    let mut s = large(Idempotency::Idempotent, 1);
+    let mut s = large_deployment(Idempotency::Idempotent, 1);
     s.limits.probes = false;
-    let mut rig = Rig::new(s, 0);
+    let mut harness = Harness::new(s, 0);
     let cold = |now| {
         let started = Some(Micros(now));
         Event::WorkerList {
@@ -450,31 +473,31 @@
             }],
         }
     };
-    rig.at(0, cold(0));
-    rig.report(0, 0, 40.0);
-    assert_eq!(sent(&rig.at(SECOND / 2, job_of(1, 0))), None);
-    rig.report(2 * SECOND, 0, 40.0);
-    assert!(sent(&rig.at(2 * SECOND, job_of(2, 0))).is_some());
+    harness.handle(0, cold(0));
+    harness.report(0, 0, 40.0);
+    assert_eq!(first_send(&harness.handle(SECOND / 2, job_of(1, 0))), None);
+    harness.report(2 * SECOND, 0, 40.0);
+    assert!(first_send(&harness.handle(2 * SECOND, job_of(2, 0))).is_some());
 }
 
-/// Guards against old reports that open every dispatcher's gate at once: a flooding tenant's
-/// uncharged jobs take turns, and those of another tenant do not wait for them.
+/// Old reports must not open the gate of every dispatcher at once: the jobs of a flooding tenant that
+/// have no token are spaced out, and those of another tenant do not wait for them.
 #[test]
-fn uncharged_jobs_of_a_tenant_take_turns() {
-    let mut s = tenants(settings(Idempotency::Idempotent), &[0.01, 0.01]);
+fn uncharged_jobs_of_a_tenant_are_spaced_out() {
+    let mut s = with_tenants(settings(Idempotency::Idempotent), &[0.01, 0.01]);
     s.dispatchers = 100;
-    let mut rig = Rig::new(s, 40);
+    let mut harness = Harness::new(s, 40);
     for w in 0..40 {
-        rig.report(0, w, 4.0);
+        harness.report(0, w, 4.0);
     }
     let now = SECOND / 2;
     let mut passed = [0; 2];
     for id in 0..20 {
         let tenant = usize::from(id >= 15);
-        if let Some(to) = sent(&rig.at(now, job_of(id, tenant as u32))) {
+        if let Some(to) = first_send(&harness.handle(now, job_of(id, tenant as u32))) {
             passed[tenant] += 1;
             assert!(to.0 < 40);
-            rig.at(
+            harness.handle(
                 now,
                 Event::AttemptStarted {
                     request: RequestId(id),
@@ -483,36 +506,44 @@
             );
         }
     }
-    // One token at the start for the first, then one turn each.
+    // The first job takes the only token; after that, one job of each tenant is admitted.
     assert_eq!(passed, [2, 1]);
 }
 
-/// Overload is detected by the few workers where own attempts were; one that has only just been sent to is
-/// no evidence of the contrary, and one that shows capacity is.
+/// Overload is detected from the few workers that this dispatcher sent attempts to. A worker that
+/// reports free slots shows that there is none, but a worker that was only just sent a job does not.
 #[test]
 fn overload_is_detected_from_few_reports() {
-    let mut s = large(Idempotency::NotIdempotent, 600);
+    let mut s = large_deployment(Idempotency::NotIdempotent, 600);
     s.limits.probes = false;
-    let mut rig = Rig::new(s, 300);
+    let mut harness = Harness::new(s, 300);
     for id in 0..12 {
-        rig.place_or_none(id * SECOND / 2, id);
+        harness.submit(id * SECOND / 2, id);
     }
-    assert_eq!(rig.place_or_none(30 * SECOND, 50), None, "all wait");
-    rig.report(31 * SECOND, 299, 4.0);
+    assert_eq!(
+        harness.submit(30 * SECOND, 50),
+        None,
+        "admitted though all attempts are queued"
+    );
+    harness.report(31 * SECOND, 299, 4.0);
     assert!(
-        rig.place_or_none(31 * SECOND, 51).is_some(),
-        "capacity is reported"
+        harness.submit(31 * SECOND, 51).is_some(),
+        "rejected though free slots are reported"
+    );
+    assert_eq!(
+        harness.submit(31 * SECOND + 1, 52),
+        None,
+        "admitted because of a worker that was just sent a job"
     );
-    assert_eq!(rig.place_or_none(31 * SECOND + 1, 52), None, "just sent");
 }
 
-/// No report shows any capacity: nothing passes uncharged, however few slots are known.
+/// If no report shows a free slot, no job without a token is admitted, however few slots are known.
 #[test]
 fn no_reported_free_slot_keeps_the_gate_closed() {
-    let mut s = tenants(settings(Idempotency::Idempotent), &[0.01]);
+    let mut s = with_tenants(settings(Idempotency::Idempotent), &[0.01]);
     s.dispatchers = 9;
-    let mut rig = Rig::new(s, 1);
-    rig.report(0, 0, 0.0);
-    rig.place(0, 1);
-    assert!(sent(&rig.at(0, job_of(2, 0))).is_none());
+    let mut harness = Harness::new(s, 1);
+    harness.report(0, 0, 0.0);
+    harness.submit_and_send(0, 1);
+    assert!(first_send(&harness.handle(0, job_of(2, 0))).is_none());
 }
--- a/crates/dispatcher/tests/random_histories.rs
+++ b/crates/dispatcher/tests/random_histories.rs
@@ -1,4 +1,6 @@
-//! The four rules under random legal event sequences, against an independent checker.
+//! Random legal event sequences against an independent checker of the rules: no attempt for a closed
+//! request, no forbidden repeat, none to a worker that is not ready, no overload of a cold worker, one
+//! final answer, and no rejection unless a retry is harmless.
 
 mod common;
 use common::*;
@@ -37,11 +39,11 @@
     slot_seconds: f64,
 }
 
-/// The four rules, written down again without the help of the crate.
+/// Checks the rules independently of the crate.
 struct Checker {
     idempotency: Idempotency,
     requests: HashMap<u64, OpenRequest>,
-    /// Each worker's state, and when it started.
+    /// State and start time of each worker.
     workers: HashMap<WorkerId, (WorkerState, Option<u64>)>,
     cold_sends: Vec<ColdSend>,
     violations: Vec<String>,
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Half-second jobs of a slot each: this dispatcher's part of what the worker bears in a
-    /// second.
+    /// Checks that the worker is sent no more than this dispatcher's share of its budget in a second.
+    /// All jobs run for half a second in one slot.
     fn check_cold_send(&mut self, now: u64, worker: WorkerId, started_at: u64) {
         let progress = (now - started_at) as f64 / WARM_UP as f64;
         let capacity = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * progress;
@@ -171,14 +173,14 @@
     worker: WorkerId,
 }
 
-struct Player {
+struct Simulation {
     random: oorandom::Rand64,
     checker: Checker,
     in_flight: Vec<InFlight>,
     now: u64,
 }
 
-impl Player {
+impl Simulation {
     fn below(&mut self, bound: u64) -> u64 {
         self.random.rand_range(0..bound)
     }
@@ -192,7 +194,7 @@
             5 if self.below(4) == 0 => self.change_worker(worker),
             6 => Event::TimerExpired(TimerId(0)),
             _ if self.in_flight.is_empty() => Event::TimerExpired(TimerId(0)),
-            choice => self.end_attempt(choice),
+            event_kind => self.end_attempt(event_kind),
         }
     }
 
@@ -232,11 +234,11 @@
         }
     }
 
-    fn end_attempt(&mut self, choice: u64) -> Event {
+    fn end_attempt(&mut self, event_kind: u64) -> Event {
         let position = self.below(self.in_flight.len() as u64) as usize;
         let ended = self.in_flight.swap_remove(position);
         let is_late = self.now >= self.checker.requests[&ended.request].deadline;
-        let outcome = match choice {
+        let outcome = match event_kind {
             _ if is_late => Outcome::TimedOut,
             7 | 8 => Outcome::Served,
             _ => OUTCOMES[self.below(7) as usize],
@@ -255,7 +257,7 @@
         })
     }
 
-    fn carry_out(&mut self, actions: &[Action]) {
+    fn apply_actions(&mut self, actions: &[Action]) {
         self.checker.check(self.now, actions);
         for action in actions {
             if let Action::Send {
@@ -276,7 +278,7 @@
         for (id, request) in &self.checker.requests {
             let in_flight = self.in_flight.iter().any(|a| a.request == *id);
             if !request.ended && !in_flight {
-                let violation = format!("{id} was left without an end");
+                let violation = format!("{id} was left without a final answer");
                 self.checker.violations.push(violation);
             }
         }
@@ -296,35 +298,35 @@
     }
 }
 
-/// Plays a random legal sequence and gives the violations. `corrupt` may falsify what the
-/// dispatcher sees, to show that the checker notices.
-fn play(idempotency: Idempotency, seed: u64, corrupt: fn(&mut Event)) -> Vec<String> {
-    let mut settings = tenants(settings(idempotency), &[200.0, 100.0]);
+/// Runs a random legal event sequence and returns the violations. `corrupt` may falsify the events
+/// that the dispatcher sees, to show that the checker detects violations.
+fn simulate(idempotency: Idempotency, seed: u64, corrupt: fn(&mut Event)) -> Vec<String> {
+    let mut settings = with_tenants(settings(idempotency), &[200.0, 100.0]);
     settings.dispatchers = DISPATCHERS;
     settings.rules.initial_capacity = INITIAL_CAPACITY;
     settings.rules.warm_up = Micros(WARM_UP);
     settings.classes[0].latency_objective = Micros(SECOND / 10);
-    let mut rig = Rig::seeded(settings, WORKERS as u32, seed);
-    let mut player = Player {
+    let mut harness = Harness::seeded(settings, WORKERS as u32, seed);
+    let mut simulation = Simulation {
         random: oorandom::Rand64::new(u128::from(seed)),
         checker: Checker::new(idempotency),
         in_flight: Vec::new(),
         now: SECOND,
     };
     for id in 0..EVENTS {
-        let mut event = player.next_event(id);
+        let mut event = simulation.next_event(id);
         corrupt(&mut event);
-        let actions = rig.at(player.now, event);
-        player.carry_out(&actions);
+        let actions = harness.handle(simulation.now, event);
+        simulation.apply_actions(&actions);
     }
-    player.finish()
+    simulation.finish()
 }
 
 #[test]
-fn random_sequences_keep_the_rules() {
+fn random_sequences_obey_the_rules() {
     for idempotency in idempotencies() {
         for seed in 0..10 {
-            let violations = play(idempotency, seed, |_| ());
+            let violations = simulate(idempotency, seed, |_| ());
             assert_eq!(violations, Vec::<String>::new(), "{idempotency:?} {seed}");
         }
     }
@@ -359,26 +361,26 @@
     }
 }
 
-/// The checker notices each kind of violation: here the dispatcher is told untruths, so that it
-/// acts against the rules.
+/// The checker detects each kind of violation. The dispatcher is given falsified events, so that it
+/// breaks the rules.
 #[test]
-fn the_checker_notices_broken_rules() {
-    let notices = |idempotency, violation: &str, corrupt: fn(&mut Event)| {
-        let found = play(idempotency, 1, corrupt);
-        let noticed = found.iter().any(|text| text.contains(violation));
-        assert!(noticed, "{violation}: {found:?}");
+fn the_checker_detects_broken_rules() {
+    let assert_detected = |idempotency, violation: &str, corrupt: fn(&mut Event)| {
+        let found = simulate(idempotency, 1, corrupt);
+        let detected = found.iter().any(|text| text.contains(violation));
+        assert!(detected, "{violation}: {found:?}");
     };
-    notices(Idempotency::NotIdempotent, "ran twice", report_rejections);
-    notices(Idempotency::NotIdempotent, "rejected", report_rejections);
-    notices(
+    assert_detected(Idempotency::NotIdempotent, "ran twice", report_rejections);
+    assert_detected(Idempotency::NotIdempotent, "rejected", report_rejections);
+    assert_detected(
         Idempotency::Idempotent,
         "sent after the end",
         report_open_requests,
     );
-    notices(
+    assert_detected(
         Idempotency::Idempotent,
         "which is Draining",
         report_all_ready,
     );
-    notices(Idempotency::Idempotent, "overloaded", report_all_warm);
+    assert_detected(Idempotency::Idempotent, "overloaded", report_all_warm);
 }
