--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Pins the datagrams between nodes, byte by byte.
+//! Compares the datagrams between nodes with recorded ones, byte by byte, and the owners of workers.
 
 use marbledeck_dispatcher::{Micros, WorkerId};
 use marbledeck_gossip::message::Message;
@@ -56,44 +56,50 @@
 }
 
 #[test]
-fn datagrams_keep_their_form() {
+fn datagrams_match_the_recorded_bytes() {
     let mut text = String::new();
     for (name, message) in messages() {
-        writeln!(text, "{name}: {}", hex(&message.encode())).expect("a string takes it");
+        writeln!(text, "{name}: {}", hex(&message.encode())).expect("writing to a string succeeds");
     }
     insta::assert_snapshot!("datagrams", text);
 }
 
 #[test]
-fn datagrams_are_read_back_and_others_are_dropped() {
+fn valid_datagrams_are_decoded_and_invalid_ones_are_dropped() {
     for (name, message) in messages() {
-        let read = Message::decode(&message.encode()).expect("known");
-        assert_eq!(read.encode(), message.encode(), "{name}");
+        let decoded = Message::decode(&message.encode()).expect("the datagram is valid");
+        assert_eq!(decoded.encode(), message.encode(), "{name}");
     }
-    for strange in [
+    for invalid in [
         &[][..],
         &[0x21, 0, 0, 0, 1],
         &[0x12, 0, 0, 0, 1, 9],
         &[0x14, 0, 0, 0, 1],
     ] {
-        assert!(Message::decode(strange).is_none(), "{strange:?}");
+        assert!(Message::decode(invalid).is_none(), "{invalid:?}");
     }
 }
 
 #[test]
-fn short_names_and_owners_of_workers_stay() {
+fn short_ids_and_owners_match_the_recorded_ones() {
     let mut text = String::new();
     for id in [0, 1, 0xFFFF_FFFF, 0x1_0000_0000, 0x0123_4567_89AB_CDEF] {
-        let short = short_id(WorkerId(id));
-        let owners: Vec<usize> = [1, 2, 5, 300].map(|nodes| owner_of(short, nodes)).to_vec();
-        writeln!(text, "{id:016x}: {short:08x}, owners {owners:?}").expect("a string takes it");
+        let short_id_of_worker = short_id(WorkerId(id));
+        let owners: Vec<usize> = [1, 2, 5, 300]
+            .map(|nodes| owner_of(short_id_of_worker, nodes))
+            .to_vec();
+        writeln!(
+            text,
+            "{id:016x}: {short_id_of_worker:08x}, owners {owners:?}"
+        )
+        .expect("writing to a string succeeds");
     }
     insta::assert_snapshot!("owners", text);
 }
 
-/// All that two nodes send each other while calls begin, end and are asked about.
+/// All datagrams of five nodes while attempts start, end and are queried.
 #[test]
-fn a_history_sends_the_same_datagrams() {
+fn a_history_sends_the_recorded_datagrams() {
     let mut nodes: Vec<InFlightGossip> = (0..NODES)
         .map(|index| InFlightGossip::new(index, NODES, Micros(0)))
         .collect();
@@ -119,7 +125,7 @@
     for from in 0..nodes.len() {
         while let Some((to, bytes)) = nodes[from].next_datagram() {
             writeln!(text, "{:>7} {from} to {to}: {}", now.0, hex(&bytes))
-                .expect("a string takes it");
+                .expect("writing to a string succeeds");
             nodes[to].receive(now, from, &bytes);
         }
     }
