--- a/crates/dispatcher/tests/large_fleet.rs
+++ b/crates/dispatcher/tests/large_fleet.rs
@@ -4,7 +4,8 @@
 use common::*;
 use marbledeck_dispatcher::*;
 
-/// Settings of a large deployment, with probes, cancellation and hedging.
+/// Settings of a large deployment, in which there are many more dispatchers than workers that each one
+/// receives reports from. Probes, cancellation and hedging are allowed.
 fn large_deployment(idempotency: Idempotency, dispatchers: u32) -> Settings {
     let mut s = with_tenants(settings(idempotency), &[300.0, 300.0]);
     s.dispatchers = dispatchers;
@@ -511,7 +512,7 @@
 }
 
 /// Overload is detected from the few workers that this dispatcher sent attempts to. A worker that
-/// reports free slots shows that there is none, but a worker that was only just sent a job does not.
+/// reports free slots shows that the fleet is not overloaded; one that was just sent a job does not.
 #[test]
 fn overload_is_detected_from_few_reports() {
     let mut s = large_deployment(Idempotency::NotIdempotent, 600);
