--- a/crates/submission/src/server/arrays.rs
+++ b/crates/submission/src/server/arrays.rs
@@ -21,15 +21,15 @@
     pub(super) members: BTreeSet<JobKey>,
     /// The members that are with the scheduler, of this process or the partner's.
     pub(super) active: BTreeSet<JobKey>,
-    /// The members that wait for their turn, and some that no longer do.
+    /// The members to pass to the scheduler next. Members that became held or ended are skipped when they are taken.
     pub(super) waiting: VecDeque<JobKey>,
     pub(super) running: BTreeSet<JobKey>,
     pub(super) ended: BTreeSet<JobKey>,
-    /// The scheduler has rejected a member: none is passed to it before this time.
+    /// No member is passed to the scheduler before this time, because it has rejected one.
     pub(super) paused_until: Option<Micros>,
-    /// All members are being terminated: none is passed to the scheduler.
+    /// Whether all members are being terminated, so that none is passed to the scheduler.
     pub(super) is_stopped: bool,
-    /// Members are still being added.
+    /// Whether members are still being added; an empty array is kept until then.
     pub(super) is_growing: bool,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Server {
-    /// The array that a job may be a member of, with its key.
+    /// The array with this key, if there is one; also returns the key.
     pub(super) fn array_mut(
         &mut self,
         array: Option<ArrayKey>,
@@ -92,14 +92,14 @@
         Some((key, self.arrays.get_mut(&key)?))
     }
 
-    /// The array with this id.
+    /// Finds the array with this id.
     pub(super) fn find_array(&self, id: &str) -> Result<ArrayKey, Problem> {
         let key = self.ids.parse(id);
         key.filter(|key| self.arrays.contains_key(key))
             .ok_or_else(|| Problem::invalid("no such job array"))
     }
 
-    /// No member is passed to the scheduler before this time.
+    /// Keeps an array from passing members to the scheduler before this time.
     pub(super) fn pause_array(&mut self, array: Option<ArrayKey>, until: Micros) {
         let Some((key, array)) = self.array_mut(array) else {
             return;
@@ -113,7 +113,7 @@
         self.paused_arrays.insert((until, key));
     }
 
-    /// Makes the arrays ready whose pause is over.
+    /// Marks the arrays whose pause is over as ready.
     pub(super) fn resume_paused_arrays(&mut self, now: Micros) {
         while let Some((time, array)) = self.paused_arrays.first().copied() {
             if time > now {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// No more members are added to an array.
+    /// Marks an array as complete, and removes it if it has no members.
     pub(super) fn finish_growing(&mut self, key: ArrayKey) {
         if let Some(array) = self.arrays.get_mut(&key) {
             array.is_growing = false;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A job is no longer with the scheduler: its array may start another member.
+    /// Removes a job that is no longer with the scheduler from its array's active members, so that another can start.
     pub(super) fn deactivate_member(&mut self, job: JobKey, array: Option<ArrayKey>) {
         let Some((key, array)) = self.array_mut(array) else {
             return;
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Removes a member that is no longer visible, and an array without members.
+    /// Removes a member that is no longer visible, and its array if that was the last one.
     pub(super) fn remove_member(&mut self, job: JobKey, array: Option<ArrayKey>) {
         let Some((key, array)) = self.array_mut(array) else {
             return;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// What clients learn about an array.
+    /// The information of an array that is sent to clients.
     pub(super) fn array_info(&self, key: ArrayKey) -> ArrayInfo {
         let Some(array) = self.arrays.get(&key) else {
             return ArrayInfo::default();
--- a/crates/submission/src/server/bulk.rs
+++ b/crates/submission/src/server/bulk.rs
@@ -14,12 +14,12 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// Jobs of a bulk that are submitted in one turn.
+/// The maximum number of members that one bulk submission submits in one turn.
 const MAX_SUBMISSIONS_PER_TURN: usize = 64;
-/// Jobs that one line of an answer to `runBulkJobs` contains.
+/// The number of jobs after which a line of the answer to `runBulkJobs` ends.
 const JOBS_PER_LINE: usize = 256;
 
-/// A `runBulkJobs` request.
+/// The fields of a `runBulkJobs` request.
 pub(super) struct BulkRequest {
     pub(super) template: Template,
     pub(super) begin_index: i64,
@@ -30,19 +30,19 @@
     pub(super) session: Option<String>,
 }
 
-/// A `runBulkJobs` operation that takes several turns.
+/// A `runBulkJobs` operation in progress.
 pub(super) struct BulkTask {
     seq: Value,
     template: Rc<Template>,
     notify: bool,
     session: Option<SessionKey>,
     pub(super) array: ArrayKey,
-    /// The next index; wider than an index, since it may step over the largest one.
+    /// The next index. It is wider than an index because the step after the last member may exceed the largest index.
     next_index: i128,
     step: i128,
-    /// How many jobs are left.
+    /// The number of jobs that are not submitted yet.
     jobs_left: usize,
-    /// The answers that were not sent yet.
+    /// The answers that are not sent yet.
     answers: Vec<BulkJobAnswer>,
 }
 
@@ -81,14 +81,14 @@
         Ok(())
     }
 
-    /// The number of jobs of a bulk.
+    /// The number of members of a bulk job with these indices.
     fn count_bulk(&self, begin: i64, end: i64, step: i64) -> Result<usize, Problem> {
         if step == 0 || step > 0 && begin > end || step < 0 && begin < end {
             return Err(Problem::invalid(
                 "beginIndex, endIndex and step name no job",
             ));
         }
-        // The distance of two indices may be too large for an index.
+        // The difference of two indices may exceed the range of an index.
         let (begin, end, step) = (i128::from(begin), i128::from(end), i128::from(step));
         let count = (end - begin) / step + 1;
         let max = self.limits.max_bulk;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Adds answers to a bulk; sends them once they fill a line or the bulk is complete.
+    /// Adds answers to a bulk job; sends them once they fill a line or all members are submitted.
     pub(super) fn send_bulk_answers(&mut self, client: ClientId, answers: Vec<BulkJobAnswer>) {
         let Some(state) = self.clients.get_mut(&client) else {
             return;
@@ -138,7 +138,7 @@
         let count = bulk.jobs_left.min(MAX_SUBMISSIONS_PER_TURN);
         let mut jobs = Vec::with_capacity(count);
         for _ in 0..count {
-            // Between the first and the last index, so it fits.
+            // It lies between the first and the last index, so the conversion is lossless.
             let index = bulk.next_index as i64;
             let origin = Origin {
                 index: Some(index),
--- a/crates/submission/src/server/capabilities.rs
+++ b/crates/submission/src/server/capabilities.rs
@@ -4,7 +4,7 @@
 use crate::template::{SUPPORTED, UNSUPPORTED};
 use serde_json::{json, Value};
 
-/// What is supported and what is not, by the names of GFD.231, section 4.5, and the template attributes.
+/// The supported and unsupported features, named as in GFD.231, section 4.5, the template attributes and the limits.
 pub(super) fn capabilities(limits: &Limits) -> Value {
     json!({
         "capabilities": {
@@ -43,7 +43,7 @@
     })
 }
 
-/// Names and versions.
+/// The names and versions of the DRM system and of its DRMAA interface.
 pub(super) fn drms_info() -> Value {
     json!({
         "drmsName": "marbledeck",
--- a/crates/submission/src/server/client.rs
+++ b/crates/submission/src/server/client.rs
@@ -13,18 +13,18 @@
 /// The key of an open wait.
 pub(super) type WaitId = u64;
 
-/// A message that waits to be read by a client.
+/// A message that a client has not read yet.
 pub(super) enum Output {
     /// A complete line.
     Line(Vec<u8>),
-    /// An answer with the state that the job has when it is read.
+    /// An answer with the job's state at the time when the client reads it.
     JobInfo {
         /// The `seq` of the request.
         seq: Value,
         /// The job.
         job: JobKey,
     },
-    /// A notification with the state that the job has when it is read.
+    /// A notification of the job's state at the time when the client reads it.
     Notification(JobKey),
 }
 
@@ -47,7 +47,7 @@
 /// One client connection.
 #[derive(Default)]
 pub(super) struct Client {
-    /// What it has not read yet.
+    /// The messages that it has not read yet.
     pub(super) outbox: VecDeque<Output>,
     /// Its open waits.
     pub(super) waits: BTreeSet<WaitId>,
@@ -57,19 +57,19 @@
     pub(super) open_sessions: Vec<OpenSession>,
     /// The jobs whose state changes it receives because of `notify`.
     pub(super) watched_jobs: HashSet<JobKey>,
-    /// Its operation that takes several turns.
+    /// Its operation that is in progress over several turns.
     pub(super) task: Option<Task>,
-    /// Whether a submission of this turn was not answered yet.
+    /// Whether it has a submission in this turn that is not answered yet.
     pub(super) is_submitting: bool,
 }
 
 impl Client {
-    /// Whether all its requests were answered and the answers were read.
-    pub(super) fn is_free(&self) -> bool {
+    /// Whether all its requests are answered and the answers are read.
+    pub(super) fn is_idle(&self) -> bool {
         self.is_ready_for_task() && self.task.is_none()
     }
 
-    /// Whether its task may continue: everything that it has caused was decided and read.
+    /// Whether its task may continue: earlier submissions are decided, and their answers are read.
     pub(super) fn is_ready_for_task(&self) -> bool {
         self.outbox.is_empty() && !self.is_submitting
     }
--- a/crates/submission/src/server/control.rs
+++ b/crates/submission/src/server/control.rs
@@ -12,10 +12,10 @@
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
-/// Jobs of one operation that are controlled in one turn.
+/// The maximum number of jobs that one operation controls in one turn.
 const MAX_CONTROLS_PER_TURN: usize = 64;
 
-/// What can be done to a job.
+/// The control operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ControlAction {
     Terminate,
@@ -30,7 +30,7 @@
 pub(super) struct ControlTask {
     seq: Value,
     action: ControlAction,
-    /// The jobs that are left.
+    /// The jobs that are not handled yet.
     jobs: VecDeque<JobKey>,
     changed: usize,
     rejected: usize,
@@ -38,7 +38,7 @@
 }
 
 impl Server {
-    /// Controls one job at once, several jobs as a task.
+    /// Controls one job immediately, or several jobs as a task over several turns.
     pub(super) fn control(
         &mut self,
         now: Micros,
@@ -57,7 +57,7 @@
         }
         if action == ControlAction::Terminate {
             self.stop_array(targets);
-            // Waiting jobs first: none of them must start because another one has ended.
+            // Waiting jobs first: otherwise the end of a running member would start a waiting one.
             jobs.sort_by_key(|key| !self.is_waiting(*key));
         }
         let task = ControlTask {
@@ -79,7 +79,7 @@
             .is_some_and(|job| job.location == JobLocation::Waiting)
     }
 
-    /// Starts no more members of the array that is terminated.
+    /// Prevents further members of the array that is being terminated from being started.
     fn stop_array(&mut self, targets: &Targets) {
         let array = targets
             .job_array_id
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Controls the next jobs of a task, and answers once none is left.
+    /// Controls the next jobs of a task, and sends the answer after the last one.
     pub(super) fn continue_control(
         &mut self,
         now: Micros,
@@ -158,7 +158,7 @@
             ControlAction::Reap => {
                 self.hide_job(now, key);
                 self.jobs.reap(key, now);
-                self.handover.note_change(self.jobs.get_any(key));
+                self.handover.queue_change(self.jobs.get_any(key));
                 Ok(state)
             }
         }
@@ -170,7 +170,8 @@
         key: JobKey,
         scheduler: &mut dyn Scheduler,
     ) -> JobState {
-        // Workers do not stop: what was sent may run to its end, and its submission key still counts.
+        // Workers cannot be told to stop: a job that was sent may run to completion, so its submission key stays in
+        // use.
         let last_sent = match self.jobs.get(key).map(|job| job.location) {
             Some(JobLocation::Scheduled(id)) => scheduler.abandon(now, id),
             Some(JobLocation::AtPartner {
@@ -215,7 +216,7 @@
         Ok(JobState::QueuedHeld)
     }
 
-    /// Ends a job's hold and passes it to the scheduler, or lets it wait for its array's turn.
+    /// Ends a job's hold. The job is passed to the scheduler, or queued in its array.
     pub(super) fn release_job(&mut self, now: Micros, key: JobKey, scheduler: &mut dyn Scheduler) {
         if !self.jobs.apply(key, Change::Release, now) {
             return;
--- a/crates/submission/src/server/dispatch.rs
+++ b/crates/submission/src/server/dispatch.rs
@@ -1,4 +1,4 @@
-//! Passing waiting jobs to the scheduler: when they are due, and when their array has capacity.
+//! Passes waiting jobs to the scheduler when they are due or their array has capacity.
 
 use super::{
     micros_of_unix_ms, retry_pause, Server, MAX_JOBS_PER_TURN, MAX_TIMEOUT_MS, RETRY_AFTER_MS,
@@ -11,9 +11,9 @@
 use crate::template::Template;
 use marbledeck_dispatcher::{Micros, RequestId};
 
-/// The deadline of a job at another site if nothing else sets one.
+/// The deadline of a job at another site if neither the template nor the manifest gives a time.
 const REMOTE_DEADLINE: Micros = Micros(600_000_000);
-/// The deadline of a job at another site, as a multiple of the run time in its manifest.
+/// The default deadline of a job at another site, as a multiple of the run time in its manifest.
 const REMOTE_RUN_TIME_FACTOR: u64 = 2;
 
 /// A job that the scheduler has accepted.
@@ -25,7 +25,7 @@
 }
 
 impl Server {
-    /// A job is due: it may start, its deadline or hold has ended, or it is to be removed.
+    /// Handles a due job: starts it, ends it after its deadline or maximum hold, or removes it after its retention.
     pub(super) fn handle_due_job(
         &mut self,
         now: Micros,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Why a waiting job ends now without having been passed to the scheduler.
+    /// The sub-state and problem of a waiting job whose deadline or maximum hold has passed.
     fn waiting_timeout(&self, now: Micros, job: &Job) -> Option<(SubState, Problem)> {
         let deadline = job.template.deadline_time.map(micros_of_unix_ms);
         if deadline.is_some_and(|deadline| deadline <= now) {
@@ -70,7 +70,7 @@
         None
     }
 
-    /// Sets when a waiting job is due: at its start, its deadline, or the end of its hold.
+    /// Sets when a waiting job is due: at the earliest of its start time, its deadline and the end of its maximum hold.
     pub(super) fn schedule_waiting_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_any(key) else {
             return;
@@ -119,9 +119,9 @@
                 if let Some((_, array)) = self.array_mut(array) {
                     array.active.insert(key);
                 }
-                self.handover.note_change(self.jobs.get_any(key));
+                self.handover.queue_change(self.jobs.get_any(key));
             }
-            // The scheduler has not accepted it: it keeps its place in the array.
+            // The scheduler accepts no job at present: the member stays at the head of its array's queue.
             Err(problem) if problem.error == ErrorId::TryLater && array.is_some() => {
                 self.pause_array(array, now + retry_pause(&problem));
                 if let Some((_, array)) = self.array_mut(array) {
@@ -145,7 +145,7 @@
             return Err(Problem::unknown_job());
         };
         let job_id = self.ids.id(key).to_string();
-        // The sites may have changed since the job was submitted.
+        // The set of sites may have changed since the job was submitted.
         let placement = scheduler.place(&job.template)?;
         submit_request(now, &job.template, job.index, job_id, placement, scheduler)
     }
--- a/crates/submission/src/server/handover/export.rs
+++ b/crates/submission/src/server/handover/export.rs
@@ -1,4 +1,4 @@
-//! Sending this process's sessions, arrays and jobs to its successor.
+//! Sends this process's sessions, arrays and jobs to its successor.
 
 use super::super::Server;
 use super::SendProgress;
@@ -10,11 +10,11 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// The number of events of a session that are sent.
+/// The maximum number of events that are sent of each session.
 const MAX_SENT_EVENTS: usize = 1024;
 
 impl Server {
-    /// The next part of the state for the successor.
+    /// The next message with a part of the state for the successor.
     pub(super) fn next_export(&mut self) -> Option<Transfer> {
         loop {
             let (message, progress) = match *self.handover.progress.as_ref()? {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The successor has confirmed the state: it owns the jobs that only wait here.
+    /// Records that the successor has confirmed the state: the jobs that only wait here belong to it from now on.
     pub(super) fn confirm_handover(&mut self) {
         self.handover.progress = Some(SendProgress::Confirmed);
         for key in self.jobs.keys_at(JobLocation::Waiting) {
--- a/crates/submission/src/server/handover/import.rs
+++ b/crates/submission/src/server/handover/import.rs
@@ -1,4 +1,4 @@
-//! Applying what a partner process sends.
+//! Applies the messages of a partner process.
 
 use super::super::arrays::JobArray;
 use super::super::{retry_pause, Server, RETRY_AFTER_MS};
@@ -65,11 +65,11 @@
             (Transfer::Job(record), _) => self.apply_job(now, partner, *record, scheduler),
             (Transfer::End, Partner::Predecessor) => {
                 self.handover.receive_deadline = None;
-                self.handover.owes_confirmation = true;
-                self.take_over_waiting(Partner::Predecessor);
+                self.handover.must_confirm = true;
+                self.take_over_waiting_jobs(Partner::Predecessor);
             }
             (Transfer::Taken, Partner::Successor) => self.confirm_handover(),
-            // Only a predecessor sends its state, only a successor confirms it.
+            // Ignored: only a predecessor sends its state, and only a successor confirms it.
             (
                 Transfer::Session { .. } | Transfer::Array { .. } | Transfer::End,
                 Partner::Successor,
@@ -94,7 +94,7 @@
 
     fn import_array(&mut self, id: &str, mut array: JobArray) {
         if let Some(key) = self.ids.parse_or_register(id) {
-            // Its members follow.
+            // Its members follow as jobs.
             array.is_growing = true;
             self.arrays.insert(key, array);
         }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Adds a job of the predecessor.
+    /// Adds a job that the predecessor has sent.
     fn import_job(&mut self, key: JobKey, mut record: JobRecord) {
         let array_key = record
             .array
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The template of an imported job; `None` if its array is gone, so that nothing describes the job.
+    /// The template of an imported job. `None` if it should come from the job's array, but that does not exist.
     fn imported_template(
         &self,
         template: Option<Box<Template>>,
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Applies a partner's change of a job that both know.
+    /// Applies a partner's change to a job that both processes know.
     fn update_job(
         &mut self,
         now: Micros,
@@ -225,10 +225,10 @@
         let (location, array) = (job.location, job.array);
         let mut outcome = imported_outcome(record);
         if let JobLocation::Scheduled(id) = location {
-            // A client has terminated it there: this scheduler's attempts are abandoned.
+            // A client has terminated the job at the partner: this process's scheduler abandons its attempts.
             outcome.last_sent = outcome.last_sent.max(scheduler.abandon(now, id));
         }
-        // A job that was held here has been released there.
+        // The partner may have released a job that is still held here.
         self.jobs.apply(key, Change::Release, now);
         let sub_state = parse_sub_state(record.sub_state.as_deref());
         let change = match record.state {
@@ -245,7 +245,7 @@
     }
 }
 
-/// A job as the predecessor has sent it.
+/// Creates a job from the record that the predecessor has sent.
 fn imported_job(
     key: JobKey,
     template: Rc<Template>,
@@ -300,7 +300,7 @@
     }
 }
 
-/// The sub-state of a name on the wire; unknown names are dropped.
+/// The sub-state with this name on the wire; `None` if the name is unknown.
 fn parse_sub_state(name: Option<&str>) -> Option<SubState> {
     name.and_then(SubState::parse)
 }
--- a/crates/submission/src/server/handover/mod.rs
+++ b/crates/submission/src/server/handover/mod.rs
@@ -1,13 +1,14 @@
-//! Exchange of jobs with another process of the node while one process replaces the other.
+//! Exchange of jobs between two processes of the node while one process replaces the other.
 //!
 //! The predecessor stops reading clients, sends its sessions, arrays and jobs, and ends with [`Transfer::End`]. The
-//! successor answers [`Transfer::Taken`]; from then on it owns all jobs that were not passed to the predecessor's
-//! scheduler, and reads clients. Both send each other every change of a job that both know, so that a job is ended
-//! once, by its owner, and the survivor of the two knows what the other has done. Before `Taken` the predecessor still
-//! owns all jobs. After it, if the successor is lost, a job that only waits goes back to the predecessor, and a job
-//! that the successor has passed to its scheduler fails as lost.
+//! successor confirms with [`Transfer::Taken`]; from then on it reads clients and owns all jobs that were not passed to
+//! the predecessor's scheduler. Each process sends the other every change of a job that both know. A job is therefore
+//! ended once, by its owner, and if one process is lost, the other one knows the state of its jobs.
 //!
-//! A process may be successor and predecessor at once if upgrades follow each other closely.
+//! Until `Taken` arrives, the predecessor owns all jobs. If the successor is lost after that, the predecessor takes
+//! over the jobs that only waited there, and the jobs that the successor had passed to its scheduler fail as lost.
+//!
+//! A process can be successor and predecessor at the same time if one upgrade begins before the previous one is over.
 
 mod export;
 mod import;
@@ -22,63 +23,64 @@
 use marbledeck_dispatcher::Micros;
 use std::collections::BTreeSet;
 
-/// How long a successor lets clients wait for the predecessor's state. It bounds what a partner that hangs costs.
+/// How long a successor waits for the predecessor's state before it reads clients. It bounds the outage if the
+/// predecessor hangs.
 const RECEIVE_TIMEOUT: Micros = Micros(3_000_000);
 
-/// How far a predecessor is with sending its state.
+/// The progress of a predecessor that sends its state.
 #[derive(Debug)]
 enum SendProgress {
-    /// The number of sessions that were sent.
+    /// Sending sessions: the number that were sent.
     Sessions(usize),
-    /// The last array that was sent.
+    /// Sending arrays: the last one that was sent.
     Arrays(Option<ArrayKey>),
-    /// The last job that was sent.
+    /// Sending jobs: the last one that was sent.
     Jobs(Option<JobKey>),
-    /// Everything was sent; the successor has not confirmed it.
+    /// Everything was sent; the successor has not confirmed it yet.
     Sent,
     /// The successor has confirmed it.
     Confirmed,
 }
 
-/// The exchange with both partners.
+/// The state of the exchange with both partners.
 #[derive(Debug, Default)]
 pub(super) struct Handover {
-    /// Until when the predecessor's state is awaited; `None` once it has arrived.
+    /// When to stop waiting for the predecessor's state; `None` once it has arrived.
     receive_deadline: Option<Micros>,
     /// Whether there is a predecessor to send changes to.
     has_predecessor: bool,
-    /// Whether the predecessor's state must still be confirmed.
-    owes_confirmation: bool,
-    /// How much of the state was sent to a successor.
+    /// Whether a confirmation of the predecessor's state must still be sent.
+    must_confirm: bool,
+    /// The progress of sending the state to a successor; `None` if there is no successor.
     progress: Option<SendProgress>,
     /// Jobs whose changes must be sent to the predecessor.
     changed_for_predecessor: BTreeSet<JobKey>,
     /// Jobs whose changes must be sent to the successor.
     changed_for_successor: BTreeSet<JobKey>,
-    /// The partner whose message is being applied: changes are not sent back to it.
+    /// The partner whose message is being applied, to which the resulting changes must not be sent back.
     source: Option<Partner>,
 }
 
 impl Handover {
-    /// Whether no line of a client may be handled.
+    /// Whether the exchange keeps the server from handling lines of clients.
     pub(super) fn pauses_clients(&self) -> bool {
         self.receive_deadline.is_some() || self.progress.is_some()
     }
 
-    /// When the predecessor's state is no longer awaited.
+    /// When to stop waiting for the predecessor's state.
     pub(super) fn receive_deadline(&self) -> Option<Micros> {
         self.receive_deadline
     }
 
-    /// Stops awaiting the predecessor's state after the timeout; messages that arrive later are still applied.
+    /// Stops waiting for the predecessor's state after the timeout; messages that arrive later are still applied.
     pub(super) fn expire(&mut self, now: Micros) {
         if self.receive_deadline.is_some_and(|time| time <= now) {
             self.receive_deadline = None;
         }
     }
 
-    /// Schedules a job's change for the partners that know the job.
-    pub(super) fn note_change(&mut self, job: Option<&Job>) {
+    /// Queues a job's change for the partners that know the job.
+    pub(super) fn queue_change(&mut self, job: Option<&Job>) {
         let Some(job) = job.filter(|job| job.is_shared) else {
             return;
         };
@@ -99,14 +101,15 @@
 }
 
 impl Server {
-    /// This process replaces another one: clients wait until that has sent its state.
+    /// Starts the handover in a process that replaces another one: no line of a client is handled until the predecessor
+    /// has sent its state.
     pub fn expect_predecessor(&mut self, now: Micros) {
         self.handover.receive_deadline = Some(now + RECEIVE_TIMEOUT);
         self.handover.has_predecessor = true;
     }
 
-    /// Another process replaces this one: no line is handled any more, and the state is sent to the successor.
-    /// Requests that were not begun are dropped; clients repeat them there.
+    /// Starts the handover to a process that replaces this one: no further line is handled, and the state is sent to
+    /// the successor. Requests that were not begun are dropped; clients repeat them at the successor.
     pub fn begin_handover(&mut self) {
         if self.handover.progress.is_none() {
             self.handover.progress = Some(SendProgress::Sessions(0));
@@ -118,7 +121,7 @@
         self.handover.progress.is_some()
     }
 
-    /// Whether the successor, if there is one, knows everything.
+    /// Whether the successor, if there is one, has confirmed the state and received all changes.
     pub fn is_handover_complete(&self) -> bool {
         match self.handover.progress {
             None => true,
@@ -130,11 +133,11 @@
     /// The next message for a partner, if there is one.
     pub fn next_transfer(&mut self, partner: Partner) -> Option<Transfer> {
         let is_predecessor = partner == Partner::Predecessor;
-        if is_predecessor && std::mem::take(&mut self.handover.owes_confirmation) {
+        if is_predecessor && std::mem::take(&mut self.handover.must_confirm) {
             return Some(Transfer::Taken);
         }
         while let Some(key) = self.handover.changed_for(partner).pop_first() {
-            // A job that was removed meanwhile has no change to send.
+            // A job that has been removed since then has no change to send.
             if let Some(job) = self.jobs.get_any(key) {
                 return Some(Transfer::Job(Box::new(self.job_record(job))));
             }
@@ -145,19 +148,19 @@
         self.next_export()
     }
 
-    /// A partner is gone. Jobs that only waited there are this process's; jobs that were passed to its scheduler may
-    /// have run.
+    /// Handles the loss of a partner. This process takes over the jobs that only waited there; the jobs that the
+    /// partner had passed to its scheduler fail as lost, because they may have run.
     pub fn handle_partner_lost(&mut self, now: Micros, partner: Partner) {
         match partner {
             Partner::Predecessor => {
                 self.handover.receive_deadline = None;
                 self.handover.has_predecessor = false;
-                self.handover.owes_confirmation = false;
+                self.handover.must_confirm = false;
             }
             Partner::Successor => self.handover.progress = None,
         }
         self.handover.changed_for(partner).clear();
-        self.take_over_waiting(partner);
+        self.take_over_waiting_jobs(partner);
         let lost = JobLocation::AtPartner {
             owner: partner,
             scheduled: true,
@@ -174,7 +177,7 @@
     }
 
     /// Takes over the jobs that only wait at a partner.
-    fn take_over_waiting(&mut self, partner: Partner) {
+    fn take_over_waiting_jobs(&mut self, partner: Partner) {
         let waiting_there = JobLocation::AtPartner {
             owner: partner,
             scheduled: false,
@@ -204,7 +207,7 @@
             array.waiting.push_back(key);
             self.ready_arrays.insert(array_key);
         } else {
-            // Released and not yet passed to a scheduler: due at once.
+            // A released job that no scheduler has yet: due immediately.
             self.jobs.set_due(key, Some(Micros(0)));
         }
     }
--- a/crates/submission/src/server/lifecycle.rs
+++ b/crates/submission/src/server/lifecycle.rs
@@ -1,4 +1,4 @@
-//! What the scheduler reports about jobs, and how jobs end and disappear.
+//! Handles the scheduler's reports about jobs, and ends and removes jobs.
 
 use super::{Server, RETRY_AFTER_MS};
 use crate::ids::JobKey;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 impl Server {
-    /// A worker has begun to run a job.
+    /// Records that a worker has begun to run a job.
     pub fn handle_started(&mut self, now: Micros, id: RequestId, machine: Option<Rc<str>>) {
         let Some(key) = self.jobs.key_of_request(id) else {
             return;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// A job that ran was returned by its worker and is to be retried.
+    /// Records that a worker has returned a running job, which will be retried.
     pub fn handle_requeued(&mut self, now: Micros, id: RequestId) {
         let Some(key) = self.jobs.key_of_request(id) else {
             return;
@@ -32,8 +32,8 @@
         }
     }
 
-    /// The scheduler has ended a request; `last_sent` is when it was last sent to a worker that may have run it.
-    /// Returns whether the request was a job of this server.
+    /// Ends a job with the scheduler's verdict; `last_sent` is when it was last sent to a worker that may have run it.
+    /// Returns whether the request belongs to a job of this server.
     pub fn handle_verdict(
         &mut self,
         now: Micros,
@@ -57,7 +57,8 @@
                 self.end_job(now, key, Change::Serve, None, outcome);
             }
             Verdict::Rejected { retry_after } => {
-                // Before the job's end lets another member start, which would be rejected as well.
+                // The pause must precede the job's end, which would start another member that would be rejected as
+                // well.
                 let pause = retry_after.unwrap_or(Micros(1000 * RETRY_AFTER_MS));
                 self.pause_array(array, now + pause);
                 let outcome = JobOutcome::rejected(retry_after);
@@ -76,7 +77,7 @@
         true
     }
 
-    /// Gives a job its final state, once.
+    /// Ends a job unless it has already ended.
     pub(super) fn end_job(
         &mut self,
         now: Micros,
@@ -104,7 +105,7 @@
         self.remove_member(key, array);
     }
 
-    /// Removes a job altogether.
+    /// Removes a job completely.
     pub(super) fn remove_job(&mut self, now: Micros, key: JobKey) {
         self.hide_job(now, key);
         self.jobs.remove(key);
--- a/crates/submission/src/server/listing.rs
+++ b/crates/submission/src/server/listing.rs
@@ -1,4 +1,4 @@
-//! `listJobs`: pages of the jobs that a filter selects.
+//! `listJobs`: lists the jobs that match a filter, in pages.
 
 use super::Server;
 use crate::error::Problem;
@@ -19,7 +19,7 @@
 /// The approximate size of a job on a page besides its names, in bytes.
 const JOB_INFO_BYTES: usize = 400;
 
-/// A page while jobs are added to it.
+/// Collects the jobs of a page within its limits.
 struct PageBuilder {
     jobs: Vec<JobInfo>,
     bytes: usize,
@@ -43,7 +43,7 @@
 }
 
 impl Server {
-    /// A page of the jobs that a filter selects, in the order of their submission.
+    /// Returns a page of the jobs that match a filter, in the order of their submission.
     pub(super) fn list_jobs(
         &self,
         session: Option<String>,
@@ -75,7 +75,7 @@
             page.last_examined = Some(job.key);
             page.examined += 1;
             let is_in_session = session.is_none() || job.session == session;
-            if is_in_session && self.is_selected(job, filter) {
+            if is_in_session && self.matches_filter(job, filter) {
                 page.push(job.info(&self.ids, self.session_name(job)));
             }
         }
@@ -88,7 +88,8 @@
         })
     }
 
-    /// The smallest set that contains all jobs of an array or a session, after this one.
+    /// The jobs to examine, in key order after `after`: those of the array or the session if one is given, otherwise
+    /// all.
     fn candidates(
         &self,
         array: Option<ArrayKey>,
@@ -109,8 +110,9 @@
         }
     }
 
-    /// Whether a job is visible and a filter selects it; the filter's array is not checked.
-    fn is_selected(&self, job: &Job, filter: &Filter) -> bool {
+    /// Whether a job is visible and matches a filter. The filter's array is ignored: the candidates are already limited
+    /// to it.
+    fn matches_filter(&self, job: &Job, filter: &Filter) -> bool {
         let submitted_ms = job.submitted_at.0 / 1000;
         job.visibility == Visibility::Visible
             && filter
--- a/crates/submission/src/server/mod.rs
+++ b/crates/submission/src/server/mod.rs
@@ -1,11 +1,11 @@
-//! The protocol's server without sockets, clock or scheduler: lines of clients go in, lines for them come out, and jobs
-//! go to a [`Scheduler`].
+//! The protocol's server without sockets, clock or scheduler. It handles the lines that clients send, produces the
+//! lines that are sent to them, and passes jobs to a [`Scheduler`].
 //!
-//! The caller reports [connections](Server::handle_connect) and passes in their lines as long as the server
-//! [accepts](Server::accepts_line) any; it takes the [lines](Server::next_line) for each of the
-//! [clients](Server::take_readable_clients) that have something to read. After the scheduler has decided on the jobs of
-//! a turn, [`Server::answer_submissions`] answers their submissions. Every step does a bounded amount of work; what is
-//! left over is done in [`Server::wake`] at the time of [`Server::next_wake`].
+//! The caller reports [connections](Server::handle_connect) and passes in a client's line while the server
+//! [accepts](Server::accepts_line) lines of that client. It takes the [output lines](Server::next_line) of each
+//! [client that has any](Server::take_readable_clients). After the scheduler has decided on the jobs of a turn,
+//! [`Server::answer_submissions`] answers their submissions. Each call does a bounded amount of work; [`Server::wake`],
+//! which must be called at the time that [`Server::next_wake`] returns, continues with the rest.
 
 mod arrays;
 mod bulk;
@@ -42,15 +42,15 @@
 use submission::Admission;
 use waits::Waits;
 
-/// Due or ready jobs handled in one turn.
+/// The maximum number of due or ready jobs handled in one turn.
 const MAX_JOBS_PER_TURN: usize = 256;
-/// Tasks continued in one turn.
+/// The maximum number of tasks continued in one turn.
 const MAX_TASKS_PER_TURN: usize = 8;
 /// The maximum of a timeout or a relative deadline, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 24 * 3600 * 1000;
 /// The usual retry hint, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1000;
-/// The retry hint of a node that shuts down, in milliseconds: by then another node serves.
+/// The retry hint of a node that shuts down, in milliseconds: by then another node should be serving.
 const SHUTDOWN_RETRY_AFTER_MS: u64 = 2000;
 
 /// The server's side of the protocol.
@@ -64,23 +64,23 @@
     waits: Waits,
     /// The clients that receive a job's state changes because of `notify`.
     watchers: HashMap<JobKey, Vec<ClientId>>,
-    /// Submissions of this turn that were not answered yet.
+    /// Submissions of this turn that are not answered yet.
     admissions: Vec<Admission>,
-    /// Clients whose task can continue, in turn.
+    /// Clients whose task can continue, in the order in which they are served.
     task_queue: VecDeque<ClientId>,
     /// Arrays that may have a member to pass to the scheduler.
     ready_arrays: BTreeSet<ArrayKey>,
     /// When paused arrays become ready again.
     paused_arrays: BTreeSet<(Micros, ArrayKey)>,
-    /// Clients with something to read.
+    /// Clients that have output to read.
     readable_clients: BTreeSet<ClientId>,
-    /// The node shuts down: no job is accepted.
+    /// Whether the node is shutting down, so that new jobs are rejected.
     is_shutting_down: bool,
     handover: Handover,
 }
 
 impl Server {
-    /// An empty server. The ids of its jobs begin with `prefix`, which no other start of the node may have.
+    /// Creates an empty server. The ids of its jobs begin with `prefix`, which must differ between starts of the node.
     pub fn new(limits: Limits, prefix: String) -> Self {
         let sessions = Sessions::new(
             limits.max_sessions,
@@ -106,26 +106,27 @@
         }
     }
 
-    /// A client has connected.
+    /// Adds a client that has connected.
     pub fn handle_connect(&mut self, client: ClientId) {
         self.clients.insert(client, Client::default());
     }
 
-    /// A client has disconnected. Its jobs go on; the rest of a bulk that is not completely submitted is dropped.
+    /// Removes a client that has disconnected. Its jobs continue; the members of a bulk job that were not submitted yet
+    /// are dropped.
     pub fn handle_disconnect(&mut self, now: Micros, client: ClientId) {
-        let Some(gone) = self.clients.remove(&client) else {
+        let Some(removed) = self.clients.remove(&client) else {
             return;
         };
-        for wait in gone.waits {
+        for wait in removed.waits {
             self.remove_wait(wait);
         }
-        for job in gone.watched_jobs {
+        for job in removed.watched_jobs {
             self.unwatch(job, client);
         }
-        for open in gone.open_sessions {
+        for open in removed.open_sessions {
             self.close_session(now, open.session, client);
         }
-        if let Some(Task::Bulk(bulk)) = gone.task {
+        if let Some(Task::Bulk(bulk)) = removed.task {
             self.finish_growing(bulk.array);
         }
         self.readable_clients.remove(&client);
@@ -136,7 +137,7 @@
         self.clients.len()
     }
 
-    /// What the server holds at the moment.
+    /// The server's current resource usage.
     pub fn usage(&self) -> Usage {
         Usage {
             jobs: self.jobs.len(),
@@ -147,37 +148,39 @@
         }
     }
 
-    /// Whether the next line of a client may be passed in: all its requests were answered, and the answers were read.
+    /// Whether the next line of a client may be passed in: all its requests are answered, and the answers are read.
     pub fn accepts_line(&self, client: ClientId) -> bool {
-        !self.is_paused() && self.clients.get(&client).is_some_and(Client::is_free)
+        !self.is_paused() && self.clients.get(&client).is_some_and(Client::is_idle)
     }
 
-    /// Whether no client's line is accepted because of a handover.
+    /// Whether a handover keeps the server from accepting lines of any client.
     pub fn is_paused(&self) -> bool {
         self.handover.pauses_clients()
     }
 
-    /// Whether a client that sends nothing more will not receive anything either.
+    /// Whether nothing remains to be sent to a client that sends no more requests, so that its connection can be
+    /// closed.
     pub fn is_done_with(&self, client: ClientId) -> bool {
         let is_done = |client: &Client| {
-            client.is_free() && client.waits.is_empty() && client.open_sessions.is_empty()
+            client.is_idle() && client.waits.is_empty() && client.open_sessions.is_empty()
         };
         self.clients.get(&client).is_none_or(is_done)
     }
 
-    /// The clients that have something to read since the last call.
+    /// Returns the clients that have had new output since the last call.
     pub fn take_readable_clients(&mut self) -> Vec<ClientId> {
         std::mem::take(&mut self.readable_clients)
             .into_iter()
             .collect()
     }
 
-    /// The node shuts down: no job is accepted any more.
+    /// Rejects all new jobs from now on, because the node is shutting down.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
     }
 
-    /// Rejects all jobs that were not passed to the scheduler: there is no successor, so they would be lost.
+    /// Rejects all jobs that were not passed to the scheduler, which would be lost because no successor takes them
+    /// over.
     pub fn reject_waiting(&mut self, now: Micros) {
         for key in self.jobs.keys_at(JobLocation::Waiting) {
             let problem = Problem::later("the node is ending", SHUTDOWN_RETRY_AFTER_MS);
@@ -194,7 +197,7 @@
             self.jobs.next_due(),
             self.paused_arrays.first().map(|(time, _)| *time),
         ];
-        // Jobs that are being sent to a successor are not started here any more.
+        // Jobs that are being sent to a successor are no longer started by this process.
         let job_times = job_times
             .into_iter()
             .filter(|_| !self.is_sending_handover());
@@ -206,7 +209,7 @@
         job_times.chain(other_times).flatten().min()
     }
 
-    /// Handles everything that is due, and continues the tasks of clients.
+    /// Handles due jobs and timeouts, and continues the tasks of clients.
     pub fn wake(&mut self, now: Micros, scheduler: &mut dyn Scheduler) {
         self.handover.expire(now);
         self.sessions.expire(now);
@@ -258,7 +261,7 @@
     Micros(ms.saturating_mul(1000))
 }
 
-/// Converts the retry hint of a problem to a pause.
+/// Converts the retry hint of a problem to a time span.
 fn retry_pause(problem: &Problem) -> Micros {
     Micros(1000 * problem.retry_after_ms.unwrap_or(RETRY_AFTER_MS))
 }
--- a/crates/submission/src/server/notification.rs
+++ b/crates/submission/src/server/notification.rs
@@ -1,4 +1,4 @@
-//! What clients receive: answers, events of sessions, and state changes of jobs.
+//! Output to clients: answers, session events, and notifications of state changes.
 
 use super::client::{ClientId, OpenSession, Output};
 use super::Server;
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 impl Server {
-    /// The client receives the state changes of a job.
+    /// Subscribes a client to the state changes of a job.
     pub(super) fn watch(&mut self, job: JobKey, client: ClientId) {
         let Some(state) = self.clients.get_mut(&client) else {
             return;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The client no longer receives the state changes of a job.
+    /// Unsubscribes a client from the state changes of a job.
     pub(super) fn unwatch(&mut self, job: JobKey, client: ClientId) {
         if let Some(watchers) = self.watchers.get_mut(&job) {
             watchers.retain(|watcher| *watcher != client);
@@ -40,7 +40,7 @@
         let (has_ended, has_started) = (job.has_ended(), job.state.has_started());
         let (array, session) = (job.array, job.session);
         self.record_state(key);
-        self.handover.note_change(self.jobs.get_any(key));
+        self.handover.queue_change(self.jobs.get_any(key));
         self.notify_watchers(key, has_ended);
         if has_started {
             self.satisfy_waits(key, array, session, has_ended);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The next line for a client, if there is one. Job states are current when the line is taken; events come after
+    /// Takes the next line for a client, if there is one. Job states in it are current at this call; events come after
     /// all answers.
     pub fn next_line(&mut self, client: ClientId) -> Option<Vec<u8>> {
         let line = self.next_output(client).or_else(|| self.next_event(client));
@@ -119,7 +119,7 @@
         None
     }
 
-    /// The line of a message; `None` for a notification of a job that is no longer visible.
+    /// Encodes a message; `None` for a notification of a job that is no longer visible.
     fn encode_output(&self, output: Output) -> Option<Vec<u8>> {
         match output {
             Output::Line(line) => Some(line),
@@ -152,7 +152,7 @@
     }
 }
 
-/// The next event that a client receives of an open session.
+/// The next event of an open session for a client; advances the client's position in the session.
 fn next_session_event(
     open: &mut OpenSession,
     sessions: &Sessions,
--- a/crates/submission/src/server/operations.rs
+++ b/crates/submission/src/server/operations.rs
@@ -1,4 +1,4 @@
-//! Carrying out the operation of a request.
+//! Dispatches the operation of a request to its handler.
 
 use super::bulk::BulkRequest;
 use super::capabilities::{capabilities, drms_info};
@@ -13,14 +13,14 @@
 use marbledeck_dispatcher::Micros;
 use serde_json::{json, Value};
 
-/// Machines that one line of an answer contains: a large fleet does not fit into one line.
+/// The maximum number of machines in one line of an answer; a large fleet exceeds the maximum length of a line.
 const MACHINES_PER_LINE: usize = 200;
 
 impl Server {
-    /// Carries out an operation, which is answered now or later.
+    /// Executes an operation, which sends its answer immediately or in a later turn.
     ///
     /// # Errors
-    /// The problem to answer with instead.
+    /// The problem that the caller must send as the answer.
     #[expect(
         clippy::too_many_lines,
         reason = "a table with one entry per operation"
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Sends the machines, in several lines if there are many.
+    /// Sends the machines, split into lines of bounded length.
     fn send_machines(&mut self, client: ClientId, seq: &Value, machines: &[Machine]) {
         let mut parts: Vec<&[Machine]> = machines.chunks(MACHINES_PER_LINE).collect();
         let last = parts.pop().unwrap_or_default();
--- a/crates/submission/src/server/sessions.rs
+++ b/crates/submission/src/server/sessions.rs
@@ -12,13 +12,13 @@
 const MAX_OPEN_SESSIONS: usize = 64;
 
 impl Server {
-    /// The session with this name.
+    /// Finds the session with this name.
     pub(super) fn find_session(&self, name: &str) -> Result<SessionKey, Problem> {
         let found = self.sessions.find(name);
         found.ok_or_else(|| invalid_session(format!("no such session: `{name}`")))
     }
 
-    /// The session with this name, if a name is given.
+    /// Finds the session with this name, if a name is given.
     pub(super) fn find_optional_session(
         &self,
         name: Option<String>,
@@ -55,7 +55,7 @@
             .get(key)
             .map_or(0, |session| session.last_event);
         if let Some(ahead) = since.filter(|since| *since > last) {
-            // The number is of an earlier session with this name, whose events are not known.
+            // The number belongs to an earlier session of the same name, whose events are no longer known.
             let message = format!("since {ahead} is beyond the last event, {last}");
             return Err(Problem::invalid(message));
         }
@@ -113,7 +113,7 @@
         let Some(state) = self.clients.get_mut(&client) else {
             return;
         };
-        // A session that is opened again continues from the requested event.
+        // Opening a session again replaces the position of its reader.
         state.open_sessions.retain(|open| open.session != key);
         state.open_sessions.push(OpenSession {
             session: key,
@@ -128,7 +128,7 @@
         self.readable_clients.insert(client);
     }
 
-    /// A client no longer receives the events of a session.
+    /// Stops sending the events of a session to a client.
     pub(super) fn close_session(&mut self, now: Micros, key: SessionKey, client: ClientId) {
         if let Some(state) = self.clients.get_mut(&client) {
             state.open_sessions.retain(|open| open.session != key);
@@ -139,7 +139,7 @@
         self.sessions.update_idle(now, key);
     }
 
-    /// Removes a session. Its jobs go on without one; waits for any of its jobs end with an error.
+    /// Removes a session. Its jobs continue without a session; waits on the session end with an error.
     fn destroy_session(&mut self, key: SessionKey) {
         let Some(session) = self.sessions.destroy(key) else {
             return;
@@ -154,7 +154,7 @@
                 state.open_sessions.retain(|open| open.session != key);
             }
         }
-        for wait in self.waits.of_subject(WaitSubject::Session(key)) {
+        for wait in self.waits.waits_on(WaitSubject::Session(key)) {
             let problem = invalid_session("the session was destroyed");
             self.fail_wait(wait, problem);
         }
--- a/crates/submission/src/server/submission.rs
+++ b/crates/submission/src/server/submission.rs
@@ -1,7 +1,8 @@
 //! Submission of jobs.
 //!
-//! A submitted job is passed to the scheduler at once unless it must wait. The answer is sent at the end of the turn
-//! by [`Server::answer_submissions`]: a job that the scheduler has rejected by then was never accepted.
+//! A submitted job is passed to the scheduler immediately unless it must wait. [`Server::answer_submissions`] sends the
+//! answer at the end of the turn. A job that the scheduler has rejected by then is answered with an error and never
+//! becomes visible.
 
 use super::client::ClientId;
 use super::dispatch::submit_request;
@@ -18,7 +19,7 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// A job that the server holds for a submission.
+/// The job that a submission has created or joined.
 #[derive(Clone, Copy)]
 pub(super) struct SubmittedJob {
     key: JobKey,
@@ -29,7 +30,7 @@
 /// A submitted job, or why it was rejected.
 pub(super) type SubmissionResult = Result<SubmittedJob, Problem>;
 
-/// Submissions of one client in this turn that were not answered yet.
+/// Submissions of one client in this turn that are not answered yet.
 pub(super) struct Admission {
     client: ClientId,
     notify: bool,
@@ -40,11 +41,11 @@
 pub(super) enum AdmittedJobs {
     /// `runJob`.
     Single { seq: Value, job: SubmissionResult },
-    /// A part of `runBulkJobs`: index and job.
+    /// Some members of `runBulkJobs`: the index and the submission of each.
     Bulk(Vec<(i64, SubmissionResult)>),
 }
 
-/// What a job is submitted as.
+/// The session and the array that a job is submitted to.
 pub(super) struct Origin {
     pub(super) index: Option<i64>,
     pub(super) array: Option<ArrayKey>,
@@ -74,8 +75,8 @@
         Ok(())
     }
 
-    /// Accepts a job and passes it to the scheduler unless it must wait, or joins it to the job that has its
-    /// submission key.
+    /// Submits a job. If a job with the same submission key exists, the submission joins that job; otherwise the new
+    /// job is passed to the scheduler unless it must wait.
     pub(super) fn submit(
         &mut self,
         now: Micros,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Answers a submission at the end of the turn.
+    /// Schedules the answer of a submission for the end of the turn.
     pub(super) fn admit_later(&mut self, client: ClientId, notify: bool, jobs: AdmittedJobs) {
         if let Some(state) = self.clients.get_mut(&client) {
             state.is_submitting = true;
@@ -161,8 +162,8 @@
         });
     }
 
-    /// Answers the submissions of this turn. By now the scheduler has rejected the jobs that it rejects at once; they
-    /// were never accepted.
+    /// Answers the submissions of this turn. Must be called after the scheduler has decided on their jobs: a job that
+    /// it has rejected by now is answered with an error and removed.
     pub fn answer_submissions(&mut self, now: Micros) {
         for admission in std::mem::take(&mut self.admissions) {
             let (client, notify) = (admission.client, admission.notify);
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Makes a submitted job visible, unless the scheduler has rejected it meanwhile.
+    /// Makes a submitted job visible, unless the scheduler has rejected it since its submission.
     fn admit(
         &mut self,
         now: Micros,
@@ -289,7 +290,7 @@
     }
 }
 
-/// Why the scheduler has rejected a job at once.
+/// The answer to a submission whose job the scheduler rejected in the same turn.
 fn rejection(job: &Job) -> Problem {
     match job.problem() {
         Some(problem) if problem.error == ErrorId::TryLater => problem.clone(),
--- a/crates/submission/src/server/tasks.rs
+++ b/crates/submission/src/server/tasks.rs
@@ -1,4 +1,4 @@
-//! Operations that take several turns, so that no turn handles an unbounded number of jobs.
+//! Tasks: operations that are spread over several turns, so that one turn handles a bounded number of jobs.
 
 use super::client::{ClientId, Task};
 use super::Server;
@@ -13,7 +13,7 @@
         }
     }
 
-    /// Queues a client's task if everything that it has caused was decided and read.
+    /// Queues a client's task if its earlier submissions are decided and their answers are read.
     pub(super) fn queue_task(&mut self, client: ClientId) {
         let is_ready = self
             .clients
--- a/crates/submission/src/server/waits.rs
+++ b/crates/submission/src/server/waits.rs
@@ -1,4 +1,4 @@
-//! Waits for the start or the end of jobs.
+//! Requests that wait for the start or the end of jobs.
 
 use super::client::{ClientId, Output, WaitId};
 use super::{Server, MAX_TIMEOUT_MS, RETRY_AFTER_MS};
@@ -16,7 +16,7 @@
 /// The maximum number of jobs, arrays and sessions that all waits of one client may name together.
 const MAX_WAIT_SUBJECTS_PER_CLIENT: usize = 16 * 1024;
 
-/// What a wait is for.
+/// The condition on a job's state that satisfies a wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WaitGoal {
     /// A job runs or has ended.
@@ -26,21 +26,25 @@
 }
 
 impl WaitGoal {
-    fn is_met_by(self, state: JobState) -> bool {
+    fn is_satisfied_by(self, state: JobState) -> bool {
         match self {
             WaitGoal::Started => state.has_started(),
             WaitGoal::Ended => state.is_final(),
         }
     }
 
-    /// The first job that meets the goal.
-    fn first_met(self, ended: &BTreeSet<JobKey>, running: &BTreeSet<JobKey>) -> Option<JobKey> {
+    /// The first of these jobs that satisfies the wait.
+    fn first_satisfying_job(
+        self,
+        ended: &BTreeSet<JobKey>,
+        running: &BTreeSet<JobKey>,
+    ) -> Option<JobKey> {
         let running = running.first().filter(|_| self == WaitGoal::Started);
         ended.first().or(running).copied()
     }
 }
 
-/// Whose jobs a wait is about.
+/// A job, or a group of jobs of which any satisfies a wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum WaitSubject {
     /// One job.
@@ -51,7 +55,7 @@
     Session(SessionKey),
 }
 
-/// A wait of a client.
+/// A client's request that waits for a job.
 pub(super) struct Wait {
     client: ClientId,
     seq: Value,
@@ -63,7 +67,7 @@
 /// The open waits.
 #[derive(Default)]
 pub(super) struct Waits {
-    /// By number, so that they are answered in the order in which they came.
+    /// Ordered by id, so that they are answered in the order in which they arrived.
     waits: BTreeMap<WaitId, Wait>,
     next_id: WaitId,
     timeouts: BTreeSet<(Micros, WaitId)>,
@@ -87,21 +91,21 @@
         (*time <= now).then_some(*id)
     }
 
-    /// The waits that name this subject.
-    pub(super) fn of_subject(&self, subject: WaitSubject) -> BTreeSet<WaitId> {
+    /// The waits on this subject.
+    pub(super) fn waits_on(&self, subject: WaitSubject) -> BTreeSet<WaitId> {
         self.by_subject.get(&subject).cloned().unwrap_or_default()
     }
 
-    /// The waits that name this subject and whose goal is met.
-    fn met_of_subject(&self, subject: WaitSubject, has_ended: bool) -> Vec<WaitId> {
+    /// The waits on this subject that are satisfied by a job that has started, or has ended if `has_ended` is set.
+    fn satisfied_waits_on(&self, subject: WaitSubject, has_ended: bool) -> Vec<WaitId> {
         let Some(waits) = self.by_subject.get(&subject) else {
             return Vec::new();
         };
-        let is_met = |id: &&WaitId| {
+        let is_satisfied = |id: &&WaitId| {
             let wait = self.waits.get(id);
             has_ended || wait.is_some_and(|wait| wait.goal == WaitGoal::Started)
         };
-        waits.iter().filter(is_met).copied().collect()
+        waits.iter().filter(is_satisfied).copied().collect()
     }
 
     fn insert(&mut self, wait: Wait) -> WaitId {
@@ -132,14 +136,14 @@
     }
 }
 
-/// The subjects of a wait, and a job that meets its goal already.
+/// The subjects of a new wait, and a job that already satisfies it.
 struct WaitTarget {
     subjects: Vec<WaitSubject>,
-    met_by: Option<JobKey>,
+    satisfied_by: Option<JobKey>,
 }
 
 impl Server {
-    /// Answers a wait whose goal is met already, and keeps any other.
+    /// Answers a wait immediately if a job already satisfies it, and keeps it open otherwise.
     pub(super) fn wait(
         &mut self,
         now: Micros,
@@ -151,7 +155,7 @@
     ) -> Result<(), Problem> {
         let target = self.wait_target(targets, goal)?;
         let seq = seq.clone();
-        if let Some(job) = target.met_by {
+        if let Some(job) = target.satisfied_by {
             self.send(client, Output::JobInfo { seq, job });
             return Ok(());
         }
@@ -185,7 +189,7 @@
                 let array = &self.arrays[&key];
                 Ok(WaitTarget {
                     subjects: vec![WaitSubject::Array(key)],
-                    met_by: goal.first_met(&array.ended, &array.running),
+                    satisfied_by: goal.first_satisfying_job(&array.ended, &array.running),
                 })
             }
             (None, Some(name)) if !names_jobs => {
@@ -194,18 +198,21 @@
                 let session = session.ok_or_else(|| Problem::invalid("the session has no jobs"))?;
                 Ok(WaitTarget {
                     subjects: vec![WaitSubject::Session(key)],
-                    met_by: goal.first_met(&session.ended, &session.running),
+                    satisfied_by: goal.first_satisfying_job(&session.ended, &session.running),
                 })
             }
             _ => {
                 let keys = self.resolve_targets(targets)?;
-                let is_met = |key: &JobKey| {
+                let is_satisfied = |key: &JobKey| {
                     let job = self.jobs.get(*key);
-                    job.is_some_and(|job| goal.is_met_by(job.state))
+                    job.is_some_and(|job| goal.is_satisfied_by(job.state))
                 };
-                let met_by = keys.iter().copied().find(is_met);
+                let satisfied_by = keys.iter().copied().find(is_satisfied);
                 let subjects = keys.into_iter().map(WaitSubject::Job).collect();
-                Ok(WaitTarget { subjects, met_by })
+                Ok(WaitTarget {
+                    subjects,
+                    satisfied_by,
+                })
             }
         }
     }
@@ -224,7 +231,7 @@
             session.map(WaitSubject::Session),
         ];
         for subject in subjects.into_iter().flatten() {
-            for id in self.waits.met_of_subject(subject, has_ended) {
+            for id in self.waits.satisfied_waits_on(subject, has_ended) {
                 if let Some(wait) = self.remove_wait(id) {
                     let seq = wait.seq;
                     self.send(wait.client, Output::JobInfo { seq, job });
@@ -233,7 +240,7 @@
         }
     }
 
-    /// Ends the waits that have timed out; their jobs go on.
+    /// Ends the waits that have timed out; their jobs continue.
     pub(super) fn expire_waits(&mut self, now: Micros) {
         while let Some(id) = self.waits.first_expired(now) {
             self.fail_wait(id, Problem::new(ErrorId::Timeout, "the job goes on"));
@@ -247,7 +254,7 @@
         }
     }
 
-    /// Removes a wait without an answer.
+    /// Removes a wait without sending an answer.
     pub(super) fn remove_wait(&mut self, id: WaitId) -> Option<Wait> {
         let wait = self.waits.remove(id)?;
         if let Some(client) = self.clients.get_mut(&wait.client) {
