--- a/crates/submission/src/error.rs
+++ b/crates/submission/src/error.rs
@@ -8,7 +8,7 @@
 pub enum ErrorId {
     /// The scheduler rejected the job for good.
     DeniedByDrms,
-    /// The connection to whoever ran the job was lost.
+    /// The connection to the worker or process that ran the job was lost.
     DrmCommunication,
     /// Rejected for now: a retry is harmless.
     TryLater,
@@ -40,19 +40,19 @@
 pub struct Problem {
     /// The error's identifier.
     pub error: ErrorId,
-    /// An explanation for people; may be empty.
+    /// A human-readable explanation; may be empty.
     #[serde(default)]
     pub message: String,
-    /// After how many milliseconds a retry is worthwhile; set with [`ErrorId::TryLater`].
+    /// How long a client should wait before a retry, in milliseconds; set with [`ErrorId::TryLater`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The version of this site's catalog, where the job was checked against another version.
+    /// The version of this site's catalog, set if the forwarding site checked the job against another version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub catalog_version: Option<u64>,
 }
 
 impl Problem {
-    /// A problem of any kind, without a retry hint.
+    /// Creates a problem of any kind, without a retry hint.
     pub fn new(error: ErrorId, message: impl Into<String>) -> Self {
         Problem {
             error,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The problem of a job id that names no visible job.
+    /// The problem of a job id that does not identify a visible job.
     pub(crate) fn unknown_job() -> Self {
         Problem::invalid("no such job")
     }
--- a/crates/submission/src/ids.rs
+++ b/crates/submission/src/ids.rs
@@ -8,7 +8,7 @@
 
 use std::fmt;
 
-/// Low bits of a key that count jobs; the bits above are the index of the prefix.
+/// The number of low bits of a key that hold the job counter; the higher bits hold the index of the prefix.
 const COUNTER_BITS: u32 = 40;
 
 /// Identifies a job or an array within this process.
@@ -42,7 +42,7 @@
         key
     }
 
-    /// Returns the most recently allocated key, whose id was not sent to anybody.
+    /// Releases the most recently allocated key for reuse; its id must not have been sent to a client.
     pub fn release(&mut self, key: JobKey) {
         if key.0 + 1 == self.next_counter {
             self.next_counter = key.0;
@@ -62,7 +62,7 @@
     pub fn parse(&self, id: &str) -> Option<JobKey> {
         let (prefix, counter) = id.rsplit_once('-')?;
         let prefix_index = self.prefixes.iter().position(|known| known == prefix)?;
-        // Only the canonical form: a job has exactly one id.
+        // Only the canonical form is valid, so that a job has exactly one id.
         let canonical = counter == "0" || !counter.starts_with('0') && !counter.starts_with('+');
         let counter: u64 = counter
             .parse()
@@ -81,7 +81,7 @@
             self.prefixes.push(prefix.to_owned());
         }
         let key = self.parse(id)?;
-        // A process that was started with the same seed has the same prefix: its ids must not be allocated again.
+        // A process that was started with the same seed has the same prefix; its ids must not be allocated again.
         if key.0 >> COUNTER_BITS == 0 {
             self.next_counter = self.next_counter.max(key.0 + 1);
         }
@@ -89,7 +89,7 @@
     }
 }
 
-/// The id of a job or an array as it is written.
+/// The textual id of a job or an array.
 pub struct JobId<'a> {
     prefix: &'a str,
     counter: u64,
--- a/crates/submission/src/ids/tests.rs
+++ b/crates/submission/src/ids/tests.rs
@@ -12,7 +12,7 @@
         ids.parse_or_register("n0-7-5").map(|_| ids.allocate()),
         ids.parse("n0-7-6")
     );
-    for wrong in [
+    for invalid in [
         "",
         "-",
         "n0-7-",
@@ -21,6 +21,6 @@
         "n0-8-0",
         "n0-7-1099511627776",
     ] {
-        assert_eq!(ids.parse(wrong), None, "{wrong}");
+        assert_eq!(ids.parse(invalid), None, "{invalid}");
     }
 }
--- a/crates/submission/src/jobs/job.rs
+++ b/crates/submission/src/jobs/job.rs
@@ -11,7 +11,7 @@
 use marbledeck_dispatcher::{Micros, RequestId};
 use std::rc::Rc;
 
-/// The approximate memory of a job besides its texts, in bytes: its record and its index entries.
+/// The approximate memory of a job without its strings, in bytes: its record and its index entries.
 pub const JOB_OVERHEAD_BYTES: usize = 512;
 /// The retry hint of a rejected job if the scheduler gives none, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1000;
@@ -19,7 +19,8 @@
 /// Where a job is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobLocation {
-    /// Not passed to the scheduler: held, before its start time, or behind its array's `maxParallel`.
+    /// Not yet passed to the scheduler: it is held, its start time has not come, or its array has reached
+    /// `maxParallel`.
     Waiting,
     /// With the scheduler, as this request.
     Scheduled(RequestId),
@@ -37,11 +38,11 @@
 /// Whether clients can see a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Visibility {
-    /// Not yet: the scheduler may still reject it at once.
+    /// Not yet: its submission is not answered, so the scheduler can still reject it.
     Admitting,
-    /// Yes.
+    /// Visible.
     Visible,
-    /// No longer; only its submission key counts.
+    /// No longer: it is kept only because its submission key is in use.
     Reaped,
 }
 
@@ -50,7 +51,7 @@
 pub struct Job {
     /// Its key.
     pub key: JobKey,
-    /// What to run.
+    /// The template that describes it.
     pub template: Rc<Template>,
     /// Its index in the array.
     pub index: Option<i64>,
@@ -82,7 +83,7 @@
     pub dedup_window: Micros,
     /// How many resubmissions joined it.
     pub duplicates: u64,
-    /// When it needs attention next: to start it, to end its hold, or to remove it.
+    /// When it must be handled next: to start it, to end its hold, or to remove it.
     pub due: Option<Micros>,
     /// Whether clients can see it.
     pub visibility: Visibility,
@@ -90,7 +91,7 @@
     pub is_shared: bool,
 }
 
-/// How a job has ended, besides its state.
+/// The result or problem of a job that has ended.
 #[derive(Clone, Debug, Default)]
 pub struct JobOutcome {
     /// Why there is no result.
@@ -172,17 +173,17 @@
         self.state.is_final()
     }
 
-    /// Whether clients can see it, now or once it is admitted.
+    /// Whether it was reaped, so that clients can no longer see it.
     pub fn is_reaped(&self) -> bool {
         self.visibility == Visibility::Reaped
     }
 
-    /// Whether the scheduler may still reject it at once.
+    /// Whether its submission is not answered yet, so that the scheduler can still reject it.
     pub fn is_admitting(&self) -> bool {
         self.visibility == Visibility::Admitting
     }
 
-    /// Whether it waits for its turn or its start, and is not held.
+    /// Whether it can be passed to the scheduler: it waits and is not held.
     pub fn is_ready(&self) -> bool {
         self.location == JobLocation::Waiting && self.state == JobState::Queued
     }
@@ -228,11 +229,11 @@
         tenant_key(&self.template, self.index)
     }
 
-    /// What clients learn about it.
+    /// The information that is sent to clients.
     pub fn info(&self, ids: &IdRegistry, session: Option<&str>) -> JobInfo {
         let millis = |time: Micros| time.0 / 1000;
         let result = self.result();
-        // Text that grows much by escaping is sent in Base64, since the length of a line is limited.
+        // The length of a line is limited, so text that needs many escapes in JSON is sent in Base64.
         let text = result.and_then(|bytes| std::str::from_utf8(bytes).ok());
         let text = text.filter(|t| t.bytes().filter(|b| *b < 0x20).count() * 8 <= t.len() + 64);
         JobInfo {
--- a/crates/submission/src/jobs/mod.rs
+++ b/crates/submission/src/jobs/mod.rs
@@ -1,5 +1,5 @@
-//! The accepted jobs: each has exactly one final state, and is kept for as long as clients can ask for it and its
-//! submission key counts.
+//! The accepted jobs. Each reaches exactly one final state, and is kept as long as it is visible to clients or its
+//! submission key is in use.
 
 mod job;
 mod table;
--- a/crates/submission/src/jobs/table.rs
+++ b/crates/submission/src/jobs/table.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// The bounds of the retry hint when the table is full, in milliseconds.
+/// The bounds of the retry hint of a full table, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 1000;
 const MAX_RETRY_AFTER_MS: u64 = 60_000;
 
@@ -26,7 +26,7 @@
     by_tenant_key: HashMap<TenantKey, JobKey>,
     by_request: HashMap<RequestId, JobKey>,
     due: BTreeSet<(Micros, JobKey)>,
-    /// When ended jobs are removed: the part of `due` that tells when there is room again.
+    /// The subset of `due` that belongs to ended jobs: the first entry tells when a full table has room again.
     expiries: BTreeSet<(Micros, JobKey)>,
 }
 
@@ -46,28 +46,28 @@
         }
     }
 
-    /// A job that was not reaped.
+    /// The job with this key, unless it was reaped.
     pub fn get(&self, key: JobKey) -> Option<&Job> {
         self.jobs.get(&key).filter(|job| !job.is_reaped())
     }
 
-    /// A job, reaped or not.
+    /// The job with this key, reaped or not.
     pub fn get_any(&self, key: JobKey) -> Option<&Job> {
         self.jobs.get(&key)
     }
 
-    /// A job to change, reaped or not.
+    /// The job with this key for modification, reaped or not.
     pub fn get_mut(&mut self, key: JobKey) -> Option<&mut Job> {
         self.jobs.get_mut(&key)
     }
 
-    /// The jobs after this one, in the order of their keys.
+    /// The jobs after this key, or all jobs, in the order of their keys.
     pub fn iter_after(&self, key: Option<JobKey>) -> impl Iterator<Item = &Job> {
         let from = key.map_or(Unbounded, Excluded);
         self.jobs.range((from, Unbounded)).map(|(_, job)| job)
     }
 
-    /// The keys of all jobs at a location, in their order.
+    /// The keys of all jobs at a location, in ascending order.
     pub fn keys_at(&self, location: JobLocation) -> Vec<JobKey> {
         self.iter_after(None)
             .filter(|job| job.location == location)
@@ -80,7 +80,7 @@
         self.by_request.get(&id).copied()
     }
 
-    /// The number of jobs, including those of which only the submission key counts.
+    /// The number of jobs, including reaped jobs whose submission key is still in use.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
@@ -130,11 +130,11 @@
         Err(Problem::later("too many jobs are held", retry_after_ms))
     }
 
-    /// Adds a job. From now on its submission key counts.
+    /// Adds a job and registers its submission key.
     pub fn insert(&mut self, job: Job) {
         let key = job.key;
         self.bytes += job.memory_bytes();
-        // A job that has released its submission key must not take it from another job.
+        // A job that has released its submission key must not take it from a job that uses it now.
         let released_key = releases_key(job.state, job.sub_state, job.last_sent());
         if let Some(tenant_key) = job.tenant_key().filter(|_| !released_key) {
             self.by_tenant_key.entry(tenant_key).or_insert(key);
@@ -147,7 +147,7 @@
         self.set_due(key, due);
     }
 
-    /// Sets when a job needs attention next.
+    /// Sets when a job must be handled next.
     pub fn set_due(&mut self, key: JobKey, due: Option<Micros>) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
@@ -165,7 +165,7 @@
         }
     }
 
-    /// A waiting job was passed to the scheduler.
+    /// Records that a waiting job was passed to the scheduler.
     pub fn mark_scheduled(&mut self, key: JobKey, request: RequestId, deadline: Micros) {
         self.set_due(key, None);
         if let Some(job) = self.jobs.get_mut(&key) {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// A job was taken back from the scheduler.
+    /// Records that a job was taken back from the scheduler.
     pub fn mark_recalled(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.get_mut(&key) {
             if let JobLocation::Scheduled(id) = job.location {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Applies a legal change that does not end the job; returns whether its state differs afterwards.
+    /// Applies a change that is legal and does not end the job; returns whether the state has changed.
     pub fn apply(&mut self, key: JobKey, change: Change, now: Micros) -> bool {
         let Some(job) = self.jobs.get_mut(&key) else {
             return false;
@@ -199,7 +199,7 @@
         std::mem::replace(&mut job.state, next) != next
     }
 
-    /// Gives a job its final state; returns whether it was the first time.
+    /// Ends a job; returns whether this call has ended it.
     pub fn end(
         &mut self,
         key: JobKey,
@@ -228,7 +228,7 @@
             self.by_request.remove(&id);
         }
         self.bytes = self.bytes + bytes_after - bytes_before;
-        // The submission key counts for as long as workers drop repeats, or longer if the job stays visible longer.
+        // The submission key stays in use as long as workers drop repeats, or as long as the job is visible if longer.
         let key_expiry = last_sent.map_or(now, |sent| sent + dedup_window);
         self.set_due(key, Some(key_expiry.max(now + self.retention)));
         if releases_key(state, sub_state, last_sent) {
@@ -237,7 +237,7 @@
         true
     }
 
-    /// Until when a job's submission key counts although the job is no longer visible.
+    /// When the submission key of a job that is no longer visible expires; `None` if the job does not use its key.
     fn key_expiry(&self, key: JobKey) -> Option<Micros> {
         let job = self.jobs.get(&key)?;
         let last_sent = job.last_sent()?;
@@ -247,7 +247,7 @@
         (holder == Some(&key)).then_some(last_sent + job.dedup_window)
     }
 
-    /// Hides a job. Its submission key counts on as long as workers drop repeats.
+    /// Hides a job. The job is kept while its submission key is in use, which is as long as workers drop repeats.
     pub fn reap(&mut self, key: JobKey, now: Micros) {
         let expiry = self.key_expiry(key).filter(|expiry| *expiry > now);
         let Some(expiry) = expiry else {
@@ -267,8 +267,8 @@
 
     fn release_tenant_key(&mut self, key: JobKey) {
         let tenant_key = self.jobs.get(&key).and_then(Job::tenant_key);
-        let held = tenant_key.filter(|name| self.by_tenant_key.get(name) == Some(&key));
-        if let Some(tenant_key) = held {
+        let used = tenant_key.filter(|name| self.by_tenant_key.get(name) == Some(&key));
+        if let Some(tenant_key) = used {
             self.by_tenant_key.remove(&tenant_key);
         }
     }
@@ -286,12 +286,12 @@
         }
     }
 
-    /// When the next job needs attention.
+    /// When the next job is due.
     pub fn next_due(&self) -> Option<Micros> {
         self.due.first().map(|(time, _)| *time)
     }
 
-    /// The next job that is due.
+    /// Takes the next job that is due now.
     pub fn pop_due(&mut self, now: Micros) -> Option<JobKey> {
         let (_, key) = self.due.first().copied().filter(|(time, _)| *time <= now)?;
         self.set_due(key, None);
@@ -299,7 +299,8 @@
     }
 }
 
-/// Whether a resubmission with the job's key is a new job: the job has not run, or a retry is harmless.
+/// Whether an ended job gives up its submission key, so that a resubmission is a new job: the job was rejected, or
+/// failed without having been sent to a worker.
 fn releases_key(state: JobState, sub_state: Option<SubState>, last_sent: Option<Micros>) -> bool {
     state == JobState::Failed && (sub_state == Some(SubState::Rejected) || last_sent.is_none())
 }
--- a/crates/submission/src/lib.rs
+++ b/crates/submission/src/lib.rs
@@ -1,6 +1,6 @@
-//! Batch submission in DRMAA terms (GFD.231), as a protocol of one JSON object per line: the messages, the states of a
-//! job, and the protocol's server without sockets. `docs/submission.md` describes the protocol,
-//! `docs/design/submission.md` the reasons for it.
+//! Batch submission in DRMAA terms (GFD.231) over a protocol of one JSON object per line: the messages, the states of a
+//! job, and the protocol's server without sockets. `docs/submission.md` describes the protocol, and
+//! `docs/design/submission.md` gives the reasons for its design.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/submission/src/limits.rs
+++ b/crates/submission/src/limits.rs
@@ -1,4 +1,4 @@
-//! What the server may hold, and what it holds.
+//! The server's resource limits and its current resource usage.
 
 use marbledeck_dispatcher::Micros;
 
@@ -7,7 +7,7 @@
 pub struct Limits {
     /// The maximum number of jobs, whether they wait, run or have ended.
     pub max_jobs: usize,
-    /// The maximum memory of templates and results, in bytes.
+    /// The maximum approximate memory of all jobs with their templates and results, in bytes.
     pub max_bytes: usize,
     /// The maximum number of jobs of one `runBulkJobs`.
     pub max_bulk: usize,
@@ -19,14 +19,14 @@
     pub retention: Micros,
     /// How long a job may wait before it is passed to the scheduler.
     pub max_hold: Micros,
-    /// How long a session is kept that has neither jobs nor readers.
+    /// How long a session without jobs and readers is kept.
     pub session_idle_timeout: Micros,
 }
 
-/// What the server holds at the moment.
+/// The server's current resource usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// The number of jobs, including those of which only the submission key counts.
+    /// The number of jobs, including reaped jobs whose submission key is still in use.
     pub jobs: usize,
     /// The approximate memory of the jobs, in bytes.
     pub bytes: usize,
--- a/crates/submission/src/message/answer.rs
+++ b/crates/submission/src/message/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to submissions and to questions about jobs and arrays.
+//! Answers to submissions and to queries for jobs and arrays.
 
 use super::JobInfo;
 use crate::error::Problem;
@@ -11,7 +11,7 @@
 pub struct Answer<'a, T: Serialize> {
     /// The `seq` of the request.
     pub seq: &'a Value,
-    /// The body, or a [`Problem`].
+    /// The fields of the answer, or a [`Problem`].
     #[serde(flatten)]
     pub body: T,
 }
@@ -34,7 +34,7 @@
 pub enum Submitted {
     /// The job was accepted and will end exactly once.
     Accepted(Accepted),
-    /// The job was rejected; nothing of it runs.
+    /// The job was rejected and does not run.
     Rejected(Problem),
 }
 
@@ -97,7 +97,7 @@
     pub jobs: usize,
     /// How many of them are with the scheduler or a worker.
     pub active: usize,
-    /// How many were not yet passed to the scheduler.
+    /// How many have not been passed to the scheduler yet.
     pub waiting: usize,
     /// How many have ended and were not reaped.
     pub ended: usize,
--- a/crates/submission/src/message/event.rs
+++ b/crates/submission/src/message/event.rs
@@ -1,10 +1,10 @@
-//! Events, which are sent without a request.
+//! Events, which the server sends without a request.
 
 use super::JobInfo;
 use crate::state::JobState;
 use serde::{Deserialize, Serialize};
 
-/// An event of an open session.
+/// An event of an open session, or of a job that was submitted with `notify`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "event", rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Event {
@@ -47,7 +47,7 @@
 }
 
 impl JobNotification {
-    /// The notification of the state that `info` has.
+    /// Creates a notification of the state in `info`.
     pub(crate) fn new(info: JobInfo) -> Self {
         JobNotification {
             event: "NEW_STATE",
--- a/crates/submission/src/message/job_info.rs
+++ b/crates/submission/src/message/job_info.rs
@@ -1,4 +1,4 @@
-//! What clients learn about a job.
+//! The information of a job that is sent to clients.
 
 use crate::error::Problem;
 use crate::state::JobState;
@@ -11,7 +11,7 @@
 pub struct JobInfo {
     /// The job's id.
     pub job_id: String,
-    /// The name that its template gives it.
+    /// The name from its template.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub job_name: Option<String>,
     /// Its state.
--- a/crates/submission/src/message/monitoring.rs
+++ b/crates/submission/src/message/monitoring.rs
@@ -1,4 +1,4 @@
-//! Queues and machines, as DRMAA's monitoring session shows them.
+//! Queues and machines, as DRMAA's monitoring session reports them.
 
 use serde::{Deserialize, Serialize};
 
@@ -24,7 +24,7 @@
     pub name: String,
     /// Whether it accepts new jobs.
     pub available: bool,
-    /// Its state as it or the operators set it, such as `up`, `draining` or `out`.
+    /// Its state as set by the worker itself or by operators, such as `up`, `draining` or `out`.
     pub state: String,
     /// Its availability zone.
     pub zone: String,
@@ -32,7 +32,7 @@
     pub kind: String,
     /// Its address and port.
     pub address: String,
-    /// Attempts in flight from this node.
+    /// The number of attempts in flight from this node.
     pub calls: usize,
     /// The free slots in its last load report.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/submission/src/message/request.rs
+++ b/crates/submission/src/message/request.rs
@@ -1,4 +1,4 @@
-//! Requests: the operations that a client can ask for, and how it names the jobs they are about.
+//! Requests: the operations of clients, and the selection of the jobs that an operation applies to.
 
 use crate::state::JobState;
 use crate::template::Template;
@@ -16,7 +16,7 @@
     pub op: Operation,
 }
 
-/// The jobs that an operation is about; exactly one field must be set.
+/// The jobs that an operation applies to; exactly one field must be set.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "camelCase")]
 pub struct Targets {
@@ -108,7 +108,7 @@
         template: Template,
         /// The first index.
         begin_index: i64,
-        /// The last index, which is a member if a whole number of steps leads to it.
+        /// The upper or, with a negative step, lower bound of the indices; a member if the steps reach it exactly.
         end_index: i64,
         /// The distance between two indices; may be negative.
         #[serde(default = "default_step")]
@@ -204,7 +204,7 @@
         /// Only jobs of this session.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         session: Option<String>,
-        /// Which jobs.
+        /// Selects the jobs.
         #[serde(default)]
         filter: Filter,
         /// The page's maximum number of jobs.
@@ -232,7 +232,7 @@
         /// The session's name.
         name: String,
     },
-    /// Removes a session. Its jobs go on without one.
+    /// Removes a session. Its jobs continue without a session.
     DestroySession {
         /// The session's name.
         name: String,
@@ -253,7 +253,7 @@
     },
     /// Rejected: reservations are not supported.
     GetAllReservations,
-    /// Returns what is supported and what is not (section 7.1, `supports`).
+    /// Returns the supported and unsupported features (section 7.1, `supports`).
     GetCapabilities,
     /// Returns names and versions (section 7.1).
     GetDrmsInfo,
--- a/crates/submission/src/partner.rs
+++ b/crates/submission/src/partner.rs
@@ -1,6 +1,6 @@
 //! The other process of a node while one process replaces the other.
 
-/// One of the two processes that this process can exchange jobs with.
+/// A process with which this process exchanges jobs during an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Partner {
     /// The process that this one replaces.
--- a/crates/submission/src/scheduler.rs
+++ b/crates/submission/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The interface to the scheduler that runs the jobs.
+//! The interface of the server to the scheduler, which sends jobs to workers.
 
 use crate::error::Problem;
 use crate::message::{Machine, Queue};
@@ -14,9 +14,9 @@
     pub tenant: Option<&'a str>,
     /// The time until the job's deadline.
     pub time_left: Micros,
-    /// The slots that it takes.
+    /// The number of slots that it takes.
     pub slots: f64,
-    /// The job's id, by which workers know it.
+    /// The job's id, which also identifies it at the worker.
     pub job_id: String,
     /// The idempotency key.
     pub key: Option<String>,
@@ -52,14 +52,14 @@
     pub allows_retries: bool,
 }
 
-/// How the scheduler has ended a job.
+/// The final result of a job, as the scheduler reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// A worker has sent this result.
     Served(Vec<u8>),
     /// The job has not run: a retry is harmless.
     Rejected {
-        /// After what time a retry is worthwhile.
+        /// How long a client should wait before a retry.
         retry_after: Option<Micros>,
     },
     /// The job may or may not have run.
@@ -77,22 +77,22 @@
     /// Why [`Scheduler::submit`] would reject such a job regardless of its deadline and the load.
     fn check(&self, class: &str, tenant: Option<&str>, has_key: bool) -> Result<(), Problem>;
 
-    /// Decides from a job's manifest where it is to run.
+    /// Decides by a job's manifest at which site it runs.
     ///
     /// # Errors
-    /// If no site can run it, or this cannot be decided now.
+    /// If no site can run it, or the decision is not possible at present.
     fn place(&self, _template: &Template) -> Result<Placement, Problem> {
         Ok(Placement::Local)
     }
 
-    /// Accepts a job, whose end is then reported once by [`Server::handle_verdict`](crate::Server::handle_verdict).
+    /// Accepts a job. Its end is reported once, by [`Server::handle_verdict`](crate::Server::handle_verdict).
     ///
     /// # Errors
-    /// Why it was rejected; nothing of it has run.
+    /// Why it was rejected; it has not run.
     fn submit(&mut self, now: Micros, request: JobRequest) -> Result<RequestId, Problem>;
 
-    /// Takes a job back if it was never sent to a worker; returns whether it was taken back. Its end is not reported
-    /// then.
+    /// Takes a job back if it was never sent to a worker, and returns whether it did. The end of a recalled job is not
+    /// reported.
     fn recall(&mut self, now: Micros, id: RequestId) -> bool;
 
     /// Abandons a job, whose end is not reported. Returns when it was last sent to a worker that may have run it.
--- a/crates/submission/src/server/submission.rs
+++ b/crates/submission/src/server/submission.rs
@@ -45,7 +45,7 @@
     Bulk(Vec<(i64, SubmissionResult)>),
 }
 
-/// The session and the array that a job is submitted to.
+/// The array, the index in it and the session of a submitted job.
 pub(super) struct Origin {
     pub(super) index: Option<i64>,
     pub(super) array: Option<ArrayKey>,
--- a/crates/submission/src/sessions.rs
+++ b/crates/submission/src/sessions.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionKey(pub u32);
 
-/// An event: the state that a job had entered.
+/// An event: a job has entered a state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionEvent {
     pub job: JobKey,
@@ -24,7 +24,7 @@
     pub sub_state: Option<SubState>,
 }
 
-/// What a reader receives next.
+/// The next entry of a session's history for a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextEvent {
     /// The event with this number.
@@ -43,9 +43,9 @@
     pub last_event: u64,
     /// Its visible jobs.
     pub jobs: BTreeSet<JobKey>,
-    /// The jobs that run.
+    /// Its running jobs.
     pub running: BTreeSet<JobKey>,
-    /// The jobs that have ended.
+    /// Its ended jobs.
     pub ended: BTreeSet<JobKey>,
     /// The client connections that receive its events.
     pub readers: Vec<u64>,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// What a reader receives that has seen the events up to this number.
+    /// The next entry for a reader that has received the events up to this number.
     pub fn next_after(&self, last_seen: u64) -> Option<NextEvent> {
         if last_seen >= self.last_event {
             return None;
@@ -106,7 +106,7 @@
     sessions: BTreeMap<SessionKey, Session>,
     by_name: HashMap<String, SessionKey>,
     next_key: u32,
-    /// When idle sessions may have to be removed.
+    /// When to look for idle sessions to remove; possibly earlier than necessary.
     next_expiry: Option<Micros>,
 }
 
@@ -164,7 +164,7 @@
             return Err(Problem::invalid(format!("session `{name}` exists")));
         }
         if self.sessions.len() >= self.max_sessions {
-            // Programs that died leave sessions behind: the one that has been idle for longest makes room.
+            // Programs that crash leave their sessions behind, so the longest idle session is removed to make room.
             let idle = self
                 .iter()
                 .filter_map(|(key, session)| Some((session.idle_since?, key)));
@@ -193,7 +193,7 @@
         Ok(key)
     }
 
-    /// Creates or completes a session from the state that another process had.
+    /// Creates a session from another process's state, or fills in that state if the session exists without events.
     pub fn restore(
         &mut self,
         now: Micros,
@@ -206,8 +206,8 @@
             None => self.create(now, name).ok()?,
         };
         let session = self.sessions.get_mut(&key)?;
-        // No line is read before the handover ends, so no event was numbered here yet; if there was one, its number
-        // must not be used again.
+        // No line is read before the handover ends, so the session has no events here yet. If it does have some, it is
+        // left as it is, since the imported events would reuse their numbers.
         if session.last_event == 0 {
             session.last_event = last_event;
             session.events = events.into();
@@ -242,7 +242,7 @@
         self.update_idle(now, key);
     }
 
-    /// Updates since when a session has been idle.
+    /// Updates the time since when a session has been idle.
     pub fn update_idle(&mut self, now: Micros, key: SessionKey) {
         let Some(session) = self.sessions.get_mut(&key) else {
             return;
--- a/crates/submission/src/sessions/tests.rs
+++ b/crates/submission/src/sessions/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 #[test]
-fn a_reader_gets_missed_events_and_gaps_from_the_bounded_history() {
+fn a_reader_receives_missed_events_and_gaps_from_the_bounded_history() {
     let mut sessions = Sessions::new(2, 3, Micros(10));
     let key = sessions.create(Micros(0), "s").unwrap();
     let mut ids = crate::ids::IdRegistry::new("n".to_owned());
     for _ in 0..5 {
         let job = ids.allocate();
-        let record = SessionEvent {
+        let event = SessionEvent {
             job,
             state: JobState::Queued,
             sub_state: None,
         };
-        sessions.record(key, record);
+        sessions.record(key, event);
     }
     let session = sessions.get(key).unwrap();
     assert_eq!(
@@ -48,7 +48,7 @@
     sessions.expire(Micros(40));
     assert_eq!(sessions.len(), 0);
     assert!(sessions.create(Micros(41), "t").is_ok());
-    // At the limit, an idle one makes room.
+    // At the limit, the idle session is removed to make room.
     assert!(sessions.create(Micros(42), "u").is_ok());
     assert_eq!(sessions.names(), ["u"]);
 }
--- a/crates/submission/src/state.rs
+++ b/crates/submission/src/state.rs
@@ -18,11 +18,11 @@
     QueuedHeld,
     /// A worker runs it.
     Running,
-    /// Paused by a worker. Never entered: workers cannot suspend jobs.
+    /// Paused by a worker. Never entered because workers cannot suspend jobs.
     Suspended,
     /// It ran, was returned by its worker, and waits for a retry.
     Requeued,
-    /// Like `Requeued`, but held. Never entered: a job that was sent cannot be held.
+    /// Like `Requeued`, but held. Never entered because a job that was sent to a worker cannot be held.
     RequeuedHeld,
     /// Finished with a result: final.
     Done,
@@ -54,7 +54,8 @@
         self.is_final() || matches!(self, JobState::Running | JobState::Suspended)
     }
 
-    /// The state that a change leads to; `None` if the transition is illegal. No other code decides on transitions.
+    /// The state after a change; `None` if the transition is illegal. This is the only place that defines the
+    /// transitions.
     pub fn after(self, change: Change) -> Option<JobState> {
         use Change::*;
         use JobState::*;
@@ -66,9 +67,9 @@
             (Running, Start) => Some(Running),
             (Running, Return) => Some(Requeued),
             (Queued | QueuedHeld | Running | Requeued, Terminate) => Some(Failed),
-            // A held job may end without a release: its deadline has passed, or the node shuts down.
+            // A held job can fail without a release: its deadline has passed, or the node shuts down.
             (Queued | QueuedHeld | Running | Requeued, Fail) => Some(Failed),
-            // Workers need not report the start of a job.
+            // A job can be done without having been RUNNING: workers need not report its start.
             (Queued | Running | Requeued, Serve) => Some(Done),
             _ => None,
         }
@@ -133,7 +134,7 @@
 pub(crate) enum SubState {
     /// The scheduler rejected it: a retry is harmless.
     Rejected,
-    /// It may have run, but there is no result.
+    /// There is no result, although it may have run.
     Failed,
     /// Its deadline has passed.
     Overdue,
@@ -141,7 +142,7 @@
     Terminated,
     /// It was held for too long.
     Expired,
-    /// The process that had passed it to its scheduler is gone.
+    /// The process that had passed it to its scheduler was lost.
     Lost,
     /// It is held until its start time.
     Scheduled,
--- a/crates/submission/src/template.rs
+++ b/crates/submission/src/template.rs
@@ -1,5 +1,5 @@
-//! The job template: the supported attributes of DRMAA and a few of our own. Every other attribute of GFD.231, section
-//! 5.7, is rejected by name.
+//! The job template: the supported attributes of GFD.231, section 5.7, and some extensions. An unsupported attribute
+//! that is set is rejected with an error that names it.
 
 use crate::error::{ErrorId, Problem};
 use base64::prelude::{Engine, BASE64_STANDARD};
@@ -37,7 +37,7 @@
     "workingDirectory",
 ];
 
-/// The supported attributes, as the capabilities list them.
+/// The supported attributes, as listed in the capabilities.
 pub const SUPPORTED: [&str; 16] = [
     "accountingId",
     "args",
@@ -69,7 +69,7 @@
     /// Another name of the request class; both must agree if both are set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub queue_name: Option<String>,
-    /// An input of one line per argument, if there is no other input.
+    /// Arguments, sent as an input with one line per argument; excludes the other inputs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub args: Option<Vec<String>>,
     /// The tenant.
@@ -78,7 +78,7 @@
     /// A name for the client's own use.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub job_name: Option<String>,
-    /// The slots that the job takes.
+    /// The number of slots that the job takes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub min_slots: Option<f64>,
     /// The input, as text.
@@ -105,7 +105,7 @@
     /// Whether it may be retried. `false` is rejected for a class whose jobs the scheduler retries.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rerunnable: Option<bool>,
-    /// What it needs of a site. A job that does not fit here is forwarded to another site.
+    /// The job's requirements on a site. A job that this site cannot run is forwarded to another site.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub manifest: Option<Manifest>,
     /// Set if another site has forwarded the job.
@@ -116,7 +116,7 @@
     pub others: Map<String, Value>,
 }
 
-/// What a site adds to a job that it forwards.
+/// The information that a site adds to a job that it forwards.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Forwarded {
@@ -126,13 +126,13 @@
     pub catalog: u64,
 }
 
-/// Whether a text can be part of a request's head: it cannot end its line or its field.
+/// Whether a text is safe in the head of a request: it has no character that could end its line or field.
 fn is_token(text: &str) -> bool {
     let valid_length = !text.is_empty() && text.len() <= MAX_ATTRIBUTE_BYTES;
     valid_length && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
-/// Whether an unsupported attribute has a value that would have to be honoured.
+/// Whether an attribute has a value other than null, false or empty. Unsupported attributes may be present but unset.
 fn is_set(value: &Value) -> bool {
     match value {
         Value::Null | Value::Bool(false) => false,
@@ -144,7 +144,7 @@
 }
 
 impl Template {
-    /// Sets the input: as text if it is text that stays short on the wire, in Base64 otherwise.
+    /// Sets the input: as text if it is UTF-8 that needs few escapes in JSON, otherwise in Base64.
     pub fn set_input(&mut self, bytes: Vec<u8>) {
         let needs_many_escapes = bytes.iter().filter(|b| **b < 0x20).count() * 8 > bytes.len() + 64;
         match String::from_utf8(bytes) {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Replaces the placeholder of the index.
+    /// Replaces the placeholder with the index, if there is one.
     fn fill_index(text: &str, index: Option<i64>) -> String {
         match index {
             Some(index) => text.replace(PARAMETRIC_INDEX, &index.to_string()),
@@ -191,7 +191,7 @@
     /// The input of the member with this index.
     ///
     /// # Errors
-    /// If there are two inputs, or the input cannot be decoded or is too long.
+    /// If more than one input is set, or the input cannot be decoded or is too long.
     pub fn body_at(&self, index: Option<i64>) -> Result<Vec<u8>, Problem> {
         let body = match (&self.input, &self.input_base64, &self.args) {
             (Some(_), Some(_), _) => {
@@ -216,7 +216,7 @@
         Ok(body)
     }
 
-    /// Whether two jobs ask for the same work; their deadlines may differ.
+    /// Whether two jobs are the same except for their deadlines.
     pub fn is_same_job(
         &self,
         index: Option<i64>,
@@ -236,7 +236,7 @@
             || without_deadlines(self, index) == without_deadlines(other, other_index)
     }
 
-    /// Checks everything that does not depend on the node's settings.
+    /// Checks the template as far as possible without the node's configuration.
     ///
     /// # Errors
     /// [`ErrorId::UnsupportedAttribute`] names an attribute of GFD.231 that is not supported,
--- a/crates/submission/src/transfer.rs
+++ b/crates/submission/src/transfer.rs
@@ -1,11 +1,11 @@
-//! The messages by which two processes of one node exchange their jobs while one replaces the other.
+//! The messages that two processes of one node exchange while one replaces the other.
 
 use crate::error::Problem;
 use crate::state::JobState;
 use crate::template::Template;
 use serde::{Deserialize, Serialize};
 
-/// A message from one process to the other. Times are those of the node's clock, in microseconds.
+/// A message from one process to the other. Times are on the node's clock, in microseconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Transfer {
@@ -37,7 +37,7 @@
     Job(Box<JobRecord>),
     /// The predecessor has sent everything.
     End,
-    /// The successor owns all jobs that were not passed to the predecessor's scheduler.
+    /// The successor confirms that it owns all jobs that were not passed to the predecessor's scheduler.
     Taken,
 }
 
