--- a/crates/node/src/placement.rs
+++ b/crates/node/src/placement.rs
@@ -162,13 +162,14 @@
             if self.has_room(template) {
                 return Ok(Destination::Elsewhere);
             }
-            let problem = Problem::later("too many jobs are at other sites", RETRY_AFTER_MS);
+            let problem = Problem::try_later("too many jobs are at other sites", RETRY_AFTER_MS);
             return Err(problem);
         }
         let reader = records.reader.as_ref();
         let is_reading_valid = reader.is_some_and(|reader| reader.has_lease(now));
         if !sites.unknown.is_empty() || !is_reading_valid {
-            let problem = Problem::later("what sites offer cannot be known now", RETRY_AFTER_MS);
+            let problem =
+                Problem::try_later("what sites offer cannot be known now", RETRY_AFTER_MS);
             return Err(problem);
         }
         let own = (self.own_site.as_str(), here);
@@ -300,7 +301,7 @@
             )
         }),
         (_, MatchResult::Matches) => Ok(Destination::Here),
-        (_, MatchResult::Unknown) => Err(Problem::later(
+        (_, MatchResult::Unknown) => Err(Problem::try_later(
             "this site's catalog cannot be known now",
             RETRY_AFTER_MS,
         )),
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -103,7 +103,7 @@
                     self.server.handle_connect(token.number());
                 }
                 Ok(Some(token)) => {
-                    let problem = Problem::later("too many submitters", RETRY_AFTER_MS);
+                    let problem = Problem::try_later("too many submitters", RETRY_AFTER_MS);
                     let _ = net.write(token, &frame::line(&problem));
                     net.finish(token);
                 }
@@ -154,7 +154,7 @@
                 }
                 Err(TooLong) => {
                     // Where the next line begins is not known.
-                    let problem = Problem::invalid("the line is too long");
+                    let problem = Problem::invalid_argument("the line is too long");
                     let token = submitter.token;
                     let _ = context.net.write(token, &frame::line(&problem));
                     self.forget(now, peer);
--- a/crates/node/src/submission/scheduler.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -17,9 +17,9 @@
 fn problem(error: RequestError) -> Problem {
     match error {
         RequestError::TooMany | RequestError::NoSeat(_) => {
-            Problem::later(error.to_string(), RETRY_AFTER_MS)
+            Problem::try_later(error.to_string(), RETRY_AFTER_MS)
         }
-        _ => Problem::invalid(error.to_string()),
+        _ => Problem::invalid_argument(error.to_string()),
     }
 }
 
--- a/crates/submission-client/tests/golden.rs
+++ b/crates/submission-client/tests/golden.rs
@@ -403,7 +403,7 @@
 #[test]
 fn errors() {
     let errors = [
-        Error::Problem(Problem::invalid("no such job")),
+        Error::Problem(Problem::invalid_argument("no such job")),
         Error::Connection(std::io::Error::other("the connection broke")),
         Error::InvalidAnswer("more than one line".to_owned()),
     ];
--- a/crates/submission/src/error.rs
+++ b/crates/submission/src/error.rs
@@ -63,17 +63,17 @@
     }
 
     /// [`ErrorId::InvalidArgument`]: a message, template or name is malformed.
-    pub fn invalid(message: impl Into<String>) -> Self {
+    pub fn invalid_argument(message: impl Into<String>) -> Self {
         Problem::new(ErrorId::InvalidArgument, message)
     }
 
     /// [`ErrorId::InvalidState`]: the job's state does not allow the operation.
-    pub fn state(message: impl Into<String>) -> Self {
+    pub fn invalid_state(message: impl Into<String>) -> Self {
         Problem::new(ErrorId::InvalidState, message)
     }
 
     /// [`ErrorId::TryLater`] with a retry hint in milliseconds.
-    pub fn later(message: impl Into<String>, retry_after_ms: u64) -> Self {
+    pub fn try_later(message: impl Into<String>, retry_after_ms: u64) -> Self {
         Problem {
             retry_after_ms: Some(retry_after_ms),
             ..Problem::new(ErrorId::TryLater, message)
@@ -82,6 +82,6 @@
 
     /// The problem of a job id that does not identify a visible job.
     pub(crate) fn unknown_job() -> Self {
-        Problem::invalid("no such job")
+        Problem::invalid_argument("no such job")
     }
 }
--- a/crates/submission/src/jobs/job.rs
+++ b/crates/submission/src/jobs/job.rs
@@ -115,7 +115,7 @@
     pub fn rejected(retry_after: Option<Micros>) -> Self {
         let retry_after_ms =
             retry_after.map_or(DEFAULT_RETRY_AFTER_MS, |wait| wait.0.div_ceil(1000));
-        JobOutcome::not_run(Problem::later("refused", retry_after_ms))
+        JobOutcome::not_run(Problem::try_later("refused", retry_after_ms))
     }
 
     /// The outcome of a job that may or may not have run.
--- a/crates/submission/src/jobs/table.rs
+++ b/crates/submission/src/jobs/table.rs
@@ -105,7 +105,7 @@
             return Ok(None);
         };
         if !job.template.is_same_job(job.index, template, index) {
-            return Err(Problem::invalid(
+            return Err(Problem::invalid_argument(
                 "submissionKey was used with another template",
             ));
         }
@@ -127,7 +127,7 @@
             .first()
             .map_or(Micros(0), |(time, _)| *time - now);
         let retry_after_ms = (wait.0 / 1000).clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
-        Err(Problem::later("too many jobs are held", retry_after_ms))
+        Err(Problem::try_later("too many jobs are held", retry_after_ms))
     }
 
     /// Adds a job and registers its submission key.
--- a/crates/submission/src/server/arrays.rs
+++ b/crates/submission/src/server/arrays.rs
@@ -96,7 +96,7 @@
     pub(super) fn find_array(&self, id: &str) -> Result<ArrayKey, Problem> {
         let key = self.ids.parse(id);
         key.filter(|key| self.arrays.contains_key(key))
-            .ok_or_else(|| Problem::invalid("no such job array"))
+            .ok_or_else(|| Problem::invalid_argument("no such job array"))
     }
 
     /// Keeps an array from passing members to the scheduler before this time.
--- a/crates/submission/src/server/bulk.rs
+++ b/crates/submission/src/server/bulk.rs
@@ -58,7 +58,7 @@
         let session = self.find_optional_session(request.session)?;
         let jobs_left = self.count_bulk(request.begin_index, request.end_index, request.step)?;
         if request.max_parallel == Some(0) {
-            return Err(Problem::invalid("maxParallel wants 1 or more"));
+            return Err(Problem::invalid_argument("maxParallel wants 1 or more"));
         }
         let template = Rc::new(request.template);
         let array_key = self.ids.allocate();
@@ -84,7 +84,7 @@
     /// The number of members of a bulk job with these indices.
     fn count_bulk(&self, begin: i64, end: i64, step: i64) -> Result<usize, Problem> {
         if step == 0 || step > 0 && begin > end || step < 0 && begin < end {
-            return Err(Problem::invalid(
+            return Err(Problem::invalid_argument(
                 "beginIndex, endIndex and step name no job",
             ));
         }
@@ -94,7 +94,9 @@
         let max = self.limits.max_bulk;
         match usize::try_from(count) {
             Ok(count) if count <= max => Ok(count),
-            _ => Err(Problem::invalid(format!("at most {max} jobs at once"))),
+            _ => Err(Problem::invalid_argument(format!(
+                "at most {max} jobs at once"
+            ))),
         }
     }
 
--- a/crates/submission/src/server/control.rs
+++ b/crates/submission/src/server/control.rs
@@ -136,9 +136,13 @@
         };
         let state = job.state;
         if action != ControlAction::Reap && job.has_ended() {
-            return Err(Problem::state("the job has ended"));
+            return Err(Problem::invalid_state("the job has ended"));
         }
-        let illegal = |reason: &str| Err(Problem::state(format!("{reason}: the job is {state}")));
+        let illegal = |reason: &str| {
+            Err(Problem::invalid_state(format!(
+                "{reason}: the job is {state}"
+            )))
+        };
         match action {
             ControlAction::Terminate => Ok(self.terminate_job(now, key, scheduler)),
             ControlAction::Hold if state.after(Change::Hold).is_none() => illegal("not to be held"),
@@ -204,7 +208,11 @@
                 self.deactivate_member(key, array);
             }
             JobLocation::Waiting => {}
-            _ => return Err(Problem::state("a worker has had it: it cannot be held")),
+            _ => {
+                return Err(Problem::invalid_state(
+                    "a worker has had it: it cannot be held",
+                ))
+            }
         }
         self.jobs.apply(key, Change::Hold, now);
         if let Some(job) = self.jobs.get_mut(key) {
--- a/crates/submission/src/server/dispatch.rs
+++ b/crates/submission/src/server/dispatch.rs
@@ -64,7 +64,7 @@
             return Some((SubState::Overdue, Problem::new(ErrorId::Timeout, message)));
         }
         if job.waiting_since + self.limits.max_hold <= now {
-            let problem = Problem::later("it was held for too long", RETRY_AFTER_MS);
+            let problem = Problem::try_later("it was held for too long", RETRY_AFTER_MS);
             return Some((SubState::Expired, problem));
         }
         None
--- a/crates/submission/src/server/mod.rs
+++ b/crates/submission/src/server/mod.rs
@@ -183,7 +183,7 @@
     /// over.
     pub fn reject_waiting(&mut self, now: Micros) {
         for key in self.jobs.keys_at(JobLocation::Waiting) {
-            let problem = Problem::later("the node is ending", SHUTDOWN_RETRY_AFTER_MS);
+            let problem = Problem::try_later("the node is ending", SHUTDOWN_RETRY_AFTER_MS);
             let outcome = JobOutcome::not_run(problem);
             self.end_job(now, key, Change::Fail, Some(SubState::Rejected), outcome);
         }
@@ -246,7 +246,11 @@
             Err(error) => {
                 let value: Value = serde_json::from_slice(line).unwrap_or_default();
                 let seq = value.get("seq").cloned().unwrap_or_default();
-                return self.send_answer(client, &seq, Problem::invalid(error.to_string()));
+                return self.send_answer(
+                    client,
+                    &seq,
+                    Problem::invalid_argument(error.to_string()),
+                );
             }
         };
         let seq = request.seq;
--- a/crates/submission/src/server/operations.rs
+++ b/crates/submission/src/server/operations.rs
@@ -189,7 +189,7 @@
                 let jobs = session.into_iter().flat_map(|session| &session.jobs);
                 Ok(jobs.copied().collect())
             }
-            _ => Err(Problem::invalid(
+            _ => Err(Problem::invalid_argument(
                 "want one of jobId, jobIds, jobArrayId and session",
             )),
         }
--- a/crates/submission/src/server/sessions.rs
+++ b/crates/submission/src/server/sessions.rs
@@ -57,7 +57,7 @@
         if let Some(ahead) = since.filter(|since| *since > last) {
             // The number belongs to an earlier session of the same name, whose events are no longer known.
             let message = format!("since {ahead} is beyond the last event, {last}");
-            return Err(Problem::invalid(message));
+            return Err(Problem::invalid_argument(message));
         }
         self.open_session(now, client, key, since.unwrap_or(last));
         self.send_answer(client, seq, json!({ "session": name, "lastEvent": last }));
@@ -104,7 +104,7 @@
             .map_or(0, |state| state.open_sessions.len());
         if open >= MAX_OPEN_SESSIONS {
             let message = "too many sessions are open here";
-            return Err(Problem::later(message, RETRY_AFTER_MS));
+            return Err(Problem::try_later(message, RETRY_AFTER_MS));
         }
         Ok(())
     }
--- a/crates/submission/src/server/submission.rs
+++ b/crates/submission/src/server/submission.rs
@@ -94,7 +94,7 @@
             });
         }
         if self.is_shutting_down {
-            return Err(Problem::later(
+            return Err(Problem::try_later(
                 "the node is ending",
                 SHUTDOWN_RETRY_AFTER_MS,
             ));
@@ -201,7 +201,7 @@
             Err(problem) => return Submitted::Rejected(problem),
         };
         let Some(job) = self.jobs.get_mut(key) else {
-            return Submitted::Rejected(Problem::later("refused", RETRY_AFTER_MS));
+            return Submitted::Rejected(Problem::try_later("refused", RETRY_AFTER_MS));
         };
         let job_state = job.state;
         if !is_duplicate {
@@ -274,7 +274,7 @@
     }
     let deadline = template.deadline_time.map(micros_of_unix_ms);
     if deadline.is_some_and(|deadline| deadline <= now) {
-        return Err(Problem::invalid("deadlineTime is over"));
+        return Err(Problem::invalid_argument("deadlineTime is over"));
     }
     Ok(class)
 }
--- a/crates/submission/src/server/waits.rs
+++ b/crates/submission/src/server/waits.rs
@@ -166,7 +166,7 @@
         let wait_subjects = state.wait_subjects + subjects.len();
         if state.waits.len() >= MAX_WAITS_PER_CLIENT || wait_subjects > MAX_WAIT_SUBJECTS_PER_CLIENT
         {
-            return Err(Problem::later("too many waits", RETRY_AFTER_MS));
+            return Err(Problem::try_later("too many waits", RETRY_AFTER_MS));
         }
         let timeout = timeout_ms.map(|ms| now + Micros(1000 * ms.min(MAX_TIMEOUT_MS)));
         let id = self.waits.insert(Wait {
@@ -195,7 +195,8 @@
             (None, Some(name)) if !names_jobs => {
                 let key = self.find_session(name)?;
                 let session = self.sessions.get(key).filter(|s| !s.jobs.is_empty());
-                let session = session.ok_or_else(|| Problem::invalid("the session has no jobs"))?;
+                let session =
+                    session.ok_or_else(|| Problem::invalid_argument("the session has no jobs"))?;
                 Ok(WaitTarget {
                     subjects: vec![WaitSubject::Session(key)],
                     satisfied_by: goal.first_satisfying_job(&session.ended, &session.running),
--- a/crates/submission/src/sessions.rs
+++ b/crates/submission/src/sessions.rs
@@ -156,12 +156,14 @@
     /// If the name is taken or malformed, or there are too many sessions.
     pub fn create(&mut self, now: Micros, name: &str) -> Result<SessionKey, Problem> {
         if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
-            return Err(Problem::invalid(format!(
+            return Err(Problem::invalid_argument(format!(
                 "name wants 1 to {MAX_NAME_BYTES} bytes of visible text"
             )));
         }
         if self.by_name.contains_key(name) {
-            return Err(Problem::invalid(format!("session `{name}` exists")));
+            return Err(Problem::invalid_argument(format!(
+                "session `{name}` exists"
+            )));
         }
         if self.sessions.len() >= self.max_sessions {
             // Programs that crash leave their sessions behind, so the longest idle session is removed to make room.
@@ -173,7 +175,7 @@
             }
         }
         if self.sessions.len() >= self.max_sessions {
-            return Err(Problem::later("too many sessions", 60_000));
+            return Err(Problem::try_later("too many sessions", 60_000));
         }
         let key = SessionKey(self.next_key);
         self.next_key += 1;
--- a/crates/submission/src/template.rs
+++ b/crates/submission/src/template.rs
@@ -195,15 +195,19 @@
     pub fn body_at(&self, index: Option<i64>) -> Result<Vec<u8>, Problem> {
         let body = match (&self.input, &self.input_base64, &self.args) {
             (Some(_), Some(_), _) => {
-                return Err(Problem::invalid("input and inputBase64 exclude each other"))
+                return Err(Problem::invalid_argument(
+                    "input and inputBase64 exclude each other",
+                ))
             }
             (Some(_), _, Some(_)) | (_, Some(_), Some(_)) => {
-                return Err(Problem::invalid("args and an input exclude each other"))
+                return Err(Problem::invalid_argument(
+                    "args and an input exclude each other",
+                ))
             }
             (Some(text), None, None) => Self::fill_index(text, index).into_bytes(),
             (None, Some(encoded), None) => BASE64_STANDARD
                 .decode(encoded)
-                .map_err(|_| Problem::invalid("inputBase64 is malformed"))?,
+                .map_err(|_| Problem::invalid_argument("inputBase64 is malformed"))?,
             (None, None, Some(args)) => {
                 let lines = args.iter().map(|arg| Self::fill_index(arg, index) + "\n");
                 lines.collect::<String>().into_bytes()
@@ -211,7 +215,7 @@
             (None, None, None) => Vec::new(),
         };
         if body.len() > MAX_INPUT_BYTES {
-            return Err(Problem::invalid("the input is too long"));
+            return Err(Problem::invalid_argument("the input is too long"));
         }
         Ok(body)
     }
@@ -247,9 +251,9 @@
                 let message = format!("`{name}` is not supported");
                 return Err(Problem::new(ErrorId::UnsupportedAttribute, message));
             }
-            return Err(Problem::invalid(format!("unknown field `{name}`")));
+            return Err(Problem::invalid_argument(format!("unknown field `{name}`")));
         }
-        let invalid = |message: &str| Err(Problem::invalid(message));
+        let invalid = |message: &str| Err(Problem::invalid_argument(message));
         let command = self.command_at(index);
         if !is_token(&command) || !command.starts_with('/') {
             return invalid("remoteCommand wants a path");
@@ -279,7 +283,7 @@
         }
         if let Some(manifest) = &self.manifest {
             if let Err(fault) = manifest.validate() {
-                return Err(Problem::invalid(format!("manifest.{fault}")));
+                return Err(Problem::invalid_argument(format!("manifest.{fault}")));
             }
             if manifest.class != self.class() {
                 return invalid("manifest.class is another than the job's");
--- a/crates/submission/tests/common/mod.rs
+++ b/crates/submission/tests/common/mod.rs
@@ -53,15 +53,15 @@
         match class {
             "preview" => Ok(()),
             "sheet" if keyed => Ok(()),
-            "sheet" => Err(Problem::invalid("this class needs a key")),
-            _ => Err(Problem::invalid("unknown class")),
+            "sheet" => Err(Problem::invalid_argument("this class needs a key")),
+            _ => Err(Problem::invalid_argument("unknown class")),
         }
     }
 
     fn submit(&mut self, _: Micros, request: JobRequest) -> Result<RequestId, Problem> {
         self.check(request.class, request.tenant, request.key.is_some())?;
         if self.full {
-            return Err(Problem::later("too many invocations are open", 500));
+            return Err(Problem::try_later("too many invocations are open", 500));
         }
         let id = RequestId(self.submitted);
         self.submitted += 1;
--- a/crates/submission/tests/golden.rs
+++ b/crates/submission/tests/golden.rs
@@ -149,9 +149,9 @@
     text += &read_and_written::<Problem>("Problems", &problems);
     let made = [
         Problem::new(ErrorId::Internal, "any"),
-        Problem::invalid("makes no sense"),
-        Problem::state("not now"),
-        Problem::later("full", 500),
+        Problem::invalid_argument("makes no sense"),
+        Problem::invalid_state("not now"),
+        Problem::try_later("full", 500),
     ];
     text += "# Problems as the server makes them\n";
     for problem in &made {
@@ -187,7 +187,7 @@
     text += &read_and_written::<JobPage>("Pages of jobs", &pages);
     text += "# Answers with the mark of their request\n";
     for seq in [json!(null), json!(7), json!("seven"), json!({"a": [1]})] {
-        let body = Problem::invalid("no");
+        let body = Problem::invalid_argument("no");
         let _ = writeln!(text, "{}", written(&Answer { seq: &seq, body }));
     }
     assert_snapshot!("answers", text);
