--- a/crates/node/src/federation/mod.rs
+++ b/crates/node/src/federation/mod.rs
@@ -169,7 +169,7 @@
             seq: Value::from(number),
             op,
         };
-        if !context.net.write(token, &frame::line(&request)) {
+        if !context.net.write(token, &frame::encode_line(&request)) {
             return self.drop_connection(now, token, context);
         }
         let deadline = match query {
@@ -209,7 +209,7 @@
             };
             let (is_full, is_over) = (conn.input.is_full(), conn.eof || conn.broken);
             let bytes = conn.input.all();
-            let line = match frame::next(bytes, MAX_LINE, is_full) {
+            let line = match frame::find_line(bytes, MAX_LINE, is_full) {
                 Ok(Some(length)) => {
                     let line = serde_json::from_slice::<Value>(&bytes[..length]);
                     conn.input.consume(length + 1);
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -104,7 +104,7 @@
                 }
                 Ok(Some(token)) => {
                     let problem = Problem::try_later("too many submitters", RETRY_AFTER_MS);
-                    let _ = net.write(token, &frame::line(&problem));
+                    let _ = net.write(token, &frame::encode_line(&problem));
                     net.finish(token);
                 }
                 Err(error) => return log::warn!("accept: {error}"),
@@ -134,7 +134,7 @@
             }
             let (full, eof) = (conn.input.is_full(), conn.eof);
             let held = conn.input.all();
-            match frame::next(held, self.max_line, full) {
+            match frame::find_line(held, self.max_line, full) {
                 Ok(None) => {
                     if eof {
                         // A last line without its end is none.
@@ -156,7 +156,7 @@
                     // Where the next line begins is not known.
                     let problem = Problem::invalid_argument("the line is too long");
                     let token = submitter.token;
-                    let _ = context.net.write(token, &frame::line(&problem));
+                    let _ = context.net.write(token, &frame::encode_line(&problem));
                     self.forget(now, peer);
                     return context.net.finish(token);
                 }
--- a/crates/node/src/workers/submission_exchange.rs
+++ b/crates/node/src/workers/submission_exchange.rs
@@ -34,7 +34,7 @@
         "notify": true,
         "template": template,
     });
-    frame::line(&run)
+    frame::encode_line(&run)
 }
 
 /// A job submitted to a worker, and what the worker reports of it.
@@ -64,7 +64,7 @@
         while !self.ended {
             let full = conn.input.is_full();
             let held = conn.input.all();
-            let end = match frame::next(held, MAX_LINE, full) {
+            let end = match frame::find_line(held, MAX_LINE, full) {
                 Ok(None) => break,
                 Ok(Some(length)) => {
                     let end = match held[..length].trim_ascii() {
--- a/crates/submission-client/src/connection.rs
+++ b/crates/submission-client/src/connection.rs
@@ -107,7 +107,7 @@
         let seq = self.next_seq.fetch_add(1, Ordering::SeqCst);
         let (sender, receiver) = channel();
         lock(&self.pending).insert(seq, sender);
-        let line = frame::line(&Request {
+        let line = frame::encode_line(&Request {
             seq: seq.into(),
             op: operation,
         });
--- a/crates/submission/src/frame.rs
+++ b/crates/submission/src/frame.rs
@@ -11,7 +11,11 @@
 ///
 /// # Errors
 /// [`TooLong`] if the line is longer than `max_length` bytes, or is incomplete in a full buffer.
-pub fn next(buffer: &[u8], max_length: usize, is_full: bool) -> Result<Option<usize>, TooLong> {
+pub fn find_line(
+    buffer: &[u8],
+    max_length: usize,
+    is_full: bool,
+) -> Result<Option<usize>, TooLong> {
     // The line end can only be within the longest line and the byte after it.
     let searched = &buffer[..buffer.len().min(max_length + 1)];
     match searched.iter().position(|byte| *byte == b'\n') {
@@ -22,7 +26,7 @@
 }
 
 /// Encodes a message as a line, with its line end.
-pub fn line(message: &impl Serialize) -> Vec<u8> {
+pub fn encode_line(message: &impl Serialize) -> Vec<u8> {
     // Serialization cannot fail: the messages have string keys, and writing to memory has no errors.
     let mut bytes = serde_json::to_vec(message).unwrap_or_default();
     bytes.push(b'\n');
--- a/crates/submission/src/server/notification.rs
+++ b/crates/submission/src/server/notification.rs
@@ -90,7 +90,7 @@
 
     /// Queues an answer for a client.
     pub(super) fn send_answer(&mut self, client: ClientId, seq: &Value, body: impl Serialize) {
-        let line = frame::line(&Answer { seq, body });
+        let line = frame::encode_line(&Answer { seq, body });
         self.send(client, Output::Line(line));
     }
 
@@ -127,7 +127,7 @@
             Output::Notification(job) => {
                 let job = self.jobs.get(job)?;
                 let info = job.info(&self.ids, self.session_name(job));
-                Some(frame::line(&JobNotification::new(info)))
+                Some(frame::encode_line(&JobNotification::new(info)))
             }
         }
     }
@@ -135,11 +135,11 @@
     fn encode_job_info(&self, seq: &Value, key: JobKey) -> Vec<u8> {
         let Some(job) = self.jobs.get(key) else {
             let body = Problem::unknown_job();
-            return frame::line(&Answer { seq, body });
+            return frame::encode_line(&Answer { seq, body });
         };
         let job_info = job.info(&self.ids, self.session_name(job));
         let body = JobInfoAnswer { job_info };
-        frame::line(&Answer { seq, body })
+        frame::encode_line(&Answer { seq, body })
     }
 
     fn next_event(&mut self, client: ClientId) -> Option<Vec<u8>> {
@@ -148,7 +148,7 @@
             .open_sessions
             .iter_mut()
             .find_map(|open| next_session_event(open, &self.sessions, &self.ids))?;
-        Some(frame::line(&event))
+        Some(frame::encode_line(&event))
     }
 }
 
--- a/crates/submission/tests/golden.rs
+++ b/crates/submission/tests/golden.rs
@@ -35,7 +35,7 @@
 
 /// A message as the line that goes over the wire, without its end.
 fn written(message: &impl Serialize) -> String {
-    let line = String::from_utf8(frame::line(message)).expect("lines are UTF-8");
+    let line = String::from_utf8(frame::encode_line(message)).expect("lines are UTF-8");
     let line = line.strip_suffix('\n').expect("a line has its end");
     line.to_owned()
 }
@@ -279,7 +279,7 @@
         (b"", 3, false),
     ];
     for (held, longest, full) in cases {
-        let found = match frame::next(held, longest, full) {
+        let found = match frame::find_line(held, longest, full) {
             Ok(Some(end)) => format!("a line of {end} bytes"),
             Ok(None) => "not whole".to_owned(),
             Err(TooLong) => "too long".to_owned(),
