--- a/crates/submission/src/server/bulk.rs
+++ b/crates/submission/src/server/bulk.rs
@@ -58,7 +58,7 @@
         let session = self.find_optional_session(request.session)?;
         let jobs_left = self.count_bulk(request.begin_index, request.end_index, request.step)?;
         if request.max_parallel == Some(0) {
-            return Err(Problem::invalid_argument("maxParallel wants 1 or more"));
+            return Err(Problem::invalid_argument("maxParallel must be at least 1"));
         }
         let template = Rc::new(request.template);
         let array_key = self.ids.allocate();
--- a/crates/submission/src/server/control.rs
+++ b/crates/submission/src/server/control.rs
@@ -210,7 +210,7 @@
             JobLocation::Waiting => {}
             _ => {
                 return Err(Problem::invalid_state(
-                    "a worker has had it: it cannot be held",
+                    "the job cannot be held: it was sent to a worker, or another process of the node has it",
                 ))
             }
         }
--- a/crates/submission/src/server/dispatch.rs
+++ b/crates/submission/src/server/dispatch.rs
@@ -60,11 +60,14 @@
     fn waiting_timeout(&self, now: Micros, job: &Job) -> Option<(SubState, Problem)> {
         let deadline = job.template.deadline_time.map(micros_of_unix_ms);
         if deadline.is_some_and(|deadline| deadline <= now) {
-            let message = "its time was up before it could start";
+            let message = "the deadline passed before the job could start";
             return Some((SubState::Overdue, Problem::new(ErrorId::Timeout, message)));
         }
         if job.waiting_since + self.limits.max_hold <= now {
-            let problem = Problem::try_later("it was held for too long", RETRY_AFTER_MS);
+            let problem = Problem::try_later(
+                "the job was held for longer than the node allows",
+                RETRY_AFTER_MS,
+            );
             return Some((SubState::Expired, problem));
         }
         None
--- a/crates/submission/src/server/handover/mod.rs
+++ b/crates/submission/src/server/handover/mod.rs
@@ -166,7 +166,7 @@
             scheduled: true,
         };
         for key in self.jobs.keys_at(lost) {
-            let message = "the process that had it is gone: it may have run";
+            let message = "the process that had scheduled the job was lost: it may have run";
             let outcome = JobOutcome {
                 problem: Some(Problem::new(ErrorId::DrmCommunication, message)),
                 result: None,
--- a/crates/submission/src/server/mod.rs
+++ b/crates/submission/src/server/mod.rs
@@ -183,7 +183,7 @@
     /// over.
     pub fn reject_waiting(&mut self, now: Micros) {
         for key in self.jobs.keys_at(JobLocation::Waiting) {
-            let problem = Problem::try_later("the node is ending", SHUTDOWN_RETRY_AFTER_MS);
+            let problem = Problem::try_later("the node is shutting down", SHUTDOWN_RETRY_AFTER_MS);
             let outcome = JobOutcome::not_run(problem);
             self.end_job(now, key, Change::Fail, Some(SubState::Rejected), outcome);
         }
--- a/crates/submission/src/server/operations.rs
+++ b/crates/submission/src/server/operations.rs
@@ -133,7 +133,7 @@
             }
             Operation::GetAllReservations => {
                 let message =
-                    "there are no reservations: see ADVANCE_RESERVATION in the capabilities";
+                    "reservations are not supported: see ADVANCE_RESERVATION in the capabilities";
                 Err(Problem::new(ErrorId::UnsupportedOperation, message))
             }
             Operation::GetCapabilities => {
@@ -190,7 +190,7 @@
                 Ok(jobs.copied().collect())
             }
             _ => Err(Problem::invalid_argument(
-                "want one of jobId, jobIds, jobArrayId and session",
+                "exactly one of jobId, jobIds, jobArrayId and session must be set",
             )),
         }
     }
--- a/crates/submission/src/server/sessions.rs
+++ b/crates/submission/src/server/sessions.rs
@@ -77,7 +77,9 @@
             .get(&client)
             .is_some_and(|state| state.open_sessions.iter().any(|open| open.session == key));
         if !is_open {
-            return Err(invalid_session("it is not open here"));
+            return Err(invalid_session(
+                "the session is not open on this connection",
+            ));
         }
         self.close_session(now, key, client);
         self.send_answer(client, seq, json!({ "session": name }));
@@ -103,7 +105,7 @@
             .get(&client)
             .map_or(0, |state| state.open_sessions.len());
         if open >= MAX_OPEN_SESSIONS {
-            let message = "too many sessions are open here";
+            let message = "too many sessions are open on this connection";
             return Err(Problem::try_later(message, RETRY_AFTER_MS));
         }
         Ok(())
--- a/crates/submission/src/server/submission.rs
+++ b/crates/submission/src/server/submission.rs
@@ -95,7 +95,7 @@
         }
         if self.is_shutting_down {
             return Err(Problem::try_later(
-                "the node is ending",
+                "the node is shutting down",
                 SHUTDOWN_RETRY_AFTER_MS,
             ));
         }
@@ -268,13 +268,12 @@
         .class_properties(template.class())
         .unwrap_or_default();
     if template.rerunnable == Some(false) && class.allows_retries {
-        let message =
-            "`rerunnable` cannot be false: jobs of this class are run again where that is allowed";
+        let message = "`rerunnable` cannot be false: the scheduler retries jobs of this class";
         return Err(Problem::new(ErrorId::UnsupportedAttribute, message));
     }
     let deadline = template.deadline_time.map(micros_of_unix_ms);
     if deadline.is_some_and(|deadline| deadline <= now) {
-        return Err(Problem::invalid_argument("deadlineTime is over"));
+        return Err(Problem::invalid_argument("deadlineTime has passed"));
     }
     Ok(class)
 }
@@ -294,6 +293,6 @@
 fn rejection(job: &Job) -> Problem {
     match job.problem() {
         Some(problem) if problem.error == ErrorId::TryLater => problem.clone(),
-        _ => Problem::new(ErrorId::DeniedByDrms, "no worker may run it"),
+        _ => Problem::new(ErrorId::DeniedByDrms, "no worker may run the job"),
     }
 }
--- a/crates/submission/src/sessions.rs
+++ b/crates/submission/src/sessions.rs
@@ -157,7 +157,7 @@
     pub fn create(&mut self, now: Micros, name: &str) -> Result<SessionKey, Problem> {
         if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
             return Err(Problem::invalid_argument(format!(
-                "name wants 1 to {MAX_NAME_BYTES} bytes of visible text"
+                "name must be 1 to {MAX_NAME_BYTES} bytes without control characters"
             )));
         }
         if self.by_name.contains_key(name) {
--- a/crates/submission/src/template.rs
+++ b/crates/submission/src/template.rs
@@ -196,12 +196,12 @@
         let body = match (&self.input, &self.input_base64, &self.args) {
             (Some(_), Some(_), _) => {
                 return Err(Problem::invalid_argument(
-                    "input and inputBase64 exclude each other",
+                    "input and inputBase64 cannot both be set",
                 ))
             }
             (Some(_), _, Some(_)) | (_, Some(_), Some(_)) => {
                 return Err(Problem::invalid_argument(
-                    "args and an input exclude each other",
+                    "args cannot be combined with input or inputBase64",
                 ))
             }
             (Some(text), None, None) => Self::fill_index(text, index).into_bytes(),
@@ -259,7 +259,9 @@
             return invalid("remoteCommand wants a path");
         }
         if self.key_at(index).is_some_and(|key| !is_token(&key)) {
-            return invalid("submissionKey wants visible characters");
+            return invalid(
+                "submissionKey is empty, too long, or has characters other than visible ASCII",
+            );
         }
         if self
             .job_name
@@ -269,10 +271,10 @@
             return invalid("jobName is too long");
         }
         if self.min_slots.is_some_and(|n| !n.is_finite() || n < 0.0) {
-            return invalid("minSlots wants a number");
+            return invalid("minSlots must be a finite number of at least 0");
         }
         if self.deadline_ms == Some(0) {
-            return invalid("deadlineMs wants whole milliseconds");
+            return invalid("deadlineMs must be at least 1");
         }
         match &self.queue_name {
             Some(queue) if !self.job_category.is_empty() && *queue != self.job_category => {
@@ -286,7 +288,7 @@
                 return Err(Problem::invalid_argument(format!("manifest.{fault}")));
             }
             if manifest.class != self.class() {
-                return invalid("manifest.class is another than the job's");
+                return invalid("manifest.class differs from the class of the job");
             }
         }
         if let (Some(start), Some(deadline)) = (self.start_time, self.deadline_time) {
