--- a/crates/submission/tests/arrays.rs
+++ b/crates/submission/tests/arrays.rs
@@ -1,132 +1,139 @@
-//! Arrays and bulks: their limits, and clients that are lost in the middle.
+//! Arrays of jobs: their limits, and the loss of a client during a bulk submission.
 
 mod common;
 
-use common::{limits, secs, served, text_of, Bench};
+use common::{limits, secs, served, text_field, Harness};
 use marbledeck_submission::{Limits, Verdict};
 use serde_json::{json, Value};
 
-/// A rejected member pauses the others.
+/// Members end in every way. A rejected one pauses the array.
 #[test]
-fn max_parallel_holds_whatever_becomes_of_the_members() {
-    let mut b = Bench::new(limits());
-    b.connect(1);
+fn max_parallel_limits_members_however_they_end() {
+    let mut harness = Harness::new(limits());
+    harness.connect(1);
     let bulk = json!({"op": "runBulkJobs", "beginIndex": 1, "endIndex": 200, "maxParallel": 3,
         "template": {"remoteCommand": "/${PARAMETRIC_INDEX}", "jobCategory": "preview"}});
-    let answer = b.ask(1, bulk);
+    let answer = harness.send_request(1, bulk);
     assert_eq!(answer["jobs"].as_array().unwrap().len(), 200);
-    b.pass(secs(0));
+    harness.advance(secs(0));
     let array = answer["jobArrayId"].clone();
     for round in 0..40 {
-        assert_eq!(b.scheduler.open.len(), 3, "round {round}");
-        let id = *b.scheduler.open.keys().next().unwrap();
-        b.send(id, round % 2 == 0);
+        assert_eq!(harness.scheduler.open_jobs.len(), 3, "round {round}");
+        let id = *harness.scheduler.open_jobs.keys().next().unwrap();
+        harness.send_to_worker(id, round % 2 == 0);
         match round % 4 {
-            0 => b.answer(id, served()),
-            1 => b.answer(id, Verdict::Failed),
+            0 => harness.end_request(id, served()),
+            1 => harness.end_request(id, Verdict::Failed),
             2 => {
-                b.requeue(id);
-                b.answer(id, served());
+                harness.requeue(id);
+                harness.end_request(id, served());
             }
             _ => {
-                b.answer(
+                harness.end_request(
                     id,
                     Verdict::Rejected {
                         retry_after: Some(secs(2)),
                     },
                 );
                 assert_eq!(
-                    b.scheduler.open.len(),
+                    harness.scheduler.open_jobs.len(),
                     2,
-                    "no other is handed on into the refusal"
+                    "no other member is passed to the scheduler during the pause"
                 );
-                b.pass(secs(1));
-                assert_eq!(b.scheduler.open.len(), 2);
-                b.pass(secs(1));
+                harness.advance(secs(1));
+                assert_eq!(harness.scheduler.open_jobs.len(), 2);
+                harness.advance(secs(1));
             }
         }
-        b.pass(secs(0));
+        harness.advance(secs(0));
     }
-    let info = b.ask(1, json!({"op": "getJobArray", "jobArrayId": array}));
+    let info = harness.send_request(1, json!({"op": "getJobArray", "jobArrayId": array}));
     assert_eq!(info["jobArray"]["ended"], 40);
     assert_eq!(info["jobArray"]["active"], 3);
-    // All members have ended, and that has started none.
-    let taken = b.scheduler.submitted;
-    let all = b.ask(1, json!({"op": "terminate", "jobArrayId": array}));
+    // Termination ends all members without starting any.
+    let submitted = harness.scheduler.submitted;
+    let all = harness.send_request(1, json!({"op": "terminate", "jobArrayId": array}));
     assert_eq!(
         (&all["changed"], &all["refused"]),
         (&json!(160), &json!(40))
     );
-    b.pass(secs(3));
-    assert_eq!((b.scheduler.open.len(), b.scheduler.submitted), (0, taken));
+    harness.advance(secs(3));
+    assert_eq!(
+        (
+            harness.scheduler.open_jobs.len(),
+            harness.scheduler.submitted
+        ),
+        (0, submitted)
+    );
 }
 
-/// The scheduler cannot accept another job for a while.
+/// The scheduler rejects all jobs with a retry hint for some time.
 #[test]
 fn a_member_keeps_its_place_while_the_scheduler_is_full() {
-    let mut b = Bench::new(limits());
-    b.connect(1);
-    b.scheduler.full = true;
+    let mut harness = Harness::new(limits());
+    harness.connect(1);
+    harness.scheduler.is_full = true;
     let bulk = json!({"op": "runBulkJobs", "beginIndex": 1, "endIndex": 3, "maxParallel": 2,
         "template": {"remoteCommand": "/x", "jobCategory": "preview"}});
-    b.ask(1, bulk);
-    b.pass(secs(3));
-    assert!(b.scheduler.open.is_empty());
-    b.scheduler.full = false;
-    b.pass(secs(1));
-    assert_eq!(b.scheduler.open.len(), 2);
+    harness.send_request(1, bulk);
+    harness.advance(secs(3));
+    assert!(harness.scheduler.open_jobs.is_empty());
+    harness.scheduler.is_full = false;
+    harness.advance(secs(1));
+    assert_eq!(harness.scheduler.open_jobs.len(), 2);
 }
 
-/// A part of the bulk is accepted.
+/// The table has room for a part of the members only.
 #[test]
 fn a_bulk_beyond_the_limits_answers_every_index() {
-    let mut b = Bench::new(Limits {
+    let mut harness = Harness::new(Limits {
         max_jobs: 100,
         ..limits()
     });
-    b.connect(1);
+    harness.connect(1);
     let bulk = json!({"op": "runBulkJobs", "beginIndex": 1, "endIndex": 300, "seq": 7,
         "template": {"remoteCommand": "/x", "jobCategory": "preview"}});
-    b.say(1, bulk);
+    harness.send_line(1, bulk);
     for _ in 0..10 {
-        b.turn();
+        harness.run_turn();
     }
-    let lines = b.take(1);
-    assert_eq!(lines.len(), 2, "256 jobs a line");
+    let lines = harness.take_received(1);
+    assert_eq!(lines.len(), 2, "256 jobs per line");
     assert_eq!(
         (&lines[0]["more"], &lines[1]["more"]),
         (&json!(true), &Value::Null)
     );
-    let of = |line: &Value| line["jobs"].as_array().unwrap().clone();
-    let jobs = [of(&lines[0]), of(&lines[1])].concat();
+    let jobs_of = |line: &Value| line["jobs"].as_array().unwrap().clone();
+    let jobs = [jobs_of(&lines[0]), jobs_of(&lines[1])].concat();
     let indices: Vec<i64> = jobs.iter().map(|j| j["index"].as_i64().unwrap()).collect();
     assert_eq!(indices, (1..=300).collect::<Vec<i64>>());
-    let taken = jobs.iter().filter(|j| j["jobId"].is_string()).count();
-    let later = jobs
+    let accepted = jobs.iter().filter(|j| j["jobId"].is_string()).count();
+    let rejected = jobs
         .iter()
-        .filter(|j| text_of(j, "error") == "TRY_LATER")
+        .filter(|j| text_field(j, "error") == "TRY_LATER")
         .count();
-    assert_eq!((taken, later), (100, 200));
+    assert_eq!((accepted, rejected), (100, 200));
 }
 
-/// Accepted jobs go on, the rest is dropped, and a resubmission with the same keys runs nothing twice.
+/// After the loss of a client, accepted jobs continue and the other members are dropped. A resubmission with the same
+/// keys runs no job twice.
 #[test]
-fn a_client_lost_in_a_bulk_can_resubmit_without_repeats() {
-    let mut b = Bench::new(limits());
-    b.connect(1);
+fn a_client_lost_during_a_bulk_can_resubmit_without_repeats() {
+    let mut harness = Harness::new(limits());
+    harness.connect(1);
     let bulk = json!({"op": "runBulkJobs", "beginIndex": 1, "endIndex": 400, "seq": 7,
         "template": {"remoteCommand": "/x", "jobCategory": "sheet", "submissionKey": "k-${PARAMETRIC_INDEX}"}});
-    b.say(1, bulk.clone());
-    let before = b.scheduler.open.len();
+    harness.send_line(1, bulk.clone());
+    let before = harness.scheduler.open_jobs.len();
     assert!((64..400).contains(&before));
-    b.server.handle_disconnect(b.now, 1);
-    b.pass(secs(1));
-    assert_eq!(b.scheduler.open.len(), before);
-    b.connect(2);
-    b.say(2, bulk);
+    harness.server.handle_disconnect(harness.now, 1);
+    harness.advance(secs(1));
+    assert_eq!(harness.scheduler.open_jobs.len(), before);
+    harness.connect(2);
+    harness.send_line(2, bulk);
     for _ in 0..10 {
-        b.turn();
+        harness.run_turn();
     }
-    assert_eq!(b.scheduler.submitted, 400);
-    assert_eq!(b.scheduler.duplicates as usize, before);
+    assert_eq!(harness.scheduler.submitted, 400);
+    assert_eq!(harness.scheduler.duplicates as usize, before);
 }
--- a/crates/submission/tests/common/mod.rs
+++ b/crates/submission/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A server with a scripted scheduler, in virtual time.
-#![allow(dead_code, reason = "each test program uses a part of this module")]
+//! Runs a server with a scripted scheduler in virtual time.
+#![allow(dead_code, reason = "each test binary uses only a part of this module")]
 
 pub mod transcript;
 
@@ -10,8 +10,8 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// How long the simulated workers drop repeats of a key.
-pub const WINDOW: Micros = Micros(40_000_000);
+/// How long the simulated workers drop repeats of an idempotency key.
+pub const DEDUP_WINDOW: Micros = Micros(40_000_000);
 
 /// A job that the scheduler has accepted.
 #[derive(Clone, Debug)]
@@ -23,23 +23,23 @@
     pub sent: Option<Micros>,
 }
 
-/// A scheduler whose decisions the test makes.
+/// A scheduler whose decisions are made by the test.
 #[derive(Debug, Default)]
-pub struct Script {
-    pub open: BTreeMap<RequestId, AcceptedJob>,
+pub struct ScriptedScheduler {
+    pub open_jobs: BTreeMap<RequestId, AcceptedJob>,
     pub submitted: u64,
     pub duplicates: u64,
-    /// Every job is rejected while this is set.
-    pub full: bool,
-    /// How many machines there are besides one.
-    pub machines: usize,
+    /// Whether every job is rejected with a retry hint.
+    pub is_full: bool,
+    /// The number of machines in addition to the first one.
+    pub extra_machines: usize,
 }
 
-impl Scheduler for Script {
+impl Scheduler for ScriptedScheduler {
     fn class_properties(&self, name: &str) -> Option<ClassProperties> {
         let window = match name {
             "preview" => Micros(0),
-            "sheet" => WINDOW,
+            "sheet" => DEDUP_WINDOW,
             _ => return None,
         };
         Some(ClassProperties {
@@ -60,7 +60,7 @@
 
     fn submit(&mut self, _: Micros, request: JobRequest) -> Result<RequestId, Problem> {
         self.check(request.class, request.tenant, request.key.is_some())?;
-        if self.full {
+        if self.is_full {
             return Err(Problem::try_later("too many invocations are open", 500));
         }
         let id = RequestId(self.submitted);
@@ -72,23 +72,23 @@
             sent: None,
         };
         assert!(self
-            .open
+            .open_jobs
             .values()
             .all(|other| other.job_id != accepted.job_id));
-        self.open.insert(id, accepted);
+        self.open_jobs.insert(id, accepted);
         Ok(id)
     }
 
     fn recall(&mut self, _: Micros, id: RequestId) -> bool {
         let unsent = self
-            .open
+            .open_jobs
             .get(&id)
             .is_some_and(|accepted| accepted.sent.is_none());
-        unsent && self.open.remove(&id).is_some()
+        unsent && self.open_jobs.remove(&id).is_some()
     }
 
     fn abandon(&mut self, _: Micros, id: RequestId) -> Option<Micros> {
-        self.open.remove(&id)?.sent
+        self.open_jobs.remove(&id)?.sent
     }
 
     fn count_duplicate(&mut self) {
@@ -109,16 +109,16 @@
             name: format!("w{n}"),
             ..Machine::default()
         };
-        (1..=self.machines + 1).map(machine).collect()
+        (1..=self.extra_machines + 1).map(machine).collect()
     }
 }
 
-/// A server, its scheduler, and what its clients have read.
-pub struct Bench {
+/// A server with its scheduler and the lines that its clients have received.
+pub struct Harness {
     pub now: Micros,
     pub server: Server,
-    pub scheduler: Script,
-    pub read: BTreeMap<ClientId, Vec<Value>>,
+    pub scheduler: ScriptedScheduler,
+    pub received: BTreeMap<ClientId, Vec<Value>>,
 }
 
 pub fn limits() -> Limits {
@@ -134,111 +134,114 @@
     }
 }
 
-impl Bench {
+impl Harness {
     pub fn new(limits: Limits) -> Self {
-        Self::named(limits, "n0-1")
+        Self::with_prefix(limits, "n0-1")
     }
 
-    pub fn named(limits: Limits, prefix: &str) -> Self {
-        Bench {
+    pub fn with_prefix(limits: Limits, prefix: &str) -> Self {
+        Harness {
             now: Micros(1_000_000_000),
             server: Server::new(limits, prefix.to_owned()),
-            scheduler: Script::default(),
-            read: BTreeMap::new(),
+            scheduler: ScriptedScheduler::default(),
+            received: BTreeMap::new(),
         }
     }
 
-    pub fn connect(&mut self, peer: ClientId) {
-        self.server.handle_connect(peer);
-        self.read.insert(peer, Vec::new());
+    pub fn connect(&mut self, client: ClientId) {
+        self.server.handle_connect(client);
+        self.received.insert(client, Vec::new());
     }
 
-    /// Passes in a line and lets everything happen that follows from it.
-    pub fn say(&mut self, peer: ClientId, line: Value) {
+    /// Passes a client's line to the server and runs one turn.
+    pub fn send_line(&mut self, client: ClientId, line: Value) {
         let bytes = serde_json::to_vec(&line).unwrap();
-        assert!(self.server.accepts_line(peer), "not read from: {line}");
+        assert!(
+            self.server.accepts_line(client),
+            "the server does not accept a line of the client: {line}"
+        );
         self.server
-            .handle_line(self.now, peer, &bytes, &mut self.scheduler);
-        self.turn();
+            .handle_line(self.now, client, &bytes, &mut self.scheduler);
+        self.run_turn();
     }
 
-    /// Passes in a request and returns its answer.
-    pub fn ask(&mut self, peer: ClientId, mut line: Value) -> Value {
+    /// Sends a request and runs turns until its answer arrives, which is returned.
+    pub fn send_request(&mut self, client: ClientId, mut line: Value) -> Value {
         line["seq"] = "ask".into();
-        self.say(peer, line);
+        self.send_line(client, line);
         for _ in 0..10_000 {
-            let read = self.read.get_mut(&peer).unwrap();
-            if let Some(at) = read.iter().position(|v| v["seq"] == "ask") {
-                return read.remove(at);
+            let lines = self.received.get_mut(&client).unwrap();
+            if let Some(at) = lines.iter().position(|v| v["seq"] == "ask") {
+                return lines.remove(at);
             }
-            self.turn();
+            self.run_turn();
         }
-        panic!("no answer: {:?}", self.read[&peer]);
+        panic!("no answer: {:?}", self.received[&client]);
     }
 
-    /// Does everything that is due and reads all output.
-    pub fn turn(&mut self) {
+    /// Runs one turn of the server and reads all output.
+    pub fn run_turn(&mut self) {
         self.server.wake(self.now, &mut self.scheduler);
         self.server.answer_submissions(self.now);
-        for peer in self.server.take_readable_clients() {
-            self.read_all(peer);
+        for client in self.server.take_readable_clients() {
+            self.read_output(client);
         }
     }
 
-    pub fn read_all(&mut self, peer: ClientId) {
-        while let Some(line) = self.server.next_line(peer) {
+    pub fn read_output(&mut self, client: ClientId) {
+        while let Some(line) = self.server.next_line(client) {
             let value = serde_json::from_slice(&line).expect("a line is an object");
-            self.read.entry(peer).or_default().push(value);
+            self.received.entry(client).or_default().push(value);
         }
     }
 
-    /// Lets time pass and wakes the server whenever it asks for it.
-    pub fn pass(&mut self, span: Micros) {
+    /// Advances the clock and wakes the server at each time that it asks for.
+    pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(at) = self.server.next_wake().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            self.turn();
+            self.run_turn();
         }
         self.now = end;
-        self.turn();
+        self.run_turn();
     }
 
-    /// A worker is sent a job, and perhaps runs it.
-    pub fn send(&mut self, id: RequestId, runs: bool) {
-        if let Some(accepted) = self.scheduler.open.get_mut(&id) {
+    /// Sends a job to a worker, which reports its start if `starts` is set.
+    pub fn send_to_worker(&mut self, id: RequestId, starts: bool) {
+        if let Some(accepted) = self.scheduler.open_jobs.get_mut(&id) {
             accepted.sent = Some(self.now);
-            if runs {
+            if starts {
                 self.server.handle_started(self.now, id, Some("w1".into()));
             }
-            self.turn();
+            self.run_turn();
         }
     }
 
     pub fn requeue(&mut self, id: RequestId) {
         self.server.handle_requeued(self.now, id);
-        self.turn();
+        self.run_turn();
     }
 
-    pub fn answer(&mut self, id: RequestId, verdict: Verdict) {
-        let Some(accepted) = self.scheduler.open.remove(&id) else {
+    pub fn end_request(&mut self, id: RequestId, verdict: Verdict) {
+        let Some(accepted) = self.scheduler.open_jobs.remove(&id) else {
             return;
         };
-        // What was refused has not run.
+        // A rejected job has not run.
         let sent = accepted
             .sent
             .filter(|_| !matches!(verdict, Verdict::Rejected { .. }));
         assert!(self.server.handle_verdict(self.now, id, verdict, sent));
-        self.turn();
+        self.run_turn();
     }
 
-    /// The request as which a job is with the scheduler.
-    pub fn request(&self, job: &Value) -> RequestId {
-        let found = self.scheduler.open.iter();
+    /// The scheduler's id of a job.
+    pub fn request_id(&self, job: &Value) -> RequestId {
+        let found = self.scheduler.open_jobs.iter();
         let mut found = found.filter(|(_, accepted)| accepted.job_id == job.as_str().unwrap());
-        *found.next().expect("with the scheduler").0
+        *found.next().expect("the job is with the scheduler").0
     }
 
-    pub fn run(&mut self, peer: ClientId, more: Value) -> Value {
+    pub fn submit_job(&mut self, client: ClientId, more: Value) -> Value {
         let mut line =
             json!({"op": "runJob", "template": {"remoteCommand": "/x", "jobCategory": "preview"}});
         for (name, value) in more.as_object().unwrap() {
@@ -249,23 +252,23 @@
                 _ => line[name] = value.clone(),
             }
         }
-        self.ask(peer, line)
+        self.send_request(client, line)
     }
 
-    pub fn state(&mut self, peer: ClientId, job: &Value) -> String {
-        let info = self.ask(peer, json!({"op": "getJobInfo", "jobId": job}));
+    pub fn job_state(&mut self, client: ClientId, job: &Value) -> String {
+        let info = self.send_request(client, json!({"op": "getJobInfo", "jobId": job}));
         info["jobInfo"]["jobState"]
             .as_str()
             .unwrap_or("")
             .to_owned()
     }
 
-    pub fn take(&mut self, peer: ClientId) -> Vec<Value> {
-        std::mem::take(self.read.get_mut(&peer).unwrap())
+    pub fn take_received(&mut self, client: ClientId) -> Vec<Value> {
+        std::mem::take(self.received.get_mut(&client).unwrap())
     }
 }
 
-/// A result.
+/// The verdict of a job with a result.
 pub fn served() -> Verdict {
     Verdict::Served(b"made".to_vec())
 }
@@ -275,7 +278,7 @@
     Micros(s * 1_000_000)
 }
 
-/// A field of an answer that is text.
-pub fn text_of(value: &Value, name: &str) -> String {
+/// A text field of an answer; empty if it is missing.
+pub fn text_field(value: &Value, name: &str) -> String {
     value[name].as_str().unwrap_or("").to_owned()
 }
--- a/crates/submission/tests/golden.rs
+++ b/crates/submission/tests/golden.rs
@@ -1,5 +1,4 @@
-//! The written forms of the submission protocol, as golden files: what a line holds must not change, whatever the types
-//! and their fields are called.
+//! Golden files of the submission protocol's wire format, which must stay the same when types and fields are renamed.
 
 mod common;
 
@@ -18,8 +17,8 @@
 use serde_json::{json, Value};
 use std::fmt::Write;
 
-/// Reads each line as a message of this type and writes it again: both the names that are read and those that are
-/// written show.
+/// Deserializes each line as a message of this type and serializes it again, so that the names in both directions are
+/// checked.
 fn read_and_written<T: DeserializeOwned + Serialize>(title: &str, lines: &[&str]) -> String {
     let mut text = format!("# {title}\n");
     for line in lines {
@@ -33,10 +32,12 @@
     text
 }
 
-/// A message as the line that goes over the wire, without its end.
+/// The line of a message on the wire, without its line end.
 fn written(message: &impl Serialize) -> String {
     let line = String::from_utf8(frame::encode_line(message)).expect("lines are UTF-8");
-    let line = line.strip_suffix('\n').expect("a line has its end");
+    let line = line
+        .strip_suffix('\n')
+        .expect("a line ends with a line feed");
     line.to_owned()
 }
 
@@ -147,14 +148,14 @@
     ];
     let mut text = read_and_written::<ErrorId>("Errors", &errors);
     text += &read_and_written::<Problem>("Problems", &problems);
-    let made = [
+    let constructed = [
         Problem::new(ErrorId::Internal, "any"),
         Problem::invalid_argument("makes no sense"),
         Problem::invalid_state("not now"),
         Problem::try_later("full", 500),
     ];
-    text += "# Problems as the server makes them\n";
-    for problem in &made {
+    text += "# Problems from the constructors\n";
+    for problem in &constructed {
         let _ = writeln!(text, "{}", written(problem));
     }
     assert_snapshot!("problems", text);
@@ -166,7 +167,7 @@
         r#"{"jobId":"n0-1-0","jobState":"QUEUED","duplicate":false}"#,
         r#"{"error":"TRY_LATER","message":"full","retryAfterMs":500}"#,
     ];
-    let of_bulk = [
+    let bulk_jobs = [
         r#"{"index":-3,"jobId":"n0-1-0","jobState":"QUEUED_HELD","duplicate":true}"#,
         r#"{"index":4,"error":"INVALID_ARGUMENT","message":"no"}"#,
     ];
@@ -180,12 +181,12 @@
         r#"{"jobs":[{"jobId":"n0-1-0","jobState":"DONE","submissionTimeMs":1}],"next":"n0-1-0"}"#,
     ];
     let mut text = read_and_written::<Accepted>("A job that was accepted", &submitted[..1]);
-    text += &read_and_written::<Submitted>("A job that was handed in", &submitted);
-    text += &read_and_written::<BulkJobAnswer>("A job of a bulk", &of_bulk);
+    text += &read_and_written::<Submitted>("The result of a submission", &submitted);
+    text += &read_and_written::<BulkJobAnswer>("A job of a bulk", &bulk_jobs);
     text += &read_and_written::<BulkAnswer>("Answers to a bulk", &bulks);
     text += &read_and_written::<JobInfoAnswer>("One job", &one_job);
     text += &read_and_written::<JobPage>("Pages of jobs", &pages);
-    text += "# Answers with the mark of their request\n";
+    text += "# Answers with the `seq` of their request\n";
     for seq in [json!(null), json!(7), json!("seven"), json!({"a": [1]})] {
         let body = Problem::invalid_argument("no");
         let _ = writeln!(text, "{}", written(&Answer { seq: &seq, body }));
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn what_is_told_of_things() {
+fn monitoring_information() {
     let jobs = [
         r#"{"jobId":"n0-1-0","jobState":"QUEUED","submissionTimeMs":1}"#,
         r#"{"jobId":"n0-1-0","jobName":"frame","jobState":"FAILED","jobSubState":"refused","queueName":"sheet","accountingId":"au","session":"film","jobArrayId":"n0-1-1","index":-4,"machine":"w1","submissionTimeMs":1,"dispatchTimeMs":2,"finishTimeMs":3,"duplicates":4,"result":"made","resultBase64":"AP8=","error":"TRY_LATER","message":"full","retryAfterMs":500,"catalogVersion":7}"#,
@@ -209,7 +210,7 @@
         r#"{"name":"w1","available":false,"state":"draining","zone":"east","kind":"std","address":"127.0.0.1:8000","calls":0,"freeSlots":2.5,"reportAgeMs":40}"#,
     ];
     let mut text = read_and_written::<JobInfo>("Jobs", &jobs);
-    text += "# The result of a job, as bytes\n";
+    text += "# The result of a job in bytes\n";
     for result in [
         r#""result":"made""#,
         r#""resultBase64":"AP8=""#,
@@ -226,7 +227,7 @@
     text += &read_and_written::<ArrayInfo>("Arrays", &arrays);
     text += &read_and_written::<Queue>("Queues", &queues);
     text += &read_and_written::<Machine>("Machines", &machines);
-    assert_snapshot!("what_is_told_of_things", text);
+    assert_snapshot!("monitoring_information", text);
 }
 
 #[test]
@@ -278,23 +279,23 @@
         (b"\n", 3, false),
         (b"", 3, false),
     ];
-    for (held, longest, full) in cases {
-        let found = match frame::find_line(held, longest, full) {
+    for (buffer, max_length, is_full) in cases {
+        let found = match frame::find_line(buffer, max_length, is_full) {
             Ok(Some(end)) => format!("a line of {end} bytes"),
-            Ok(None) => "not whole".to_owned(),
+            Ok(None) => "incomplete".to_owned(),
             Err(TooLong) => "too long".to_owned(),
         };
-        let held = held.escape_ascii();
+        let buffer = buffer.escape_ascii();
         let _ = writeln!(
             text,
-            "{held:?}, at most {longest}, full {full}: {found}",
-            held = held.to_string()
+            "{buffer:?}, at most {max_length}, full {is_full}: {found}",
+            buffer = buffer.to_string()
         );
     }
     assert_snapshot!("frames", text);
 }
 
-/// Lines that make no request: what each is answered.
+/// The answers to lines that are not valid requests.
 #[test]
 fn malformed_lines() {
     let mut t = Transcript::new(limits(), "n0-1");
@@ -337,17 +338,17 @@
         r#"{"seq":1,"op":"listSessions"} trailing"#,
         r#"{"seq":1,"op":"listSessions","unknown":true}"#,
     ] {
-        t.say(1, line);
+        t.send_line(1, line);
     }
-    t.pass_in(1, b"{\"seq\":1,\"op\":\"\xff\"}");
+    t.handle_line(1, b"{\"seq\":1,\"op\":\"\xff\"}");
     t.settle();
     assert_snapshot!("malformed_lines", t.take_text());
 }
 
-/// The same for lines of the wrong shape. Their answers name the types that were expected: on the wire these names stay
-/// as they are. A number in place of the name of an operation is read as its place among them.
+/// The answers to lines with values of the wrong JSON type. They contain the names of the expected types, which
+/// therefore belong to the wire format. A number in place of an operation's name is read as the operation's index.
 #[test]
-fn lines_of_the_wrong_shape() {
+fn values_of_the_wrong_type() {
     let mut t = Transcript::new(limits(), "n0-1");
     t.connect(1);
     for line in [
@@ -367,13 +368,13 @@
         r#"{"seq":1,"op":"listJobs","filter":7}"#,
         r#"{"seq":1,"op":"listJobs","filter":{"jobStates":[7]}}"#,
     ] {
-        t.say(1, line);
+        t.send_line(1, line);
     }
-    t.say(1, &format!("{}1{}", "[".repeat(200), "]".repeat(200)));
-    assert_snapshot!("lines_of_the_wrong_shape", t.take_text());
+    t.send_line(1, &format!("{}1{}", "[".repeat(200), "]".repeat(200)));
+    assert_snapshot!("values_of_the_wrong_type", t.take_text());
 }
 
-/// Requests that are well formed and refused.
+/// Well-formed requests that are rejected.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a list of requests")]
 fn refused_requests() {
@@ -403,12 +404,12 @@
         json!({"remoteCommand": "/x", "jobCategory": "preview", "manifest": {"class": "preview", "slots": -1.0}}),
         json!({"remoteCommand": "/x", "jobCategory": "preview", "colour": "red"}),
     ] {
-        t.say(1, &run(template));
+        t.send_line(1, &run(template));
     }
     for name in marbledeck_submission::template::UNSUPPORTED {
         let mut template = json!({"remoteCommand": "/x", "jobCategory": "preview"});
         template[name] = json!("set");
-        t.say(1, &run(template));
+        t.send_line(1, &run(template));
     }
     for line in [
         r#"{"seq":2,"op":"runJob","session":"none","template":{"remoteCommand":"/x","jobCategory":"preview"}}"#,
@@ -440,9 +441,9 @@
         r#"{"seq":6,"op":"destroySession","name":"none"}"#,
         r#"{"seq":7,"op":"getAllReservations"}"#,
     ] {
-        t.say(1, line);
+        t.send_line(1, line);
     }
-    // What is long is as long as it was: only its beginning is written down.
+    // Only the beginning and the length of a long line are recorded.
     let text = t.take_text();
     let shortened = text.lines().map(|line| match line.char_indices().nth(400) {
         Some((at, _)) => format!("{} ... {} bytes\n", &line[..at], line.len()),
@@ -451,28 +452,28 @@
     assert_snapshot!("refused_requests", shortened.collect::<String>());
 }
 
-/// What the drmsInfo says of the version changes with each release.
+/// Replaces the version in the answer to `getDrmsInfo`, which changes with each release.
 fn without_version(text: &str) -> String {
     let version = format!(r#""drmsVersion":"{}""#, env!("CARGO_PKG_VERSION"));
     text.replace(&version, r#""drmsVersion":"(the package's)""#)
 }
 
-/// A whole session of two submitters: every kind of request, and what comes of it.
+/// A session of two clients that send every kind of request.
 #[test]
 fn a_session() {
     let mut t = Transcript::new(limits(), "n0-1");
     t.connect(1);
     t.connect(2);
-    t.say(1, r#"{"seq":1,"op":"getDrmsInfo"}"#);
-    t.say(1, r#"{"seq":2,"op":"getCapabilities"}"#);
-    t.say(1, r#"{"seq":3,"op":"getAllQueues"}"#);
-    t.say(1, r#"{"seq":4,"op":"getAllQueues","names":["sheet"]}"#);
-    t.scheduler.machines = 2;
-    t.say(1, r#"{"seq":5,"op":"getAllMachines"}"#);
-    t.say(1, r#"{"seq":6,"op":"getAllMachines","names":["w2","w9"]}"#);
-    t.say(1, r#"{"seq":7,"op":"listSessions"}"#);
-    t.say(1, r#"{"seq":8,"op":"createSession","name":"film"}"#);
-    t.say(2, r#"{"seq":1,"op":"openSession","name":"film"}"#);
+    t.send_line(1, r#"{"seq":1,"op":"getDrmsInfo"}"#);
+    t.send_line(1, r#"{"seq":2,"op":"getCapabilities"}"#);
+    t.send_line(1, r#"{"seq":3,"op":"getAllQueues"}"#);
+    t.send_line(1, r#"{"seq":4,"op":"getAllQueues","names":["sheet"]}"#);
+    t.scheduler.extra_machines = 2;
+    t.send_line(1, r#"{"seq":5,"op":"getAllMachines"}"#);
+    t.send_line(1, r#"{"seq":6,"op":"getAllMachines","names":["w2","w9"]}"#);
+    t.send_line(1, r#"{"seq":7,"op":"listSessions"}"#);
+    t.send_line(1, r#"{"seq":8,"op":"createSession","name":"film"}"#);
+    t.send_line(2, r#"{"seq":1,"op":"openSession","name":"film"}"#);
     jobs_one_by_one(&mut t);
     an_array(&mut t);
     lists_and_sessions(&mut t);
@@ -481,71 +482,71 @@
 
 #[expect(clippy::too_many_lines, reason = "a list of requests")]
 fn jobs_one_by_one(t: &mut Transcript) {
-    t.say(1, r#"{"seq":"run","op":"runJob","notify":true,"session":"film","template":{"remoteCommand":"/frame?n=1","jobCategory":"preview","jobName":"one","accountingId":"au"}}"#);
-    t.say(
+    t.send_line(1, r#"{"seq":"run","op":"runJob","notify":true,"session":"film","template":{"remoteCommand":"/frame?n=1","jobCategory":"preview","jobName":"one","accountingId":"au"}}"#);
+    t.send_line(
         1,
         r#"{"seq":"started","op":"waitStarted","jobId":"n0-1-0","timeoutMs":60000}"#,
     );
-    t.say(
+    t.send_line(
         1,
         r#"{"seq":"ended","op":"waitTerminated","jobId":"n0-1-0"}"#,
     );
-    t.pass_ms(250);
-    t.run("n0-1-0");
-    t.say(1, r#"{"seq":"no","op":"suspend","jobId":"n0-1-0"}"#);
-    t.say(1, r#"{"seq":"no","op":"resume","jobId":"n0-1-0"}"#);
-    t.say(1, r#"{"seq":"no","op":"hold","jobId":"n0-1-0"}"#);
-    t.say(1, r#"{"seq":"no","op":"release","jobId":"n0-1-0"}"#);
-    t.say(1, r#"{"seq":"no","op":"reap","jobId":"n0-1-0"}"#);
-    t.pass_ms(1000);
+    t.advance_ms(250);
+    t.start_job("n0-1-0");
+    t.send_line(1, r#"{"seq":"no","op":"suspend","jobId":"n0-1-0"}"#);
+    t.send_line(1, r#"{"seq":"no","op":"resume","jobId":"n0-1-0"}"#);
+    t.send_line(1, r#"{"seq":"no","op":"hold","jobId":"n0-1-0"}"#);
+    t.send_line(1, r#"{"seq":"no","op":"release","jobId":"n0-1-0"}"#);
+    t.send_line(1, r#"{"seq":"no","op":"reap","jobId":"n0-1-0"}"#);
+    t.advance_ms(1000);
     t.requeue("n0-1-0");
-    t.run("n0-1-0");
-    t.pass_ms(500);
-    t.end("n0-1-0", "is served", Verdict::Served(b"made".to_vec()));
-    t.say(1, r#"{"seq":"no","op":"terminate","jobId":"n0-1-0"}"#);
-    t.say(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-0"}"#);
-    // A keyed job, handed in again while it is there and after it was reaped.
+    t.start_job("n0-1-0");
+    t.advance_ms(500);
+    t.end_job("n0-1-0", "is served", Verdict::Served(b"made".to_vec()));
+    t.send_line(1, r#"{"seq":"no","op":"terminate","jobId":"n0-1-0"}"#);
+    t.send_line(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-0"}"#);
+    // A job with a key, submitted again while it is visible and after it was reaped.
     let keyed = r#"{"seq":"key","op":"runJob","template":{"remoteCommand":"/sheet","queueName":"sheet","submissionKey":"k"}}"#;
-    t.say(2, keyed);
-    t.say(2, keyed);
-    t.run("n0-1-1");
-    t.end(
+    t.send_line(2, keyed);
+    t.send_line(2, keyed);
+    t.start_job("n0-1-1");
+    t.end_job(
         "n0-1-1",
         "is served with bytes",
         Verdict::Served(vec![0, 0xff, b'\n']),
     );
-    t.say(2, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-1"}"#);
-    t.say(2, r#"{"seq":"reap","op":"reap","jobId":"n0-1-1"}"#);
-    t.say(2, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-1"}"#);
-    t.say(2, keyed);
-    t.say(2, r#"{"seq":"other","op":"runJob","template":{"remoteCommand":"/other","queueName":"sheet","submissionKey":"k"}}"#);
-    // Held by its submitter and by its start time.
-    t.say(1, r#"{"seq":"held","op":"runJob","session":"film","template":{"remoteCommand":"/held","jobCategory":"preview","submitAsHold":true}}"#);
-    t.say(1, r#"{"seq":"later","op":"runJob","session":"film","template":{"remoteCommand":"/later","jobCategory":"preview","startTime":1005000}}"#);
-    t.say(1, r#"{"seq":"never","op":"runJob","session":"film","template":{"remoteCommand":"/never","jobCategory":"preview","submitAsHold":true,"deadlineTime":1007000}}"#);
-    t.say(1, r#"{"seq":"release","op":"release","jobId":"n0-1-2"}"#);
-    t.say(1, r#"{"seq":"hold","op":"hold","jobId":"n0-1-2"}"#);
-    t.say(1, r#"{"seq":"release","op":"release","jobId":"n0-1-2"}"#);
-    t.say(
+    t.send_line(2, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-1"}"#);
+    t.send_line(2, r#"{"seq":"reap","op":"reap","jobId":"n0-1-1"}"#);
+    t.send_line(2, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-1"}"#);
+    t.send_line(2, keyed);
+    t.send_line(2, r#"{"seq":"other","op":"runJob","template":{"remoteCommand":"/other","queueName":"sheet","submissionKey":"k"}}"#);
+    // Jobs that are held by the client or until their start time.
+    t.send_line(1, r#"{"seq":"held","op":"runJob","session":"film","template":{"remoteCommand":"/held","jobCategory":"preview","submitAsHold":true}}"#);
+    t.send_line(1, r#"{"seq":"later","op":"runJob","session":"film","template":{"remoteCommand":"/later","jobCategory":"preview","startTime":1005000}}"#);
+    t.send_line(1, r#"{"seq":"never","op":"runJob","session":"film","template":{"remoteCommand":"/never","jobCategory":"preview","submitAsHold":true,"deadlineTime":1007000}}"#);
+    t.send_line(1, r#"{"seq":"release","op":"release","jobId":"n0-1-2"}"#);
+    t.send_line(1, r#"{"seq":"hold","op":"hold","jobId":"n0-1-2"}"#);
+    t.send_line(1, r#"{"seq":"release","op":"release","jobId":"n0-1-2"}"#);
+    t.send_line(
         2,
         r#"{"seq":"timeout","op":"waitStarted","jobId":"n0-1-2","timeoutMs":100}"#,
     );
-    t.pass_ms(10_000);
-    t.end(
+    t.advance_ms(10_000);
+    t.end_job(
         "n0-1-2",
-        "is refused",
+        "is rejected",
         Verdict::Rejected { retry_after: None },
     );
-    t.end(
+    t.end_job(
         "n0-1-3",
-        "is refused for a while",
+        "is rejected with a retry hint",
         Verdict::Rejected {
             retry_after: Some(Micros(2_500_000)),
         },
     );
-    t.say(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-2"}"#);
-    t.say(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-3"}"#);
-    t.say(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-4"}"#);
+    t.send_line(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-2"}"#);
+    t.send_line(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-3"}"#);
+    t.send_line(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-4"}"#);
     failures(t);
 }
 
@@ -555,22 +556,22 @@
             r#"{{"seq":"{seq}","op":"runJob","session":"film","template":{{"remoteCommand":"/{seq}","jobCategory":"preview"}}}}"#
         )
     };
-    t.say(1, &run("fails"));
-    t.run("n0-1-5");
-    t.end("n0-1-5", "fails", Verdict::Failed);
-    t.say(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-5"}"#);
-    t.say(1, &run("overdue"));
-    t.run("n0-1-6");
-    t.pass_ms(10_000);
-    t.end("n0-1-6", "fails after its time", Verdict::Failed);
-    t.say(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-6"}"#);
-    t.say(1, &run("terminated"));
-    t.say(
+    t.send_line(1, &run("fails"));
+    t.start_job("n0-1-5");
+    t.end_job("n0-1-5", "fails", Verdict::Failed);
+    t.send_line(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-5"}"#);
+    t.send_line(1, &run("overdue"));
+    t.start_job("n0-1-6");
+    t.advance_ms(10_000);
+    t.end_job("n0-1-6", "fails after its deadline", Verdict::Failed);
+    t.send_line(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-6"}"#);
+    t.send_line(1, &run("terminated"));
+    t.send_line(
         1,
         r#"{"seq":"terminate","op":"terminate","jobId":"n0-1-7"}"#,
     );
-    t.say(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-7"}"#);
-    // Refused in the turn in which they come: never accepted.
+    t.send_line(1, r#"{"seq":"info","op":"getJobInfo","jobId":"n0-1-7"}"#);
+    // Jobs that the scheduler ends in the turn of their submission are never accepted.
     for (seq, verdict) in [
         ("denied", Verdict::Failed),
         (
@@ -580,88 +581,93 @@
             },
         ),
     ] {
-        t.pass_in(1, run(seq).as_bytes());
-        let id = *t.scheduler.open.keys().last().expect("an order");
-        t.scheduler.open.remove(&id);
+        t.handle_line(1, run(seq).as_bytes());
+        let id = *t
+            .scheduler
+            .open_jobs
+            .keys()
+            .last()
+            .expect("the job is with the scheduler");
+        t.scheduler.open_jobs.remove(&id);
         assert!(t.server.handle_verdict(t.now, id, verdict, None));
         t.settle();
     }
-    t.scheduler.full = true;
-    t.say(1, &run("full"));
-    t.scheduler.full = false;
+    t.scheduler.is_full = true;
+    t.send_line(1, &run("full"));
+    t.scheduler.is_full = false;
 }
 
 fn an_array(t: &mut Transcript) {
-    t.say(1, r#"{"seq":"bulk","op":"runBulkJobs","beginIndex":10,"endIndex":2,"step":-4,"maxParallel":2,"notify":true,"session":"film","template":{"remoteCommand":"/frame/${PARAMETRIC_INDEX}","jobCategory":"preview","jobName":"frame ${PARAMETRIC_INDEX}"}}"#);
+    t.send_line(1, r#"{"seq":"bulk","op":"runBulkJobs","beginIndex":10,"endIndex":2,"step":-4,"maxParallel":2,"notify":true,"session":"film","template":{"remoteCommand":"/frame/${PARAMETRIC_INDEX}","jobCategory":"preview","jobName":"frame ${PARAMETRIC_INDEX}"}}"#);
     let array = "n0-1-10";
-    t.say(
+    t.send_line(
         1,
         &format!(r#"{{"seq":"array","op":"getJobArray","jobArrayId":"{array}"}}"#),
     );
-    t.say(
+    t.send_line(
         2,
         &format!(r#"{{"seq":"any","op":"waitAnyStarted","jobArrayId":"{array}"}}"#),
     );
-    t.say(
+    t.send_line(
         2,
         &format!(r#"{{"seq":"any ended","op":"waitAnyTerminated","jobArrayId":"{array}"}}"#),
     );
-    t.run("n0-1-12");
-    t.end("n0-1-12", "is served", Verdict::Served(b"12".to_vec()));
+    t.start_job("n0-1-12");
+    t.end_job("n0-1-12", "is served", Verdict::Served(b"12".to_vec()));
     for op in ["hold", "release", "suspend", "resume", "terminate", "reap"] {
-        t.say(
+        t.send_line(
             1,
             &format!(r#"{{"seq":"{op}","op":"{op}","jobArrayId":"{array}"}}"#),
         );
     }
-    t.say(
+    t.send_line(
         1,
         &format!(r#"{{"seq":"array","op":"getJobArray","jobArrayId":"{array}"}}"#),
     );
-    // Members that are refused one by one.
-    t.say(1, r#"{"seq":"bulk","op":"runBulkJobs","beginIndex":1,"endIndex":2,"template":{"remoteCommand":"/x","jobCategory":"sheet"}}"#);
+    // Members that are rejected one by one.
+    t.send_line(1, r#"{"seq":"bulk","op":"runBulkJobs","beginIndex":1,"endIndex":2,"template":{"remoteCommand":"/x","jobCategory":"sheet"}}"#);
 }
 
 fn lists_and_sessions(t: &mut Transcript) {
-    t.say(
+    t.send_line(
         1,
         r#"{"seq":"list","op":"listJobs","session":"film","limit":2}"#,
     );
-    t.say(
+    t.send_line(
         1,
         r#"{"seq":"list","op":"listJobs","session":"film","limit":2,"after":"n0-1-2"}"#,
     );
-    t.say(1, r#"{"seq":"list","op":"listJobs","filter":{"jobStates":["DONE"],"jobName":"one","queueName":"preview","accountingId":"au","submittedFromMs":1000000,"submittedBeforeMs":1000001}}"#);
-    t.say(
+    t.send_line(1, r#"{"seq":"list","op":"listJobs","filter":{"jobStates":["DONE"],"jobName":"one","queueName":"preview","accountingId":"au","submittedFromMs":1000000,"submittedBeforeMs":1000001}}"#);
+    t.send_line(
         1,
         r#"{"seq":"list","op":"listJobs","filter":{"jobId":"n0-1-5"}}"#,
     );
-    t.say(1, r#"{"seq":"reap","op":"reap","session":"film"}"#);
-    t.say(
+    t.send_line(1, r#"{"seq":"reap","op":"reap","session":"film"}"#);
+    t.send_line(
         1,
         r#"{"seq":"again","op":"openSession","name":"film","since":0}"#,
     );
-    t.say(1, r#"{"seq":"run","op":"runJob","session":"film","template":{"remoteCommand":"/last","jobCategory":"preview"}}"#);
-    t.say(
+    t.send_line(1, r#"{"seq":"run","op":"runJob","session":"film","template":{"remoteCommand":"/last","jobCategory":"preview"}}"#);
+    t.send_line(
         2,
         r#"{"seq":"wait","op":"waitAnyTerminated","session":"film"}"#,
     );
-    t.say(2, r#"{"seq":"close","op":"closeSession","name":"film"}"#);
-    t.say(
+    t.send_line(2, r#"{"seq":"close","op":"closeSession","name":"film"}"#);
+    t.send_line(
         1,
         r#"{"seq":"destroy","op":"destroySession","name":"film"}"#,
     );
-    t.say(1, r#"{"seq":"list","op":"listSessions"}"#);
+    t.send_line(1, r#"{"seq":"list","op":"listSessions"}"#);
     t.disconnect(2);
-    t.note("the node ends");
+    t.note("the node shuts down");
     t.server.begin_shutdown();
-    t.say(
+    t.send_line(
         1,
         r#"{"seq":"end","op":"runJob","template":{"remoteCommand":"/x","jobCategory":"preview"}}"#,
     );
 }
 
-/// Limits: too many jobs, a history that no longer reaches back, and a hold that lasts too long.
+/// The limits on jobs and sessions, the bounded history of events, and the maximum hold.
 #[test]
 fn limits_that_are_reached() {
     let small = Limits {
@@ -672,19 +678,19 @@
     };
     let mut t = Transcript::new(small, "n0-1");
     t.connect(1);
-    t.say(1, r#"{"seq":1,"op":"createSession","name":"film"}"#);
-    t.say(1, r#"{"seq":1,"op":"createSession","name":"other"}"#);
-    t.say(1, r#"{"seq":2,"op":"runBulkJobs","beginIndex":1,"endIndex":5,"session":"film","template":{"remoteCommand":"/x","jobCategory":"preview","submitAsHold":true}}"#);
-    t.say(1, r#"{"seq":3,"op":"openSession","name":"film","since":0}"#);
-    t.pass_ms(100_000);
-    t.say(1, r#"{"seq":4,"op":"listJobs"}"#);
-    t.pass_ms(70_000);
-    t.say(1, r#"{"seq":5,"op":"listJobs"}"#);
-    t.note("the node ends, and no process takes over");
-    t.say(1, r#"{"seq":6,"op":"runJob","template":{"remoteCommand":"/x","jobCategory":"preview","submitAsHold":true}}"#);
+    t.send_line(1, r#"{"seq":1,"op":"createSession","name":"film"}"#);
+    t.send_line(1, r#"{"seq":1,"op":"createSession","name":"other"}"#);
+    t.send_line(1, r#"{"seq":2,"op":"runBulkJobs","beginIndex":1,"endIndex":5,"session":"film","template":{"remoteCommand":"/x","jobCategory":"preview","submitAsHold":true}}"#);
+    t.send_line(1, r#"{"seq":3,"op":"openSession","name":"film","since":0}"#);
+    t.advance_ms(100_000);
+    t.send_line(1, r#"{"seq":4,"op":"listJobs"}"#);
+    t.advance_ms(70_000);
+    t.send_line(1, r#"{"seq":5,"op":"listJobs"}"#);
+    t.note("the node shuts down without a successor");
+    t.send_line(1, r#"{"seq":6,"op":"runJob","template":{"remoteCommand":"/x","jobCategory":"preview","submitAsHold":true}}"#);
     t.server.begin_shutdown();
     t.server.reject_waiting(t.now);
     t.settle();
-    t.say(1, r#"{"seq":7,"op":"listJobs"}"#);
+    t.send_line(1, r#"{"seq":7,"op":"listJobs"}"#);
     assert_snapshot!("limits_that_are_reached", t.take_text());
 }
--- a/crates/submission/tests/golden_transfer.rs
+++ b/crates/submission/tests/golden_transfer.rs
@@ -1,5 +1,5 @@
-//! The messages between two processes of a node, as golden files: the partners may be two versions of the program, so
-//! these lines must be written and read unchanged.
+//! Golden files of the messages between two processes of a node. The processes can be different versions of the
+//! program, so the format of the messages must not change.
 
 mod common;
 
@@ -12,24 +12,25 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Ids of the jobs of [`predecessor_with_all_kinds`]: 0 to 12 are jobs of their own, 13 and 19 are arrays.
+/// The last id of [`predecessor_with_all_kinds`]: 0 to 12 are single jobs, 13 and 19 are arrays, and the others are
+/// their members.
 const LAST_ID: u64 = 22;
 
 fn run(t: &mut Transcript, session: Option<&str>, template: Value) {
     let line = json!({"seq": "run", "op": "runJob", "session": session, "template": template});
-    t.say(1, &line.to_string());
+    t.send_line(1, &line.to_string());
 }
 
 fn preview(target: &str) -> Value {
     json!({"remoteCommand": target, "jobCategory": "preview"})
 }
 
-/// A server with two sessions, jobs in every state that is entered, holds, and arrays.
+/// A server with two sessions, arrays, held jobs, and jobs in every state that a job can enter.
 fn predecessor_with_all_kinds() -> Transcript {
     let mut t = Transcript::new(limits(), "n0-1");
     t.connect(1);
     for name in ["film", "empty"] {
-        t.say(
+        t.send_line(
             1,
             &json!({"seq": 1, "op": "createSession", "name": name}).to_string(),
         );
@@ -43,15 +44,15 @@
     let film = Some("film");
     run(t, film, preview("/queued"));
     run(t, film, preview("/running"));
-    t.run("n0-1-1");
+    t.start_job("n0-1-1");
     run(t, None, preview("/requeued"));
-    t.run("n0-1-2");
+    t.start_job("n0-1-2");
     t.requeue("n0-1-2");
-    t.pass_ms(10);
+    t.advance_ms(10);
     run(t, film, preview("/served"));
-    t.run("n0-1-3");
-    t.pass_ms(20);
-    t.end(
+    t.start_job("n0-1-3");
+    t.advance_ms(20);
+    t.end_job(
         "n0-1-3",
         "is served",
         Verdict::Served(b"made\nof text".to_vec()),
@@ -60,30 +61,30 @@
         json!({"remoteCommand": "/bytes", "queueName": "sheet", "submissionKey": "k-bytes"});
     run(t, None, keyed.clone());
     run(t, None, keyed);
-    t.run("n0-1-4");
-    t.end(
+    t.start_job("n0-1-4");
+    t.end_job(
         "n0-1-4",
         "is served with bytes",
         Verdict::Served(vec![0, 0xff]),
     );
     let reaped = json!({"remoteCommand": "/reaped", "jobCategory": "sheet", "submissionKey": "k-reaped", "accountingId": "au"});
     run(t, None, reaped);
-    t.run("n0-1-5");
-    t.end("n0-1-5", "is served", Verdict::Served(Vec::new()));
-    t.say(1, r#"{"seq":"reap","op":"reap","jobId":"n0-1-5"}"#);
+    t.start_job("n0-1-5");
+    t.end_job("n0-1-5", "is served", Verdict::Served(Vec::new()));
+    t.send_line(1, r#"{"seq":"reap","op":"reap","jobId":"n0-1-5"}"#);
     run(t, film, preview("/refused"));
-    t.end(
+    t.end_job(
         "n0-1-6",
-        "is refused",
+        "is rejected",
         Verdict::Rejected {
             retry_after: Some(Micros(700_000)),
         },
     );
     run(t, film, preview("/failed"));
-    t.run("n0-1-7");
-    t.end("n0-1-7", "fails", Verdict::Failed);
+    t.start_job("n0-1-7");
+    t.end_job("n0-1-7", "fails", Verdict::Failed);
     run(t, None, preview("/terminated"));
-    t.say(
+    t.send_line(
         1,
         r#"{"seq":"terminate","op":"terminate","jobId":"n0-1-8"}"#,
     );
@@ -109,35 +110,35 @@
 }
 
 fn arrays(t: &mut Transcript) {
-    t.say(1, r#"{"seq":"bulk","op":"runBulkJobs","beginIndex":1,"endIndex":5,"maxParallel":2,"session":"film","template":{"remoteCommand":"/frame/${PARAMETRIC_INDEX}","jobCategory":"sheet","jobName":"frame ${PARAMETRIC_INDEX}","submissionKey":"f-${PARAMETRIC_INDEX}"}}"#);
-    t.run("n0-1-14");
-    t.end("n0-1-14", "is served", Verdict::Served(b"1".to_vec()));
-    t.run("n0-1-15");
-    t.say(1, r#"{"seq":"hold","op":"hold","jobId":"n0-1-17"}"#);
-    t.say(1, r#"{"seq":"bulk","op":"runBulkJobs","beginIndex":-2,"endIndex":2,"step":2,"template":{"remoteCommand":"/x","jobCategory":"preview","submitAsHold":true}}"#);
-    t.say(
+    t.send_line(1, r#"{"seq":"bulk","op":"runBulkJobs","beginIndex":1,"endIndex":5,"maxParallel":2,"session":"film","template":{"remoteCommand":"/frame/${PARAMETRIC_INDEX}","jobCategory":"sheet","jobName":"frame ${PARAMETRIC_INDEX}","submissionKey":"f-${PARAMETRIC_INDEX}"}}"#);
+    t.start_job("n0-1-14");
+    t.end_job("n0-1-14", "is served", Verdict::Served(b"1".to_vec()));
+    t.start_job("n0-1-15");
+    t.send_line(1, r#"{"seq":"hold","op":"hold","jobId":"n0-1-17"}"#);
+    t.send_line(1, r#"{"seq":"bulk","op":"runBulkJobs","beginIndex":-2,"endIndex":2,"step":2,"template":{"remoteCommand":"/x","jobCategory":"preview","submitAsHold":true}}"#);
+    t.send_line(
         1,
         r#"{"seq":"terminate","op":"terminate","jobArrayId":"n0-1-19"}"#,
     );
 }
 
-/// What the predecessor has written down once, as it is in the golden file.
+/// The lines of a golden file.
 fn golden_lines(name: &str) -> Vec<String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/snapshots");
     let path = folder.join(format!("golden_transfer__{name}.snap"));
-    let text = std::fs::read_to_string(path).expect("the golden file is there");
+    let text = std::fs::read_to_string(path).expect("the golden file exists");
     let (_, lines) = text
         .split_once("\n---\n")
-        .expect("a golden file has a head");
+        .expect("a golden file has a header");
     lines.lines().map(str::to_owned).collect()
 }
 
-/// A process that has taken over from the golden lines of another. The transcript begins after that.
+/// A process that has imported the golden lines of a predecessor. Its transcript begins after the import.
 fn successor_of_golden_lines() -> Transcript {
     let mut t = Transcript::new(limits(), "n0-2");
     t.server.expect_predecessor(t.now);
-    t.pass_ms(30);
-    for line in golden_lines("told_to_a_successor") {
+    t.advance_ms(30);
+    for line in golden_lines("messages_to_a_successor") {
         t.receive_from_partner(Partner::Predecessor, &line);
     }
     t.connect(1);
@@ -145,58 +146,58 @@
     t
 }
 
-fn write_sent(t: &mut Transcript, partner: Partner, to: &str) {
-    for line in t.lines_for_partner(partner) {
-        t.note(&format!("told to the {to}: {line}"));
+fn note_messages(t: &mut Transcript, partner: Partner, partner_name: &str) {
+    for line in t.messages_for_partner(partner) {
+        t.note(&format!("sent to the {partner_name}: {line}"));
     }
 }
 
 fn receive(t: &mut Transcript, partner: Partner, line: &str) {
-    t.note(&format!("heard: {line}"));
+    t.note(&format!("received: {line}"));
     t.receive_from_partner(partner, line);
 }
 
-fn ask_for_all(t: &mut Transcript) {
-    t.say(1, r#"{"seq":"sessions","op":"listSessions"}"#);
+fn request_all_information(t: &mut Transcript) {
+    t.send_line(1, r#"{"seq":"sessions","op":"listSessions"}"#);
     for id in 0..=LAST_ID {
-        t.say(
+        t.send_line(
             1,
             &format!(r#"{{"seq":{id},"op":"getJobInfo","jobId":"n0-1-{id}"}}"#),
         );
     }
     for array in ["n0-1-13", "n0-1-19"] {
-        t.say(
+        t.send_line(
             1,
             &format!(r#"{{"seq":"array","op":"getJobArray","jobArrayId":"{array}"}}"#),
         );
     }
-    let scheduled = t.scheduler.open.values().map(|job| job.job_id.clone());
+    let scheduled = t.scheduler.open_jobs.values().map(|job| job.job_id.clone());
     let scheduled = scheduled.collect::<Vec<_>>().join(" ");
-    t.note(&format!("with the decisions: {scheduled}"));
+    t.note(&format!("with the scheduler: {scheduled}"));
 }
 
-/// Everything that a process tells the one that replaces it.
+/// All messages that a predecessor sends to its successor.
 #[test]
-fn what_a_successor_is_told() {
+fn messages_to_a_successor() {
     let mut predecessor = predecessor_with_all_kinds();
-    assert_snapshot!("a_predecessor_before", predecessor.take_text());
+    assert_snapshot!("predecessor_before_handover", predecessor.take_text());
     predecessor.server.begin_handover();
-    let lines = predecessor.lines_for_partner(Partner::Successor);
-    assert_snapshot!("told_to_a_successor", lines.join("\n"));
+    let lines = predecessor.messages_for_partner(Partner::Successor);
+    assert_snapshot!("messages_to_a_successor", lines.join("\n"));
 }
 
-/// The golden lines, read by a new process: what it then answers, tells back and hands on.
+/// A new process imports the golden lines. Checks what it answers to clients, sends back and passes to its scheduler.
 #[test]
-fn a_successor_reads_the_golden_lines() {
+fn a_successor_imports_the_golden_lines() {
     let mut t = successor_of_golden_lines();
-    write_sent(&mut t, Partner::Predecessor, "predecessor");
-    ask_for_all(&mut t);
-    t.say(
+    note_messages(&mut t, Partner::Predecessor, "predecessor");
+    request_all_information(&mut t);
+    t.send_line(
         1,
         r#"{"seq":"open","op":"openSession","name":"film","since":0}"#,
     );
-    t.say(1, r#"{"seq":"list","op":"listJobs","session":"film"}"#);
-    // Keys count on over the upgrade.
+    t.send_line(1, r#"{"seq":"list","op":"listJobs","session":"film"}"#);
+    // Submission keys stay in use after the upgrade.
     for (target, key) in [("/bytes", "k-bytes"), ("/other", "k-bytes")] {
         run(
             &mut t,
@@ -210,19 +211,19 @@
         json!({"remoteCommand": "/reaped", "jobCategory": "sheet", "submissionKey": "k-reaped", "accountingId": "au"}),
     );
     run(&mut t, None, preview("/new"));
-    assert_snapshot!("a_successor_that_has_read", t.take_text());
+    assert_snapshot!("successor_after_import", t.take_text());
 }
 
-/// What the successor hears of jobs that the predecessor has, and tells of those that it has itself.
+/// A successor receives changes of the predecessor's jobs and sends the changes of its own.
 #[test]
-fn changes_after_the_transfer() {
+fn changes_sent_to_a_successor() {
     let mut t = successor_of_golden_lines();
-    write_sent(&mut t, Partner::Predecessor, "predecessor");
-    t.say(
+    note_messages(&mut t, Partner::Predecessor, "predecessor");
+    t.send_line(
         1,
         r#"{"seq":"open","op":"openSession","name":"film","since":99}"#,
     );
-    t.say(1, r#"{"seq":"open","op":"openSession","name":"film"}"#);
+    t.send_line(1, r#"{"seq":"open","op":"openSession","name":"film"}"#);
     for line in [
         r#"{"job":{"id":"n0-1-0","state":"RUNNING","handed":true,"machine":"w7"}}"#,
         r#"{"job":{"id":"n0-1-1","state":"REQUEUED","handed":true,"machine":"w1"}}"#,
@@ -234,46 +235,46 @@
     ] {
         receive(&mut t, Partner::Predecessor, line);
     }
-    t.say(1, r#"{"seq":"release","op":"release","jobId":"n0-1-9"}"#);
-    t.say(1, r#"{"seq":"hold","op":"hold","jobId":"n0-1-10"}"#);
-    t.say(
+    t.send_line(1, r#"{"seq":"release","op":"release","jobId":"n0-1-9"}"#);
+    t.send_line(1, r#"{"seq":"hold","op":"hold","jobId":"n0-1-10"}"#);
+    t.send_line(
         1,
         r#"{"seq":"terminate","op":"terminate","jobId":"n0-1-11"}"#,
     );
-    t.say(
+    t.send_line(
         1,
         r#"{"seq":"terminate","op":"terminate","jobId":"n0-1-0"}"#,
     );
-    t.say(1, r#"{"seq":"reap","op":"reap","jobId":"n0-1-4"}"#);
-    t.run("n0-1-9");
-    t.end("n0-1-9", "is served", Verdict::Served(b"held".to_vec()));
-    write_sent(&mut t, Partner::Predecessor, "predecessor");
-    t.pass_ms(2_000);
-    write_sent(&mut t, Partner::Predecessor, "predecessor");
-    t.note("the predecessor is gone");
+    t.send_line(1, r#"{"seq":"reap","op":"reap","jobId":"n0-1-4"}"#);
+    t.start_job("n0-1-9");
+    t.end_job("n0-1-9", "is served", Verdict::Served(b"held".to_vec()));
+    note_messages(&mut t, Partner::Predecessor, "predecessor");
+    t.advance_ms(2_000);
+    note_messages(&mut t, Partner::Predecessor, "predecessor");
+    t.note("the predecessor is lost");
     t.server.handle_partner_lost(t.now, Partner::Predecessor);
     t.settle();
-    ask_for_all(&mut t);
-    assert_snapshot!("changes_told_to_a_successor", t.take_text());
+    request_all_information(&mut t);
+    assert_snapshot!("changes_sent_to_a_successor", t.take_text());
 }
 
-/// What the predecessor hears of jobs that the successor has, and tells of those that it still has itself.
+/// A predecessor receives changes of the successor's jobs and sends the changes of those that it still owns.
 #[test]
-fn changes_told_to_a_predecessor() {
+fn changes_sent_to_a_predecessor() {
     let mut t = predecessor_with_all_kinds();
-    t.say(
+    t.send_line(
         1,
         r#"{"seq":"wait","op":"waitAnyTerminated","jobIds":["n0-1-0","n0-1-9"]}"#,
     );
     t.take_text();
     t.server.begin_handover();
-    t.run("n0-1-0");
-    t.lines_for_partner(Partner::Successor);
+    t.start_job("n0-1-0");
+    t.messages_for_partner(Partner::Successor);
     receive(&mut t, Partner::Successor, r#""taken""#);
     t.requeue("n0-1-1");
-    t.end("n0-1-0", "is served", Verdict::Served(b"queued".to_vec()));
-    t.end("n0-1-15", "fails", Verdict::Failed);
-    write_sent(&mut t, Partner::Successor, "successor");
+    t.end_job("n0-1-0", "is served", Verdict::Served(b"queued".to_vec()));
+    t.end_job("n0-1-15", "fails", Verdict::Failed);
+    note_messages(&mut t, Partner::Successor, "successor");
     for line in [
         r#"{"job":{"id":"n0-1-9","state":"QUEUED","handed":true}}"#,
         r#"{"job":{"id":"n0-1-9","state":"RUNNING","handed":true,"machine":"w4"}}"#,
@@ -283,15 +284,15 @@
     ] {
         receive(&mut t, Partner::Successor, line);
     }
-    write_sent(&mut t, Partner::Successor, "successor");
-    t.note("the successor is gone");
+    note_messages(&mut t, Partner::Successor, "successor");
+    t.note("the successor is lost");
     t.server.handle_partner_lost(t.now, Partner::Successor);
     t.settle();
-    ask_for_all(&mut t);
-    assert_snapshot!("changes_told_to_a_predecessor", t.take_text());
+    request_all_information(&mut t);
+    assert_snapshot!("changes_sent_to_a_predecessor", t.take_text());
 }
 
-/// Every message with as little and as much as it may hold, read and written again.
+/// Every message with its required fields and with all fields, deserialized and serialized again.
 #[test]
 fn messages() {
     let mut text = String::new();
@@ -311,7 +312,7 @@
     ] {
         let _ = writeln!(text, "read:    {line}");
         let written = match serde_json::from_str::<Transfer>(line) {
-            Ok(message) => serde_json::to_string(&message).expect("messages are written"),
+            Ok(message) => serde_json::to_string(&message).expect("messages are serializable"),
             Err(error) => format!("! {error}"),
         };
         let _ = writeln!(text, "written: {written}");
