--- a/crates/submission/src/error.rs
+++ b/crates/submission/src/error.rs
@@ -8,7 +8,7 @@
 pub enum ErrorId {
     /// The scheduler rejected the job for good.
     DeniedByDrms,
-    /// The connection to whoever ran the job was lost.
+    /// The connection to the worker or process that ran the job was lost.
     DrmCommunication,
     /// Rejected for now: a retry is harmless.
     TryLater,
@@ -40,19 +40,19 @@
 pub struct Problem {
     /// The error's identifier.
     pub error: ErrorId,
-    /// An explanation for people; may be empty.
+    /// A human-readable explanation; may be empty.
     #[serde(default)]
     pub message: String,
-    /// After how many milliseconds a retry is worthwhile; set with [`ErrorId::TryLater`].
+    /// How long a client should wait before a retry, in milliseconds; set with [`ErrorId::TryLater`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The version of this site's catalog, where the job was checked against another version.
+    /// The version of this site's catalog, set if the forwarding site checked the job against another version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub catalog_version: Option<u64>,
 }
 
 impl Problem {
-    /// A problem of any kind, without a retry hint.
+    /// Creates a problem of any kind, without a retry hint.
     pub fn new(error: ErrorId, message: impl Into<String>) -> Self {
         Problem {
             error,
@@ -63,25 +63,25 @@
     }
 
     /// [`ErrorId::InvalidArgument`]: a message, template or name is malformed.
-    pub fn invalid(message: impl Into<String>) -> Self {
+    pub fn invalid_argument(message: impl Into<String>) -> Self {
         Problem::new(ErrorId::InvalidArgument, message)
     }
 
     /// [`ErrorId::InvalidState`]: the job's state does not allow the operation.
-    pub fn state(message: impl Into<String>) -> Self {
+    pub fn invalid_state(message: impl Into<String>) -> Self {
         Problem::new(ErrorId::InvalidState, message)
     }
 
     /// [`ErrorId::TryLater`] with a retry hint in milliseconds.
-    pub fn later(message: impl Into<String>, retry_after_ms: u64) -> Self {
+    pub fn try_later(message: impl Into<String>, retry_after_ms: u64) -> Self {
         Problem {
             retry_after_ms: Some(retry_after_ms),
             ..Problem::new(ErrorId::TryLater, message)
         }
     }
 
-    /// The problem of a job id that names no visible job.
+    /// The problem of a job id that does not identify a visible job.
     pub(crate) fn unknown_job() -> Self {
-        Problem::invalid("no such job")
+        Problem::invalid_argument("no such job")
     }
 }
--- a/crates/submission/src/server/sessions.rs
+++ b/crates/submission/src/server/sessions.rs
@@ -12,13 +12,13 @@
 const MAX_OPEN_SESSIONS: usize = 64;
 
 impl Server {
-    /// The session with this name.
+    /// Finds the session with this name.
     pub(super) fn find_session(&self, name: &str) -> Result<SessionKey, Problem> {
         let found = self.sessions.find(name);
         found.ok_or_else(|| invalid_session(format!("no such session: `{name}`")))
     }
 
-    /// The session with this name, if a name is given.
+    /// Finds the session with this name, if a name is given.
     pub(super) fn find_optional_session(
         &self,
         name: Option<String>,
@@ -55,9 +55,9 @@
             .get(key)
             .map_or(0, |session| session.last_event);
         if let Some(ahead) = since.filter(|since| *since > last) {
-            // The number is of an earlier session with this name, whose events are not known.
+            // The number belongs to an earlier session of the same name, whose events are no longer known.
             let message = format!("since {ahead} is beyond the last event, {last}");
-            return Err(Problem::invalid(message));
+            return Err(Problem::invalid_argument(message));
         }
         self.open_session(now, client, key, since.unwrap_or(last));
         self.send_answer(client, seq, json!({ "session": name, "lastEvent": last }));
@@ -77,7 +77,9 @@
             .get(&client)
             .is_some_and(|state| state.open_sessions.iter().any(|open| open.session == key));
         if !is_open {
-            return Err(invalid_session("it is not open here"));
+            return Err(invalid_session(
+                "the session is not open on this connection",
+            ));
         }
         self.close_session(now, key, client);
         self.send_answer(client, seq, json!({ "session": name }));
@@ -103,8 +105,8 @@
             .get(&client)
             .map_or(0, |state| state.open_sessions.len());
         if open >= MAX_OPEN_SESSIONS {
-            let message = "too many sessions are open here";
-            return Err(Problem::later(message, RETRY_AFTER_MS));
+            let message = "too many sessions are open on this connection";
+            return Err(Problem::try_later(message, RETRY_AFTER_MS));
         }
         Ok(())
     }
@@ -113,7 +115,7 @@
         let Some(state) = self.clients.get_mut(&client) else {
             return;
         };
-        // A session that is opened again continues from the requested event.
+        // Opening a session again replaces the position of its reader.
         state.open_sessions.retain(|open| open.session != key);
         state.open_sessions.push(OpenSession {
             session: key,
@@ -128,7 +130,7 @@
         self.readable_clients.insert(client);
     }
 
-    /// A client no longer receives the events of a session.
+    /// Stops sending the events of a session to a client.
     pub(super) fn close_session(&mut self, now: Micros, key: SessionKey, client: ClientId) {
         if let Some(state) = self.clients.get_mut(&client) {
             state.open_sessions.retain(|open| open.session != key);
@@ -139,7 +141,7 @@
         self.sessions.update_idle(now, key);
     }
 
-    /// Removes a session. Its jobs go on without one; waits for any of its jobs end with an error.
+    /// Removes a session. Its jobs continue without a session; waits on the session end with an error.
     fn destroy_session(&mut self, key: SessionKey) {
         let Some(session) = self.sessions.destroy(key) else {
             return;
@@ -154,7 +156,7 @@
                 state.open_sessions.retain(|open| open.session != key);
             }
         }
-        for wait in self.waits.of_subject(WaitSubject::Session(key)) {
+        for wait in self.waits.waits_on(WaitSubject::Session(key)) {
             let problem = invalid_session("the session was destroyed");
             self.fail_wait(wait, problem);
         }
