--- a/crates/consensus/src/change.rs
+++ b/crates/consensus/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of records, and their validation as far as it needs no state.
+//! Changes of records, and the part of their validation that does not depend on the replicated state.
 
 use crate::error::ChangeError;
 use crate::record::{Rates, RecordBody};
@@ -6,12 +6,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Limits of one change: written records, and its encoded length.
+/// Limits of one change: the number of records that it writes, and its length in JSON.
 const MAX_RECORDS: usize = 64;
 const MAX_CHANGE_BYTES: usize = 1024 * 1024;
-/// Entries of a list within a record.
+/// Maximum number of entries in a list within a record.
 const MAX_LIST_ENTRIES: usize = 10_000;
-/// Length of a record's name.
+/// Maximum length of a record's name.
 pub(crate) const MAX_NAME_BYTES: usize = 128;
 /// Limits of a pool of licence seats.
 const MAX_SEATS: u32 = 1_000_000;
@@ -21,12 +21,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The version that each record must have, 0 for one that never existed. Every written record must be named; others
-    /// may be.
+    /// The version that each record must have now; 0 for a record that never existed. Contains every written record, and
+    /// may contain others.
     pub expect: BTreeMap<String, u64>,
     /// The new content of each written record; `null` removes the record.
     pub put: BTreeMap<String, Option<RecordBody>>,
-    /// The written records of which two versions must never be in force at the same time.
+    /// The written records that are exclusive: no two nodes may act on different versions of one at the same time.
     #[serde(default)]
     pub exclusive: BTreeSet<String>,
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// An invalid value in the body of a record whose name is not known yet: key and reason.
+/// An invalid value in a record's body, before the name of the record is added to it.
 struct InvalidValue {
     key: String,
     reason: String,
@@ -82,7 +82,7 @@
         }
     }
 
-    fn of_record(self, record: &str) -> ChangeError {
+    fn into_change_error(self, record: &str) -> ChangeError {
         ChangeError::InvalidValue {
             record: record.to_owned(),
             key: self.key,
@@ -98,11 +98,11 @@
         return Err(invalid_record(record, reason));
     }
     let unknown_name = || Err(invalid_record(record, "no records have such a name"));
-    let (folder, name) = record.split_once('/').unwrap_or_default();
+    let (prefix, name) = record.split_once('/').unwrap_or_default();
     if name.is_empty() {
         return unknown_name();
     }
-    let checked = match (folder, name, body) {
+    let result = match (prefix, name, body) {
         ("settings", "rates", None) | ("workers", "out", None) | ("seats" | "sites", _, None) => {
             Ok(())
         }
@@ -112,13 +112,13 @@
         ("sites", _, Some(RecordBody::Site(site))) => site
             .catalog
             .validate()
-            .map_err(|wrong| InvalidValue::new(format!("catalog.{}", wrong.key), wrong.problem)),
+            .map_err(|error| InvalidValue::new(format!("catalog.{}", error.key), error.problem)),
         ("settings" | "workers" | "seats" | "sites", _, Some(_)) => {
             return Err(invalid_record(record, "it cannot hold this"));
         }
         _ => return unknown_name(),
     };
-    checked.map_err(|invalid| invalid.of_record(record))
+    result.map_err(|invalid| invalid.into_change_error(record))
 }
 
 fn check_rates(rates: &Rates) -> Result<(), InvalidValue> {
--- a/crates/consensus/src/command.rs
+++ b/crates/consensus/src/command.rs
@@ -5,7 +5,7 @@
 use marbledeck_licensing::LedgerCommand;
 use serde::{Deserialize, Serialize};
 
-/// The sequences in which the commands of a node are numbered. A node has one command of each in flight at most.
+/// A sequence in which the commands of a node are numbered. A node has at most one command of each sequence in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename = "Stream")]
 pub enum CommandSequence {
@@ -33,7 +33,7 @@
     /// Incarnation of that node. Later incarnations have greater numbers.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// Number in its sequence, from 1: a repeated command is applied once. 0 for an idempotent command.
+    /// Number in its sequence, from 1, so that a repeated command is applied only once. 0 for an idempotent command.
     pub number: u64,
     /// What to do.
     #[serde(rename = "what")]
@@ -41,7 +41,7 @@
 }
 
 impl Command {
-    /// Whether a node may request this command. Reclaiming the seats of other nodes is left to the leader.
+    /// Whether a node may request this command. Only the leader reclaims and frees the seats of other nodes.
     pub fn is_allowed_for_nodes(&self) -> bool {
         match &self.operation {
             Operation::Change(change) => change.check().is_ok(),
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -50,7 +50,7 @@
     #[serde(rename = "Size")]
     InvalidSize(String),
     /// A later incarnation of the sending node is known.
-    #[error("node {node} has been started anew since")]
+    #[error("node {node} was restarted after it had sent the change")]
     #[serde(rename = "Stale")]
     StaleIncarnation {
         /// Number of the node.
@@ -78,7 +78,7 @@
                 "put one to 64 records into a change, of less than 1 MiB; all records together take 4 MiB at most"
             }
             ChangeError::StaleIncarnation { .. } => {
-                "send it again: the process that it was sent to has been replaced"
+                "send the change again: the process that took it has been replaced"
             }
         }
     }
@@ -88,10 +88,10 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConsensusError {
     /// A peer sent bytes that are not a valid message.
-    #[error("a message that makes no sense: {0}")]
+    #[error("malformed message: {0}")]
     MalformedMessage(String),
     /// A message that is not from a voter of this fleet, or not addressed to this one.
-    #[error("a message from {from} to {to}, which is not between voters of this fleet")]
+    #[error("message from {from} to {to}: the sender is not a voter of this fleet, or the message is not for this voter")]
     UnknownSender {
         /// The sender that the message names.
         from: u64,
@@ -99,10 +99,10 @@
         to: u64,
     },
     /// The persisted state is damaged or incomplete.
-    #[error("what was stored makes no sense: {0}")]
+    #[error("the persisted state is damaged or incomplete: {0}")]
     CorruptState(String),
     /// The consensus library panicked: this voter takes no further part.
-    #[error("the consensus has stopped at this voter: {0}")]
+    #[error("the consensus library panicked, and this voter has stopped: {0}")]
     Stopped(String),
     /// The configured voters do not form a valid group.
     #[error("{0}")]
@@ -114,19 +114,19 @@
     pub fn advice(&self) -> &'static str {
         match self {
             ConsensusError::MalformedMessage(_) => {
-                "see that all nodes run versions that understand each other; the connection was closed"
+                "the connection was closed; check that all nodes run compatible versions"
             }
             ConsensusError::UnknownSender { .. } => {
                 "compare the `voters` of the operator files: they must be the same at all nodes"
             }
             ConsensusError::CorruptState(_) => {
-                "this voter stays out: set its `store` aside, keep it, and replace the voter under a new number"
+                "set the folder under `store` aside and keep it; replace this voter under a new number"
             }
             ConsensusError::Stopped(_) => {
                 "restart the node; if it stops again, set its `store` aside and replace the voter"
             }
             ConsensusError::InvalidConfiguration(_) => {
-                "correct the key that is named in the operator file"
+                "correct the named key in the operator file"
             }
         }
     }
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -5,7 +5,7 @@
 /// How long a lease lasts, and how far clocks may differ.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTerms {
-    /// A node may act on what it read for so long, counted from its request.
+    /// How long a node may act on the records that it has read, counted from its request.
     pub duration: Micros,
     /// Upper limit of the relative difference between the rates of two monotonic clocks.
     pub clock_drift: f64,
@@ -17,7 +17,7 @@
         Micros::from_secs_f64(self.duration.as_secs_f64() * (1.0 + self.clock_drift))
     }
 
-    /// How long a node that has learned of a new version waits, by its own clock, until no node acts on an older one.
+    /// How long a node that has read a new version waits, by its own clock, until no other node can act on an older one.
     pub fn activation_delay(&self) -> Micros {
         Micros::from_secs_f64(
             self.duration.as_secs_f64() * (1.0 + self.clock_drift) * (1.0 + self.clock_drift),
--- a/crates/consensus/src/lease_reclaimer.rs
+++ b/crates/consensus/src/lease_reclaimer.rs
@@ -1,4 +1,4 @@
-//! Takes back the licence seats of nodes that are gone. Runs at the leader.
+//! Reclaims the licence seats of nodes that were restarted or lost contact. Runs at the leader.
 
 use crate::command::Operation;
 use crate::lease::LeaseTerms;
@@ -14,8 +14,8 @@
     time: Micros,
 }
 
-/// Decides when seats of other nodes may be reclaimed and freed, while its voter leads. Every time counts from this
-/// leader's own observation: a new leader starts over.
+/// Decides when seats of other nodes may be reclaimed and freed, while its voter is the leader. All delays count from
+/// what this leader has observed itself, so a new leader starts them again.
 #[derive(Clone, Debug)]
 pub struct LeaseReclaimer {
     terms: LeaseTerms,
@@ -26,7 +26,7 @@
 }
 
 impl LeaseReclaimer {
-    /// Starts to observe at `now`, when the voter becomes the leader.
+    /// Creates a reclaimer that observes from `now` on, when the voter becomes the leader.
     pub fn new(now: Micros, terms: LeaseTerms) -> Self {
         LeaseReclaimer {
             terms,
@@ -48,17 +48,17 @@
         }
     }
 
-    /// The operations to propose now. The same may be returned again until the state shows that it was applied.
+    /// The operations to propose now. An operation is returned again until the state shows that it was applied.
     pub fn poll_operations(&mut self, now: Micros, state: &ReplicatedState) -> Vec<Operation> {
         let mut operations = self.reclaim_seats(now, state);
         operations.extend(self.free_drained_seats(now, state));
         operations
     }
 
-    /// Reclaims the seats of nodes that were restarted, or that no voter had contact with.
+    /// Reclaims the seats of nodes that were restarted, or that have contacted no voter for too long.
     fn reclaim_seats(&self, now: Micros, state: &ReplicatedState) -> Vec<Operation> {
-        // A node with a valid lease has contacted a voter within the lease; the same time again lets contact reports
-        // reach the leader.
+        // A node with a valid lease has contacted a voter within the lease's duration. The second duration is for the
+        // contact reports to reach the leader.
         let max_silence = Micros(2 * self.terms.max_overlap().0);
         let mut operations = Vec::new();
         for Holder { node, incarnation } in state.seats().holders() {
@@ -76,10 +76,10 @@
         operations
     }
 
-    /// Frees seats that drain, once no attempt of their last holder can still run.
+    /// Frees draining seats once no attempt of their last holder can still run.
     fn free_drained_seats(&mut self, now: Micros, state: &ReplicatedState) -> Vec<Operation> {
         let mut operations = Vec::new();
-        let mut known = std::mem::take(&mut self.draining_since);
+        let mut previous = std::mem::take(&mut self.draining_since);
         for draining in state.seats().draining() {
             let DrainingSeats {
                 pool,
@@ -87,13 +87,13 @@
                 lease,
             } = draining;
             let key = (pool.to_owned(), draining_id);
-            let since = known.remove(&key).unwrap_or(now);
-            self.draining_since.insert(key, since);
-            // The holder's last lease must have ended, and then the last attempt that it began under it.
+            let first_observed = previous.remove(&key).unwrap_or(now);
+            self.draining_since.insert(key, first_observed);
+            // The holder's last lease must have expired, and after it the longest attempt begun under it must have ended.
             let longest_run = Micros::from_secs_f64(
                 lease.longest_run_ms as f64 / 1000.0 * (1.0 + self.terms.clock_drift),
             );
-            if now - since > self.terms.activation_delay() + longest_run {
+            if now - first_observed > self.terms.activation_delay() + longest_run {
                 let pool = pool.to_owned();
                 operations.push(Operation::Seats(LedgerCommand::FreeDrained {
                     pool,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,11 +1,11 @@
 //! Versioned records that all nodes of a fleet agree on, and leases that limit how long a node may act on a version.
 //!
 //! [`ReplicatedState`] is changed by [`Command`]s only, in the same way at every voter, and reads no clock. A [`Voter`]
-//! replicates it by Raft (the `raft` library). A [`LeasedReader`], one at each node whether it votes or not, says which
-//! records the node may act on now. [`LeaseReclaimer`] runs at the leader and takes back the licence seats of nodes that
-//! are gone.
+//! replicates it by Raft (the `raft` library). A [`LeasedReader`], one at each node whether it votes or not, decides which
+//! records the node may act on now. [`LeaseReclaimer`] runs at the leader and reclaims the licence seats of nodes that
+//! were restarted or lost contact.
 //!
-//! No input or output: the caller passes the time in, persists what it is asked to, and transports the messages.
+//! The crate does no input or output: the caller provides the time, persists the data and transports the messages.
 //! `docs/design/agreement.md` states the guarantees and their proofs.
 #![forbid(unsafe_code)]
 
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -12,7 +12,7 @@
 }
 
 impl Log {
-    /// The log of a new group of these voters.
+    /// Creates the empty log of a new group of these voters.
     pub fn new(voters: &[u64]) -> Self {
         Log {
             entries: MemStorage::new_with_conf_state((voters.to_vec(), Vec::new())),
@@ -32,8 +32,8 @@
         Ok(())
     }
 
-    /// Keeps this snapshot and drops the entries it covers, except for the last `retained`: voters that are only a little
-    /// behind are sent entries.
+    /// Sets this snapshot and drops the entries that it covers, except for the last `retained`: voters that are only a
+    /// little behind are sent these entries instead of the snapshot.
     pub fn compact(&mut self, snapshot: Snapshot, retained: u64) -> raft::Result<()> {
         let index = snapshot.get_metadata().index.saturating_sub(retained);
         self.snapshot = snapshot;
--- a/crates/consensus/src/persistence.rs
+++ b/crates/consensus/src/persistence.rs
@@ -1,4 +1,4 @@
-//! What a voter asks its caller to persist, and how a voter is restored from it.
+//! The data that a voter has its caller persist, and the restoration of a voter from it.
 
 use crate::error::ConsensusError;
 use crate::log::Log;
@@ -19,7 +19,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// What a voter finds in its store when it starts.
+/// The persisted data from which a voter starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
     /// The encoded term, vote and commit index.
@@ -30,7 +30,7 @@
     pub entries: Vec<EncodedEntry>,
 }
 
-/// What is to be persisted, atomically and in the order of the tickets.
+/// Data to persist atomically. Requests must be persisted in the order of their tickets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistRequest {
     /// To be passed to [`crate::Voter::handle_persisted`] once all of it is durable.
@@ -39,7 +39,7 @@
     pub hard_state: Option<Vec<u8>>,
     /// A snapshot. Stored entries that it covers may be dropped.
     pub snapshot: Option<EncodedSnapshot>,
-    /// Whether the snapshot came from another voter: then all stored entries must be dropped.
+    /// Whether the snapshot came from another voter, so that all stored entries must be dropped.
     pub replaces_log: bool,
     /// Log entries. Stored entries from the first of these indexes on must be dropped.
     pub entries: Vec<EncodedEntry>,
@@ -86,7 +86,7 @@
         let mut hard_state = HardState::parse_from_bytes(bytes).map_err(corrupt)?;
         let last_index = entries.last().map_or(applied.index, |last| last.index);
         if hard_state.commit > last_index {
-            return Err(corrupt("the log ends before what it had committed"));
+            return Err(corrupt("the log ends before the stored commit index"));
         }
         hard_state.commit = hard_state.commit.max(applied.index);
         hard_state.term = hard_state.term.max(applied.term);
@@ -108,14 +108,16 @@
     for (index, bytes) in encoded {
         let entry = Entry::parse_from_bytes(bytes).map_err(corrupt)?;
         if entry.index != *index {
-            return Err(corrupt("an entry is not at its index"));
+            return Err(corrupt(
+                "a log entry is stored under another index than its own",
+            ));
         }
         if *index <= snapshot_index {
             continue;
         }
         let previous_index = entries.last().map_or(snapshot_index, |last| last.index);
         if *index != previous_index + 1 {
-            return Err(corrupt("an entry of the log is missing"));
+            return Err(corrupt("the log has a gap before one of its entries"));
         }
         entries.push(entry);
     }
--- a/crates/consensus/src/reader.rs
+++ b/crates/consensus/src/reader.rs
@@ -6,7 +6,7 @@
 use marbledeck_dispatcher::Micros;
 use std::collections::BTreeMap;
 
-/// What a node may do with a record now.
+/// Whether a node may act on a record now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordValidity<'a> {
     /// It may act on this version.
@@ -14,7 +14,7 @@
     /// It may act on neither the previous version nor the new one: the record is exclusive, and other nodes may still act
     /// on the previous one.
     Pending,
-    /// The node has no valid lease, and the fallback for this kind of record applies.
+    /// The node has no valid lease: the fallback for this kind of record applies.
     Unconfirmed {
         /// The latest version that the node knows.
         latest: &'a Record,
@@ -51,14 +51,14 @@
     lease_expiry: Micros,
     /// Number of the last request.
     request_id: u64,
-    /// When the outstanding request was sent.
+    /// When the outstanding request was sent; `None` if there is none.
     request_sent: Option<Micros>,
-    /// A later incarnation of this node exists: it must not act any more.
+    /// A later incarnation of this node exists, so that this one must not act on records any more.
     stale: bool,
 }
 
 impl LeasedReader {
-    /// A reader that knows no records and has no lease.
+    /// Creates a reader that knows no records and has no lease.
     pub fn new(terms: LeaseTerms) -> Self {
         LeasedReader {
             terms,
@@ -99,7 +99,7 @@
             self.apply_record(now, name, record);
         }
         self.revision = response.revision;
-        // Counted from before the request: its content was current at some moment after the request arrived.
+        // The lease counts from before the request was sent: the response shows the state at some later moment.
         self.lease_expiry = request_sent + self.terms.duration;
         true
     }
@@ -109,7 +109,7 @@
         if known.is_some_and(|known| known.record.version >= record.version) {
             return;
         }
-        // The first version that a node reads may be a change, too: others may still act on the one before.
+        // This includes the first version that a node reads: other nodes may still act on an earlier one.
         let active_from = if record.exclusive {
             now + self.terms.activation_delay()
         } else {
@@ -123,7 +123,7 @@
         self.records.insert(name.to_owned(), known);
     }
 
-    /// What the node may do with a record. `now` must be read just before the node acts.
+    /// Whether the node may act on a record. `now` must be read just before the node acts.
     pub fn validity(&self, now: Micros, name: &str) -> RecordValidity<'_> {
         let Some(known) = self.records.get(name) else {
             return RecordValidity::Unknown;
@@ -165,7 +165,7 @@
         self.records.keys().map(String::as_str)
     }
 
-    /// When the next pending exclusive record becomes active.
+    /// When the next pending record becomes active.
     pub fn next_activation(&self, now: Micros) -> Option<Micros> {
         let activations = self.records.values().map(|known| known.active_from);
         activations.filter(|time| *time > now).min()
--- a/crates/consensus/src/record.rs
+++ b/crates/consensus/src/record.rs
@@ -1,4 +1,4 @@
-//! The records: what each kind of them contains.
+//! The kinds of records and their contents.
 
 use marbledeck_federation::Catalog;
 use marbledeck_licensing::Pool;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
-    /// Where its submission server accepts connections.
+    /// Address of its submission server.
     pub address: std::net::SocketAddr,
     /// What the site offers.
     pub catalog: Catalog,
@@ -27,14 +27,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Body", rename_all = "snake_case")]
 pub enum RecordBody {
-    /// Of `settings/rates`.
+    /// The content of `settings/rates`.
     Rates(Rates),
-    /// Of `workers/out`: the ids of the workers that are out of service.
+    /// The content of `workers/out`: the ids of the workers that are out of service.
     #[serde(rename = "out")]
     OutOfService(BTreeSet<String>),
-    /// Of `seats/NAME`: a pool of licence seats.
+    /// The content of `seats/NAME`: a pool of licence seats.
     Pool(Pool),
-    /// Of `sites/NAME`.
+    /// The content of `sites/NAME`.
     Site(Site),
 }
 
@@ -43,7 +43,7 @@
 pub struct Record {
     /// Counts the changes of this record, from 1.
     pub version: u64,
-    /// Two versions must never be in force at the same time, at any two nodes.
+    /// No two nodes may act on different versions at the same time.
     #[serde(default)]
     pub exclusive: bool,
     /// The content; `None` once the record is removed.
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine. The same commands in the same order give the same state at every voter; no clock is
-//! read.
+//! The replicated state machine. It is deterministic: the same commands in the same order give the same state at every
+//! voter, and no clock is read.
 
 use crate::change::{Change, MAX_NAME_BYTES};
 use crate::command::{Command, CommandSequence, LastCommand, Operation, Outcome};
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Bytes of all records together: a voter that lags behind, and a node that has just started, are sent all of them in one
-/// frame.
+/// Maximum size of all records together: a voter that lags behind, and a node that has just started, are sent all of them
+/// in one frame.
 const MAX_STATE_BYTES: usize = 4 * 1024 * 1024;
-/// The records of licence pools are named by this prefix and the licence.
+/// The name of a licence pool's record is this prefix followed by the name of the licence.
 const POOL_PREFIX: &str = "seats/";
 
-/// The commands of one node that were applied.
+/// The last applied commands of one node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Node")]
 struct NodeProgress {
@@ -32,7 +32,7 @@
     }
 }
 
-/// All that the fleet has agreed on: the records, the holders of licence seats, and each node's last commands.
+/// The state that all voters replicate: the records, the holders of licence seats, and each node's last commands.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Book")]
 pub struct ReplicatedState {
@@ -53,12 +53,13 @@
         }
         let outcome = self.apply_operation(command);
         if command.number > 0 {
-            self.remember(command, outcome.clone());
+            self.record_outcome(command, outcome.clone());
         }
         outcome
     }
 
-    /// The outcome of a command that is not to be applied: one of an earlier incarnation, or a repeat.
+    /// The outcome of a command that must not be applied: it is of an earlier incarnation, or a repeat. A command of a
+    /// later incarnation resets the node's progress first.
     fn find_earlier_outcome(&mut self, command: &Command) -> Option<Outcome> {
         let node = self.nodes.entry(command.node).or_default();
         if command.incarnation < node.incarnation {
@@ -95,7 +96,7 @@
         }
     }
 
-    fn remember(&mut self, command: &Command, outcome: Outcome) {
+    fn record_outcome(&mut self, command: &Command, outcome: Outcome) {
         let sequence = command.sequence();
         let node = self.nodes.entry(command.node).or_default();
         node.last.retain(|last| last.sequence != sequence);
@@ -107,7 +108,7 @@
     }
 
     fn apply_change(&mut self, change: &Change) -> Outcome {
-        // Everything is checked before anything is written.
+        // All checks precede the first write, so that a rejected change has no effect.
         let checked = change.check().and_then(|()| self.check_versions(change));
         if let Err(error) = checked.and_then(|()| self.check_total_size(change)) {
             return Outcome::Rejected(error);
@@ -179,7 +180,7 @@
         })
     }
 
-    /// Who holds which licence seats.
+    /// The holders of licence seats.
     pub fn seats(&self) -> &Ledger {
         &self.seats
     }
@@ -203,7 +204,7 @@
     }
 }
 
-/// What a record counts towards the limit: its name, its encoded body and a fixed overhead.
+/// The size of a record as it counts towards `MAX_STATE_BYTES`: its name, its encoded body and a fixed overhead.
 fn record_size(name: &str, body: Option<&RecordBody>) -> usize {
     let body = serde_json::to_vec(&body).map_or(MAX_STATE_BYTES, |bytes| bytes.len());
     MAX_NAME_BYTES + name.len() + body
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,4 +1,4 @@
-//! A voter: the replicated state, replicated by Raft.
+//! A voter: a member of the Raft group that replicates the state.
 
 mod message_check;
 mod reads;
@@ -16,17 +16,18 @@
 use std::collections::VecDeque;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Ticks without a message of a leader after which a voter stands for election; up to twice that, at random.
+/// Ticks without a message from a leader after which a voter starts an election; each timeout is a random number from this
+/// to twice this.
 const ELECTION_TICKS: usize = 10;
 /// Ticks between a leader's heartbeats.
 const HEARTBEAT_TICKS: usize = 2;
-/// Bytes of entries in one message.
+/// Maximum size of the entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
-/// Append messages in flight to one voter.
+/// Maximum number of append messages in flight to one voter.
 const MAX_IN_FLIGHT_MESSAGES: usize = 64;
-/// Bytes of commands that a leader accepts before earlier ones are committed. Others are dropped, and requested again.
+/// Maximum size of uncommitted commands at the leader. It drops further ones; their requesters repeat them.
 const MAX_UNCOMMITTED_BYTES: u64 = 8 * 1024 * 1024;
-/// Possible numbers of voters; one voter serves tests and development.
+/// Allowed numbers of voters; a single voter is for tests and development.
 const GROUP_SIZES: [usize; 4] = [1, 3, 5, 7];
 
 /// A position in the log.
@@ -66,7 +67,7 @@
     pub outcome: Outcome,
 }
 
-/// What the caller of a voter has to do.
+/// Work for the caller of a voter.
 #[derive(Debug, Default)]
 pub struct Effects {
     /// To be persisted, in this order.
@@ -85,32 +86,32 @@
     messages: Vec<Message>,
 }
 
-/// A voter without sockets, clock or disk.
+/// A voter. It has no sockets, clock or disk; the caller provides them.
 pub struct Voter {
     id: u64,
     voters: Vec<u64>,
     raft: RawNode<Log>,
     state: ReplicatedState,
-    /// Up to where the log is applied to the state.
+    /// The last log entry that was applied to the state.
     applied: LogPosition,
     /// Index of the last snapshot.
     snapshot_index: u64,
     held_messages: VecDeque<HeldMessages>,
     /// Tickets of the persist requests that are not durable yet.
     unpersisted_tickets: VecDeque<u64>,
-    /// Ticket of a snapshot of another voter: it counts as applied once it is durable.
+    /// Ticket of a snapshot received from another voter, which counts as applied once it is durable.
     installing_ticket: Option<u64>,
     reads: PendingReads,
-    /// Ticks since the start.
+    /// Number of ticks since the start.
     ticks: u64,
-    /// The store fails to persist: no message is sent or handled.
+    /// The store cannot persist anything, so that no message is sent or handled.
     suspended: bool,
-    /// The panic message of the consensus library, once it has panicked.
+    /// Set once the voter has stopped: the panic message of the consensus library, or why a snapshot cannot be used.
     stop_reason: Option<String>,
 }
 
 impl Voter {
-    /// The voter with number `id` in a group of `voters`. `incarnation` must differ between its starts.
+    /// Creates the voter with number `id` in a group of `voters`. `incarnation` must differ between its starts.
     ///
     /// # Errors
     /// The persisted state cannot be used, or the voters do not form a valid group.
@@ -121,7 +122,7 @@
         persisted: &PersistedState,
     ) -> Result<Self, ConsensusError> {
         if !voters.contains(&id) || !GROUP_SIZES.contains(&voters.len()) || voters.contains(&0) {
-            let message = "voters: want 3, 5 or 7 numbers from 1 on, this node's among them";
+            let message = "voters: want 3, 5 or 7 numbers, each 1 or more, including this node's";
             return Err(ConsensusError::InvalidConfiguration(message.to_owned()));
         }
         let restored = restore(voters, persisted)?;
@@ -157,8 +158,8 @@
         })
     }
 
-    /// Calls the consensus library. It panics where its invariants are violated: this voter then stops, and the rest of
-    /// the process goes on.
+    /// Calls the consensus library, which panics where its invariants are violated. After a panic this voter stops, and
+    /// the process continues. Returns `None` if the voter has stopped.
     fn with_raft<T>(&mut self, call: impl FnOnce(&mut RawNode<Log>) -> T) -> Option<T> {
         if self.stop_reason.is_some() {
             return None;
@@ -176,12 +177,12 @@
         }
     }
 
-    /// Why this voter has stopped; `None` while it takes part.
+    /// Why this voter has stopped; `None` while it runs.
     pub fn stop_reason(&self) -> Option<&str> {
         self.stop_reason.as_deref()
     }
 
-    /// Advances the voter's time by one tick, which lasts equally long at all voters.
+    /// Advances the voter's time by one tick. All voters must use the same tick length.
     pub fn tick(&mut self) {
         self.ticks += 1;
         if !self.suspended {
@@ -195,13 +196,13 @@
     /// Handles a message of another voter.
     ///
     /// # Errors
-    /// The message is malformed, or not from one of the voters to this one. It was not handled.
+    /// The message is malformed, or not from another voter to this one. It was not handled.
     pub fn handle_message(&mut self, from: u64, bytes: &[u8]) -> Result<(), ConsensusError> {
         let message = Message::parse_from_bytes(bytes)
             .map_err(|error| ConsensusError::MalformedMessage(error.to_string()))?;
         message_check::check_addresses(&message, from, self.id, &self.voters)?;
         if self.suspended {
-            // What follows from it could not be persisted. Lost messages are sent again.
+            // The result of handling it could not be persisted. Raft sends lost messages again.
             return Ok(());
         }
         message_check::check_content(&message, self.raft.raft.raft_log.last_index())?;
@@ -210,8 +211,8 @@
         Ok(())
     }
 
-    /// Proposes a command, through the leader where this voter follows one. It may be lost: the requester repeats it with
-    /// the same number.
+    /// Proposes a command; a follower forwards it to the leader. The proposal may be lost, so that the requester must
+    /// repeat it with the same number.
     pub fn propose(&mut self, command: &Command) {
         if let Ok(bytes) = serde_json::to_vec(command) {
             self.with_raft(|raft| drop(raft.propose(Vec::new(), bytes)));
@@ -221,10 +222,10 @@
     /// Requests a linearizable read. `request` must be greater than any before; it comes back as
     /// [`Effects::confirmed_read`].
     pub fn request_read(&mut self, request: u64) {
-        self.reads.request(request);
+        self.reads.add_request(request);
     }
 
-    /// Everything up to this ticket is durable. Ends a suspension.
+    /// Handles that everything up to this ticket is durable, and ends a suspension.
     pub fn handle_persisted(&mut self, ticket: u64) {
         let is_durable = |unpersisted: &mut u64| *unpersisted <= ticket;
         while self.unpersisted_tickets.pop_front_if(is_durable).is_some() {}
@@ -241,13 +242,13 @@
         });
     }
 
-    /// The store cannot persist anything now: the voter sends nothing and does not lead, until
-    /// [`Voter::handle_persisted`]. The caller must retry the requests in their order.
+    /// Suspends the voter while the store cannot persist anything: it sends no messages and does not act as the leader
+    /// until [`Voter::handle_persisted`]. The caller must retry the persist requests in their order.
     pub fn suspend(&mut self) {
         self.suspended = true;
     }
 
-    /// What the caller has to do now.
+    /// Takes the work that the caller has to do now.
     pub fn poll_effects(&mut self) -> Effects {
         let mut effects = Effects::default();
         while self.with_raft(|raft| raft.has_ready()) == Some(true)
@@ -268,7 +269,7 @@
     }
 
     fn send(&self, messages: Vec<Message>, effects: &mut Effects) {
-        // A message may promise what the store could not persist.
+        // A message may acknowledge data that the store could not persist.
         if self.suspended {
             return;
         }
@@ -280,12 +281,12 @@
         }
     }
 
-    /// What was agreed on, as far as this voter knows.
+    /// The replicated state, as far as this voter has applied the log.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Whether this voter is the leader, and can act as such.
+    /// Whether this voter is the leader and can act as such.
     pub fn is_leader(&self) -> bool {
         self.stop_reason.is_none() && !self.suspended && self.raft.raft.state == StateRole::Leader
     }
--- a/crates/consensus/src/voter/message_check.rs
+++ b/crates/consensus/src/voter/message_check.rs
@@ -1,4 +1,4 @@
-//! Checks of messages before the consensus library sees them: it panics on some that no correct voter sends.
+//! Validation of messages before they reach the consensus library, which panics on some that no correct voter sends.
 
 use crate::error::ConsensusError;
 use raft::eraftpb::{Message, MessageType};
@@ -10,7 +10,7 @@
     own_id: u64,
     voters: &[u64],
 ) -> Result<(), ConsensusError> {
-    // A follower forwards reads and proposals to the leader, in the name of their sender.
+    // A follower forwards reads and proposals to the leader with their original sender.
     let is_forwarded = matches!(
         message.get_msg_type(),
         MessageType::MsgReadIndex | MessageType::MsgPropose
@@ -26,19 +26,21 @@
     })
 }
 
-/// Checks what the library takes for granted. `last_index` is the last index of this voter's log.
+/// Checks the properties that the library assumes. `last_index` is the last index of this voter's log.
 pub(super) fn check_content(message: &Message, last_index: u64) -> Result<(), ConsensusError> {
     let entries = &message.entries;
     let violation = match message.get_msg_type() {
         MessageType::MsgHeartbeat if message.commit > last_index => {
-            Some("a leader says that more is agreed than this voter has")
+            Some("the commit index of a heartbeat is beyond this voter's log")
         }
         MessageType::MsgAppend if !is_contiguous(message) => {
-            Some("entries that do not follow each other")
+            Some("the entries of an append message are not contiguous")
+        }
+        MessageType::MsgReadIndexResp if entries.len() != 1 => {
+            Some("a read index response without exactly one context")
         }
-        MessageType::MsgReadIndexResp if entries.len() != 1 => Some("an answer to no question"),
         MessageType::MsgReadIndex | MessageType::MsgPropose if entries.is_empty() => {
-            Some("nothing is asked")
+            Some("a read index request or a proposal without entries")
         }
         _ => None,
     };
--- a/crates/consensus/src/voter/reads.rs
+++ b/crates/consensus/src/voter/reads.rs
@@ -2,7 +2,7 @@
 
 use super::HEARTBEAT_TICKS;
 
-/// Ticks after which an unanswered read index request is given up and sent anew: a message may be lost.
+/// Ticks after which an unanswered read index request is replaced by a new one, since a message may have been lost.
 const READ_INDEX_TIMEOUT_TICKS: u64 = 2 * HEARTBEAT_TICKS as u64;
 
 /// A read index request that was sent.
@@ -14,18 +14,18 @@
     sent_tick: u64,
 }
 
-/// Reads that may be answered once the log is applied up to this index.
+/// Reads that may be answered once the log is applied up to `index`.
 struct WaitingReads {
     index: u64,
     last_request: u64,
 }
 
-/// The read requests of one voter. They are counted rather than kept, since any number may arrive while there is no
-/// quorum.
+/// The read requests of one voter. Only the number of the last one is stored, since any number of them may arrive while
+/// there is no quorum.
 pub(super) struct PendingReads {
     voter: u64,
     incarnation: u64,
-    /// Counts the read index requests.
+    /// Number of the last read index request.
     serial: u64,
     /// The last read request.
     last_request: u64,
@@ -48,11 +48,11 @@
         }
     }
 
-    pub(super) fn request(&mut self, request: u64) {
+    pub(super) fn add_request(&mut self, request: u64) {
         self.last_request = self.last_request.max(request);
     }
 
-    /// The context of a read index request to be sent now, if one is due.
+    /// The context of the read index request to send now, if one is due.
     pub(super) fn poll_read_index(&mut self, tick: u64) -> Option<Vec<u8>> {
         self.outstanding
             .take_if(|request| tick - request.sent_tick > READ_INDEX_TIMEOUT_TICKS);
@@ -60,7 +60,7 @@
             return None;
         }
         self.serial += 1;
-        // Unique over voters and incarnations, so that no answer to another request is taken for one to this.
+        // Unique across voters and incarnations, so that the response to another request is not taken for this one's.
         let mut context = self.voter.to_be_bytes().to_vec();
         context.extend(self.incarnation.to_be_bytes());
         context.extend(self.serial.to_be_bytes());
@@ -72,7 +72,7 @@
         Some(context)
     }
 
-    /// The leader has confirmed a read index.
+    /// Handles a read index that the leader has confirmed.
     pub(super) fn handle_read_index(&mut self, context: &[u8], index: u64) {
         let answered = self
             .outstanding
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The last read request that may be answered now, if any became so.
+    /// The last read request that may be answered now, if any has become answerable since the last call.
     pub(super) fn take_confirmed(&mut self, applied_index: u64) -> Option<u64> {
         let is_confirmed = |reads: &mut WaitingReads| reads.index <= applied_index;
         let confirmed = self.waiting.extract_if(.., is_confirmed);
--- a/crates/consensus/src/voter/ready.rs
+++ b/crates/consensus/src/voter/ready.rs
@@ -1,4 +1,4 @@
-//! Handles what the consensus library has ready: messages, entries to persist and to apply, snapshots.
+//! Processes a `Ready` of the consensus library: messages, entries to persist and to apply, snapshots.
 
 use super::{AppliedCommand, Effects, HeldMessages, LogPosition, Voter};
 use crate::command::Command;
@@ -7,9 +7,9 @@
 use raft::eraftpb::{Entry, EntryType, Snapshot};
 use raft::Ready;
 
-/// Entries after which a snapshot replaces the log before it.
+/// Number of applied entries after which a snapshot replaces the log before it.
 const SNAPSHOT_INTERVAL: u64 = 2000;
-/// Entries before a snapshot that are kept, for voters that are only a little behind.
+/// Number of entries before a snapshot that stay in the log, for voters that are only a little behind.
 const RETAINED_ENTRIES: u64 = 500;
 
 fn encode_snapshot(snapshot: &Snapshot) -> EncodedSnapshot {
@@ -20,7 +20,7 @@
 }
 
 impl Voter {
-    /// Handles one `Ready` of the library. `None` where it has stopped, or has to be asked again later.
+    /// Processes one `Ready` of the library. Returns `None` if the voter has stopped or the log rejected an update.
     pub(super) fn process_ready(&mut self, effects: &mut Effects) -> Option<()> {
         let mut ready = self.with_raft(raft::RawNode::ready)?;
         let ticket = ready.number();
@@ -59,7 +59,7 @@
         Some(())
     }
 
-    /// Replaces log and state by the snapshot of another voter, if there is one.
+    /// Replaces log and state by a snapshot received from another voter, if there is one.
     fn install_snapshot(
         &mut self,
         snapshot: &Snapshot,
@@ -72,7 +72,9 @@
         match serde_json::from_slice(&snapshot.data) {
             Ok(state) => self.state = state,
             Err(error) => {
-                self.stop_reason = Some(format!("a snapshot of another voter: {error}"));
+                self.stop_reason = Some(format!(
+                    "a snapshot from another voter cannot be decoded: {error}"
+                ));
                 return None;
             }
         }
@@ -110,14 +112,14 @@
         if entry.get_entry_type() != EntryType::EntryNormal || entry.data.is_empty() {
             return;
         }
-        // What cannot be decoded here cannot be decoded at any voter: all of them skip it.
+        // An entry that cannot be decoded here cannot be decoded at any voter, so that all voters skip it.
         if let Ok(command) = serde_json::from_slice::<Command>(&entry.data) {
             let outcome = self.state.apply(&command);
             effects.applied.push(AppliedCommand { command, outcome });
         }
     }
 
-    /// Takes a snapshot and drops the log before it, once the log has grown long.
+    /// Takes a snapshot and drops the log before it, once `SNAPSHOT_INTERVAL` entries were applied since the last one.
     fn compact_log(&mut self, request: &mut PersistRequest) {
         let LogPosition { term, index } = self.applied;
         if index - self.snapshot_index < SNAPSHOT_INTERVAL || request.snapshot.is_some() {
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -1,7 +1,7 @@
 //! The messages between nodes, and their framing.
 //!
-//! A frame is a length of four bytes (big-endian, of the body only), one byte for its kind and the body: a message of the
-//! consensus library as it is, or a [`NodeMessage`] in JSON. The length is checked before anything is decoded.
+//! A frame is a length of four bytes (big-endian, of the body only), one byte for its kind and the body: an unmodified
+//! message of the consensus library, or a [`NodeMessage`] in JSON. The length is checked before anything is decoded.
 
 use crate::command::{Command, CommandSequence, Outcome};
 use crate::error::ConsensusError;
@@ -11,13 +11,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum length of a frame's body in bytes. A snapshot of the replicated state fits in.
+/// Maximum length of a frame's body in bytes; enough for a snapshot of the replicated state.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
-/// Maximum length of a frame's body that a node which does not vote may send: a read request with a change.
+/// Maximum length of a frame's body from a node that is not a voter; enough for a read request with a change.
 pub const MAX_REQUEST_BYTES: usize = 1024 * 1024 + 256 * 1024;
 /// Maximum number of commands in one read request.
 pub const MAX_COMMANDS_PER_REQUEST: usize = 4;
-/// Length and kind.
+/// Length of a frame's header: the length of the body, and the kind.
 const HEADER_BYTES: usize = 5;
 /// The kinds of frames.
 const KIND_RAFT: u8 = b'R';
@@ -42,20 +42,21 @@
         fleet: String,
         /// Number of the node.
         node: u32,
-        /// Its number as a voter, and the number of its store.
+        /// For a voter: its number as a voter, and the number of its store.
         voter: Option<(u64, u64)>,
     },
-    /// Response to a voter's `Hello`: the number of its store is known, and durably noted.
+    /// Response to a voter's `Hello`: the responding voter has durably recorded the number of the sender's store.
     Welcome {
         /// Number of the responding voter.
         voter: u64,
     },
-    /// Response to a voter's `Hello` whose number is known with another store: it has lost what it had promised.
+    /// Response to a voter's `Hello` whose number is recorded with another store: the sender has lost the votes and
+    /// entries that it had persisted, and must not vote.
     Denied {
         /// Number of the responding voter.
         voter: u64,
     },
-    /// A node requests a lease on the records, and commands to be applied.
+    /// Requests a lease on the records, and proposes commands.
     #[serde(rename = "Ask")]
     ReadRequest {
         /// Number of the request, repeated in the response.
@@ -73,10 +74,10 @@
     /// Response to a read request, confirmed by a quorum after the request arrived.
     #[serde(rename = "Answer")]
     ReadResponse(Box<ReadResponse>),
-    /// The nodes that have contacted the sending voter lately.
+    /// The nodes that have contacted the sending voter recently.
     #[serde(rename = "Heard")]
     ContactReport {
-        /// Number and incarnation of each.
+        /// Number and incarnation of each node.
         nodes: Vec<(u32, u64)>,
     },
 }
@@ -101,15 +102,15 @@
     /// The seats that the node holds: pool, tenant, seats, and how many of them are recalled.
     #[serde(rename = "parts")]
     pub seats: Vec<(String, String, u32, u32)>,
-    /// The seats of each pool that nobody holds.
+    /// The number of seats of each pool that no node holds.
     #[serde(rename = "free")]
     pub free_seats: Vec<(String, u32)>,
-    /// A later incarnation of the node is known: it must not act any more.
+    /// A later incarnation of the node is known, so that this one must not act on records any more.
     pub stale: bool,
 }
 
 impl ReadResponse {
-    /// The response to a request of this incarnation of a node.
+    /// Creates the response to a read request of this incarnation of a node.
     pub fn new(
         state: &ReplicatedState,
         node: u32,
@@ -186,10 +187,10 @@
     };
     let length = u32::from_be_bytes(*length) as usize;
     if length > MAX_FRAME_BYTES {
-        return Err(malformed("a frame is too long"));
+        return Err(malformed("the frame exceeds the maximum length"));
     }
     if !matches!(*kind, KIND_RAFT | KIND_NODE) {
-        return Err(malformed("a frame of no known kind"));
+        return Err(malformed("the frame is of an unknown kind"));
     }
     let Some(body) = bytes.get(HEADER_BYTES..HEADER_BYTES + length) else {
         return Ok(None);
