--- a/crates/storage/src/channel.rs
+++ b/crates/storage/src/channel.rs
@@ -1,4 +1,4 @@
-//! A bounded channel from the event loop to the writer thread. Sending never waits; receiving takes everything that is
+//! A bounded channel from the event loop to the writer thread. Sending never blocks; receiving takes everything that is
 //! queued. `loom` checks all interleavings (`tests/channel.rs`, with `--cfg loom`).
 
 #[cfg(loom)]
@@ -12,7 +12,7 @@
 #[error("the channel is full")]
 pub struct ChannelFull;
 
-/// The sender is gone, and nothing is queued any more.
+/// The sender was dropped, and the queue is empty.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the channel is closed")]
 pub struct ChannelClosed;
@@ -56,7 +56,7 @@
 }
 
 impl<T> Sender<T> {
-    /// Queues a value without waiting.
+    /// Queues a value without blocking.
     ///
     /// # Errors
     /// The channel is full, and the value is dropped.
--- a/crates/storage/src/checksum.rs
+++ b/crates/storage/src/checksum.rs
@@ -12,24 +12,24 @@
     hasher.finalize()
 }
 
-/// A value followed by its checksum, as it is stored.
-pub(crate) fn seal(key: &[u8], value: &[u8]) -> Vec<u8> {
-    let mut sealed = value.to_vec();
-    sealed.extend(checksum(key, value).to_be_bytes());
-    sealed
+/// Returns the value followed by its checksum, as it is stored.
+pub(crate) fn append_checksum(key: &[u8], value: &[u8]) -> Vec<u8> {
+    let mut stored = value.to_vec();
+    stored.extend(checksum(key, value).to_be_bytes());
+    stored
 }
 
-/// The value of a sealed one.
+/// Returns a stored value without its checksum.
 ///
 /// # Errors
 /// The checksum does not match.
-pub(crate) fn unseal(key: &[u8], sealed: &[u8]) -> Result<Vec<u8>, StoreError> {
-    match sealed.split_last_chunk::<4>() {
-        Some((value, stored)) if checksum(key, value) == u32::from_be_bytes(*stored) => {
+pub(crate) fn verify_checksum(key: &[u8], stored: &[u8]) -> Result<Vec<u8>, StoreError> {
+    match stored.split_last_chunk::<4>() {
+        Some((value, expected)) if checksum(key, value) == u32::from_be_bytes(*expected) => {
             Ok(value.to_vec())
         }
         _ => {
-            let message = format!("the checksum of '{}'", key.escape_ascii());
+            let message = format!("the checksum of '{}' does not match", key.escape_ascii());
             Err(StoreError::Damaged(message))
         }
     }
--- a/crates/storage/src/checksum/tests.rs
+++ b/crates/storage/src/checksum/tests.rs
@@ -1,16 +1,22 @@
-//! Detects what the database's own checks cannot: a valid value that is stored under another key.
+//! The checksum detects what the database's own checks cannot: a valid value that is stored under another key.
 
-use super::{seal, unseal};
+use super::{append_checksum, verify_checksum};
 
 #[test]
-fn a_value_counts_under_its_own_name_only() {
-    let bytes = seal(b"hard", b"vote");
-    assert_eq!(unseal(b"hard", &bytes).expect("its own"), b"vote");
-    assert!(unseal(b"snapshot", &bytes).is_err());
-    for index in 0..bytes.len() {
-        let mut flipped = bytes.clone();
+fn a_checksum_matches_only_its_own_key_and_value() {
+    let stored = append_checksum(b"hard", b"vote");
+    assert_eq!(
+        verify_checksum(b"hard", &stored).expect("its own key"),
+        b"vote"
+    );
+    assert!(verify_checksum(b"snapshot", &stored).is_err());
+    for index in 0..stored.len() {
+        let mut flipped = stored.clone();
         flipped[index] ^= 1;
-        assert!(unseal(b"hard", &flipped).is_err(), "byte {index}");
+        assert!(
+            verify_checksum(b"hard", &flipped).is_err(),
+            "flipped byte {index}"
+        );
     }
-    assert!(unseal(b"hard", &bytes[..3]).is_err());
+    assert!(verify_checksum(b"hard", &stored[..3]).is_err());
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -2,20 +2,20 @@
 
 use std::io;
 
-/// Why a store cannot be opened, or a write failed.
+/// Why a store cannot be opened, or why a write failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The directory or the file in it cannot be accessed.
-    #[error("store: {0}")]
+    #[error("store: cannot access its directory or file: {0}")]
     Directory(#[source] io::Error),
-    /// Another process has opened the store.
-    #[error("store: another process uses it")]
+    /// Another process has the store open.
+    #[error("store: another process has it open")]
     InUse,
     /// The file is damaged, or of another format.
     #[error("store: the file is damaged: {0}")]
     Damaged(String),
-    /// The write failed. It may be tried again.
-    #[error("store: {0}; nothing is promised until it can be written")]
+    /// The write failed. It may be retried.
+    #[error("store: write failed: {0}; nothing is promised until it can be written")]
     WriteFailed(String),
 }
 
@@ -24,14 +24,14 @@
     pub fn advice(&self) -> &'static str {
         match self {
             StoreError::Directory(_) => {
-                "see that the folder under `store` is there, can be written and is used by one process"
+                "check that the folder under `store` exists, is writable and is used by one process only"
             }
-            StoreError::InUse => "end the other process, or give each node a `store` of its own",
+            StoreError::InUse => "stop the other process, or give each node a `store` of its own",
             StoreError::Damaged(_) => {
                 "set the folder aside and keep it; replace this voter under a new number"
             }
             StoreError::WriteFailed(_) => {
-                "make room on the disk; the node goes on by itself once there is"
+                "free some disk space; the node resumes by itself once writes succeed"
             }
         }
     }
--- a/crates/storage/src/file.rs
+++ b/crates/storage/src/file.rs
@@ -1,7 +1,7 @@
 //! The database file.
 
 use crate::batch::{StoredContents, WriteBatch};
-use crate::checksum::{seal, unseal};
+use crate::checksum::{append_checksum, verify_checksum};
 use crate::error::StoreError;
 use redb::{Database, ReadTransaction, ReadableTable, Table, TableDefinition};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -11,17 +11,17 @@
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 /// Single values by name.
 const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("values");
-/// The values of this crate itself: the format of the file and the store's number.
+/// Names of the values that this crate itself stores: the format of the file and the store's number.
 const FORMAT_KEY: &str = "form";
 const STORE_NUMBER_KEY: &str = "number";
 const FORMAT: u64 = 1;
 const FILE_NAME: &str = "agreement.redb";
-/// The log is read once, at the start: a small cache is enough.
+/// A small cache is enough, since the log is read only once, at the start.
 const CACHE_BYTES: usize = 1024 * 1024;
 
 /// The open database file.
 pub struct StoreFile {
-    /// `None` after a failed write: the database must be opened again.
+    /// `None` after a failed write, until the next write reopens the database.
     database: Option<Database>,
     path: PathBuf,
 }
@@ -30,24 +30,28 @@
     /// Opens the file in this directory, or creates it with this number.
     ///
     /// # Errors
-    /// The directory cannot be accessed, another process uses the file, or it is damaged. It is not changed then.
+    /// The directory cannot be accessed, another process has the file open, or it is damaged. The file is not changed then.
     pub fn open(directory: &Path, store_number: u64) -> Result<(Self, StoredContents), StoreError> {
         std::fs::create_dir_all(directory).map_err(StoreError::Directory)?;
         let path = directory.join(FILE_NAME);
-        // The library panics on some damaged files.
+        // The database library panics on some damaged files.
         let opened = catch_panic(|| StoreFile::open_path(&path, store_number));
-        opened.unwrap_or_else(|| Err(StoreError::Damaged("it cannot be read".to_owned())))
+        opened.unwrap_or_else(|| {
+            Err(StoreError::Damaged(
+                "the database library panicked while reading it".to_owned(),
+            ))
+        })
     }
 
     fn open_path(path: &Path, store_number: u64) -> Result<(Self, StoredContents), StoreError> {
         let is_new = !path.exists();
         let mut database = open_database(path)?;
-        // Checks the whole file once: the library would panic later, when it reads a damaged part.
+        // Checks the whole file now, since the library would panic later when it reads a damaged part.
         let is_intact = database
             .check_integrity()
             .map_err(StoreError::read_failed)?;
         if !is_intact {
-            let message = "its pages do not fit each other";
+            let message = "its integrity check failed";
             return Err(StoreError::Damaged(message.to_owned()));
         }
         if is_new {
@@ -92,17 +96,20 @@
     /// Makes batches durable in one transaction.
     ///
     /// # Errors
-    /// The write failed and nothing was stored. The same batches may be tried again.
+    /// The write failed and nothing was stored. The caller may retry the same batches.
     pub fn write(&mut self, batches: &[WriteBatch]) -> Result<(), StoreError> {
-        // After an error, the database accepts nothing more before it is opened again.
+        // After a failed write, the database rejects further ones until it is reopened.
         let database = match self.database.take() {
             Some(database) => database,
             None => open_database(&self.path)
                 .map_err(|error| StoreError::WriteFailed(error.to_string()))?,
         };
         let written = catch_panic(|| write_batches(&database, batches));
-        let written = written
-            .unwrap_or_else(|| Err(StoreError::WriteFailed("the library gave up".to_owned())));
+        let written = written.unwrap_or_else(|| {
+            Err(StoreError::WriteFailed(
+                "the database library panicked".to_owned(),
+            ))
+        });
         if written.is_ok() {
             self.database = Some(database);
         } else {
@@ -119,7 +126,7 @@
     }
 }
 
-/// Calls the database library, which panics where its invariants are violated; `None` then.
+/// Calls the database library, which panics where its invariants are violated. Returns `None` after a panic.
 fn catch_panic<T>(call: impl FnOnce() -> T) -> Option<T> {
     catch_unwind(AssertUnwindSafe(call)).ok()
 }
@@ -142,7 +149,7 @@
     Ok(contents)
 }
 
-/// Reads the values, and checks the format among them.
+/// Reads the values and checks the file's format, which is one of them.
 fn read_values(
     transaction: &ReadTransaction,
     contents: &mut StoredContents,
@@ -152,8 +159,8 @@
         .open_table(VALUES)
         .map_err(StoreError::read_failed)?;
     for row in values.iter().map_err(StoreError::read_failed)? {
-        let (name, sealed) = row.map_err(StoreError::read_failed)?;
-        let value = unseal(name.value().as_bytes(), sealed.value())?;
+        let (name, stored) = row.map_err(StoreError::read_failed)?;
+        let value = verify_checksum(name.value().as_bytes(), stored.value())?;
         let number = value.first_chunk().map(|bytes| u64::from_be_bytes(*bytes));
         match name.value() {
             FORMAT_KEY => format = number,
@@ -162,7 +169,7 @@
         }
     }
     if format != Some(FORMAT) {
-        let message = format!("its form is {format:?}, want {FORMAT}");
+        let message = format!("its format is {format:?}, want {FORMAT}");
         return Err(StoreError::Damaged(message));
     }
     Ok(())
@@ -171,15 +178,15 @@
 fn read_entries(transaction: &ReadTransaction) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
     let log = match transaction.open_table(LOG) {
         Ok(log) => log,
-        // A store that never had an entry has no such table.
+        // The table does not exist in a store that never had an entry.
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(Vec::new()),
         Err(error) => return Err(StoreError::read_failed(error)),
     };
     let mut entries = Vec::new();
     for row in log.iter().map_err(StoreError::read_failed)? {
-        let (index, sealed) = row.map_err(StoreError::read_failed)?;
+        let (index, stored) = row.map_err(StoreError::read_failed)?;
         let index = index.value();
-        let entry = unseal(&index.to_be_bytes(), sealed.value())?;
+        let entry = verify_checksum(&index.to_be_bytes(), stored.value())?;
         entries.push((index, entry));
     }
     Ok(entries)
@@ -206,8 +213,8 @@
     for (name, value) in &batch.values {
         let written = match value {
             Some(value) => {
-                let sealed = seal(name.as_bytes(), value);
-                values.insert(name.as_str(), sealed.as_slice()).map(drop)
+                let stored = append_checksum(name.as_bytes(), value);
+                values.insert(name.as_str(), stored.as_slice()).map(drop)
             }
             None => values.remove(name.as_str()).map(drop),
         };
@@ -227,8 +234,8 @@
         log.retain_in::<u64, _>(*first.., |_, _| false)?;
     }
     for (index, entry) in &batch.entries {
-        let sealed = seal(&index.to_be_bytes(), entry);
-        log.insert(index, sealed.as_slice())?;
+        let stored = append_checksum(&index.to_be_bytes(), entry);
+        log.insert(index, stored.as_slice())?;
     }
     Ok(())
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,10 +1,10 @@
 //! Durable storage of a voter's log and values.
 //!
-//! A thread of its own writes, so that the event loop never waits for the disk. Each write has a ticket; its completion is
-//! reported in order, and a byte in a pipe wakes the event loop.
+//! A writer thread does all writes, so that the event loop never waits for the disk. Each write has a ticket. Completions
+//! are reported in the order of the tickets, and a byte in a pipe wakes the event loop.
 //!
-//! The file is an embedded database (`redb`): a write is stored completely or not at all, whenever the process ends. Each
-//! value carries a checksum over itself and its key, so that later damage is detected.
+//! The file is an embedded database (`redb`): a write is stored completely or not at all, even if the process ends during
+//! it. Each value has a checksum over itself and its key, so that later damage is detected.
 #![forbid(unsafe_code)]
 
 mod batch;
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! A store with its writer thread.
+//! A store and its writer thread.
 
 use crate::batch::{StoredContents, WriteBatch};
 use crate::channel::{bounded_channel, ChannelFull, Sender};
@@ -10,10 +10,11 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Batches that may wait for the disk.
+/// Maximum number of batches in the writer thread's queue.
 const MAX_QUEUED_BATCHES: usize = 4096;
 
-/// A store with its writer thread. Dropping it ends the thread, once all submitted batches are written or cannot be.
+/// A store with its writer thread. Dropping it stops the thread, after all submitted batches were written or a failing
+/// write was abandoned.
 pub struct Store {
     sender: Option<Sender<WriteBatch>>,
     state: Arc<WriterState>,
@@ -52,10 +53,10 @@
         Ok((store, contents))
     }
 
-    /// Submits a batch without waiting for the disk.
+    /// Queues a batch for the writer thread, without waiting for the disk.
     ///
     /// # Errors
-    /// Too many batches wait already: the disk is far behind, and this one was not accepted.
+    /// The queue is full because the disk is far behind. This batch was not accepted.
     pub fn submit(&self, batch: WriteBatch) -> Result<(), ChannelFull> {
         let sender = self.sender.as_ref().ok_or(ChannelFull)?;
         sender.send(batch)
@@ -69,8 +70,8 @@
 
 impl Drop for Store {
     fn drop(&mut self) {
-        self.state.end();
-        // Closes the channel, which ends the thread.
+        self.state.request_stop();
+        // Closes the channel, which stops the thread.
         self.sender = None;
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writer thread: takes all queued batches, makes them durable in one transaction and reports it.
+//! The writer thread: takes all queued batches, makes them durable in one transaction and reports the completion.
 
 use crate::batch::WriteBatch;
 use crate::channel::Receiver;
@@ -10,10 +10,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Pause between two attempts while the disk accepts no writes.
+/// Delay between two attempts of a failing write.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reports on writes, in their order.
+/// A report on writes. Reports follow the order of the writes.
 #[derive(Debug)]
 pub enum CompletionEvent {
     /// Everything up to this ticket is durable.
@@ -22,12 +22,12 @@
     Stalled(StoreError),
 }
 
-/// What the writer thread and its store share.
+/// State that the writer thread shares with its [`crate::Store`].
 #[derive(Debug, Default)]
 pub(crate) struct WriterState {
     events: Mutex<Vec<CompletionEvent>>,
-    /// The store is being dropped: a write that still fails is given up.
-    ending: AtomicBool,
+    /// The store is being dropped, so that a write that still fails is abandoned.
+    stopping: AtomicBool,
 }
 
 impl WriterState {
@@ -36,8 +36,8 @@
         std::mem::take(&mut events)
     }
 
-    pub fn end(&self) {
-        self.ending.store(true, Ordering::SeqCst);
+    pub fn request_stop(&self) {
+        self.stopping.store(true, Ordering::SeqCst);
     }
 }
 
@@ -45,12 +45,12 @@
     pub file: StoreFile,
     pub receiver: Receiver<WriteBatch>,
     pub state: Arc<WriterState>,
-    /// A byte in it wakes the event loop.
+    /// A byte written to it wakes the event loop.
     pub wake_pipe: UnixStream,
 }
 
 impl Writer {
-    /// Writes until the channel is closed and empty, or a failing write is given up at the end.
+    /// Writes until the channel is closed and empty, or a failing write is abandoned because the store is being dropped.
     pub fn run(mut self) {
         while let Ok(batches) = self.receiver.receive_all() {
             let Some(last) = batches.last() else {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Writes batches, with retries. Returns false where they are given up.
+    /// Writes batches, with retries. Returns false if they were abandoned.
     fn persist(&mut self, batches: &[WriteBatch]) -> bool {
         if let Err(error) = self.file.write(batches) {
             self.report(CompletionEvent::Stalled(error));
@@ -72,7 +72,7 @@
             return true;
         }
         while self.file.write(batches).is_err() {
-            if self.state.ending.load(Ordering::SeqCst) {
+            if self.state.stopping.load(Ordering::SeqCst) {
                 return false;
             }
             std::thread::sleep(RETRY_INTERVAL);
@@ -88,7 +88,7 @@
             .unwrap_or_else(PoisonError::into_inner);
         events.push(event);
         drop(events);
-        // A full pipe wakes the event loop as well as one more byte would.
+        // An error is ignored: a full pipe already holds bytes that wake the event loop.
         let _ = self.wake_pipe.write(&[1]);
     }
 }
--- a/crates/storage/tests/channel.rs
+++ b/crates/storage/tests/channel.rs
@@ -1,11 +1,11 @@
-//! All interleavings of the channel between the event loop and the writer thread: `RUSTFLAGS="--cfg loom" cargo test -p
-//! marbledeck-storage --test channel --release`.
+//! Model checking of the channel between the event loop and the writer thread, over all interleavings:
+//! `RUSTFLAGS="--cfg loom" cargo test -p marbledeck-storage --test channel --release`.
 #![cfg(loom)]
 
 use marbledeck_storage::{bounded_channel, ChannelFull};
 
-/// No accepted value is lost, and the receiver ends when the sender does. A lost wake-up would be a deadlock, which the
-/// model finds.
+/// No accepted value is lost, and the receiver ends after the sender is dropped. `loom` reports a lost wake-up as a
+/// deadlock.
 #[test]
 fn all_sent_values_are_received_in_order() {
     loom::model(|| {
@@ -25,7 +25,7 @@
     });
 }
 
-/// A full channel rejects a value, which then is never received.
+/// A value that a full channel rejects is never received.
 #[test]
 fn a_full_channel_rejects_a_value() {
     loom::model(|| {
@@ -37,10 +37,10 @@
             }
             received
         });
-        let taken: Vec<i32> = (0..2)
+        let accepted: Vec<i32> = (0..2)
             .filter(|n| sender.send(*n) != Err(ChannelFull))
             .collect();
         drop(sender);
-        assert_eq!(thread.join().expect("it ends"), taken);
+        assert_eq!(thread.join().expect("it ends"), accepted);
     });
 }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The golden form of the file: `tests/golden/agreement.redb.gz` was written before any rename of the code. A test here may
-//! follow a renamed item; a snapshot that changes is a change of the file.
+//! Compatibility of the stored file: `tests/golden/agreement.redb.gz` was written by an earlier version of the code, and the
+//! snapshots hold its rows. A snapshot that changes means that the file's format has changed.
 
 use flate2::read::GzDecoder;
 use marbledeck_storage::{StoreError, StoreFile, WriteBatch};
@@ -8,36 +8,36 @@
 use std::fs::File;
 use std::path::{Path, PathBuf};
 
-/// The name of the file in its folder.
+/// Name of the file in its directory.
 const FILE: &str = "agreement.redb";
 /// The tables of the file.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("values");
 
-struct Folder(PathBuf);
+struct TempDirectory(PathBuf);
 
-impl Folder {
+impl TempDirectory {
     fn new(name: &str) -> Self {
-        let own = format!("marbledeck-golden-store-{name}-{}", std::process::id());
-        let path = std::env::temp_dir().join(own);
+        let directory_name = format!("marbledeck-golden-store-{name}-{}", std::process::id());
+        let path = std::env::temp_dir().join(directory_name);
         let _ = std::fs::remove_dir_all(&path);
-        Folder(path)
+        TempDirectory(path)
     }
 
-    /// A folder with the fixture, unpacked.
+    /// A directory with the unpacked fixture.
     fn with_fixture(name: &str) -> Self {
-        let folder = Folder::new(name);
-        std::fs::create_dir_all(&folder.0).expect("a folder");
+        let directory = TempDirectory::new(name);
+        std::fs::create_dir_all(&directory.0).expect("a directory");
         let package = Path::new(env!("CARGO_MANIFEST_DIR"));
         let fixture = package.join("tests/golden/agreement.redb.gz");
         let mut packed = GzDecoder::new(File::open(fixture).expect("the fixture"));
-        let mut unpacked = File::create(folder.0.join(FILE)).expect("a file");
+        let mut unpacked = File::create(directory.0.join(FILE)).expect("a file");
         std::io::copy(&mut packed, &mut unpacked).expect("the whole fixture");
-        folder
+        directory
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -52,80 +52,81 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("a string takes it");
+        write!(text, "{byte:02x}").expect("formatting into a string succeeds");
         text
     })
 }
 
-/// All that can be read through the crate.
-fn loaded_text(folder: &Folder) -> String {
-    let (_, loaded) = StoreFile::open(&folder.0, 1).expect("the file");
-    let mut text = format!("number: {:016x}\n", loaded.store_number);
-    for (name, value) in &loaded.values {
-        writeln!(text, "value {name}: {}", hex(value)).expect("a string takes it");
+/// Everything that this crate loads from the file.
+fn contents_text(directory: &TempDirectory) -> String {
+    let (_, contents) = StoreFile::open(&directory.0, 1).expect("the file");
+    let mut text = format!("store number: {:016x}\n", contents.store_number);
+    for (name, value) in &contents.values {
+        writeln!(text, "value {name}: {}", hex(value)).expect("formatting into a string succeeds");
     }
-    for (index, entry) in &loaded.entries {
-        writeln!(text, "entry {index}: {}", hex(entry)).expect("a string takes it");
+    for (index, entry) in &contents.entries {
+        writeln!(text, "entry {index}: {}", hex(entry)).expect("formatting into a string succeeds");
     }
     text
 }
 
-fn table_names(read: &ReadTransaction) -> Vec<String> {
-    let tables = read.list_tables().expect("tables");
+fn table_names(transaction: &ReadTransaction) -> Vec<String> {
+    let tables = transaction.list_tables().expect("tables");
     let mut names: Vec<String> = tables.map(|table| table.name().to_owned()).collect();
     names.sort();
     names
 }
 
-/// All rows of the file as the database has them, each with its checksum.
-fn rows_text(folder: &Folder) -> String {
-    let file = Database::open(folder.0.join(FILE)).expect("a database");
-    let read = file.begin_read().expect("a reading");
-    let mut text = format!("tables: {}\n", table_names(&read).join(", "));
-    let values = read.open_table(VALUES).expect("the values");
+/// All rows of the file as they are in the database, each with its checksum.
+fn rows_text(directory: &TempDirectory) -> String {
+    let file = Database::open(directory.0.join(FILE)).expect("a database");
+    let transaction = file.begin_read().expect("a read transaction");
+    let mut text = format!("tables: {}\n", table_names(&transaction).join(", "));
+    let values = transaction.open_table(VALUES).expect("the values");
     for row in values.iter().expect("rows") {
         let (name, bytes) = row.expect("a row");
         writeln!(text, "values {}: {}", name.value(), hex(bytes.value()))
-            .expect("a string takes it");
+            .expect("formatting into a string succeeds");
     }
-    let log = read.open_table(LOG).expect("the log");
+    let log = transaction.open_table(LOG).expect("the log");
     for row in log.iter().expect("rows") {
         let (index, bytes) = row.expect("a row");
-        writeln!(text, "log {}: {}", index.value(), hex(bytes.value())).expect("a string takes it");
+        writeln!(text, "log {}: {}", index.value(), hex(bytes.value()))
+            .expect("formatting into a string succeeds");
     }
     text
 }
 
 #[test]
-fn a_file_written_before_is_read() {
-    let folder = Folder::with_fixture("before");
-    assert_golden("fixture_loaded", &loaded_text(&folder));
-    assert_golden("fixture_rows", &rows_text(&folder));
+fn a_file_of_an_earlier_version_is_read() {
+    let directory = TempDirectory::with_fixture("read");
+    assert_golden("fixture_loaded", &contents_text(&directory));
+    assert_golden("fixture_rows", &rows_text(&directory));
 }
 
 #[test]
-fn a_file_written_before_takes_further_writes() {
-    let folder = Folder::with_fixture("further");
-    let (mut file, loaded) = StoreFile::open(&folder.0, 1).expect("the file");
-    let (last, _) = loaded.entries.last().expect("entries");
-    let write = WriteBatch {
+fn a_file_of_an_earlier_version_accepts_writes() {
+    let directory = TempDirectory::with_fixture("write");
+    let (mut file, contents) = StoreFile::open(&directory.0, 1).expect("the file");
+    let (last_index, _) = contents.entries.last().expect("entries");
+    let batch = WriteBatch {
         ticket: 1,
         values: vec![
             ("hard".to_owned(), Some(vec![7, 8, 9])),
             ("proven".to_owned(), None),
         ],
-        drop_entries_to: Some(last - 1),
-        entries: vec![(last + 1, b"next".to_vec())],
+        drop_entries_to: Some(last_index - 1),
+        entries: vec![(last_index + 1, b"next".to_vec())],
     };
-    file.write(&[write]).expect("written");
+    file.write(&[batch]).expect("written");
     drop(file);
-    assert_golden("fixture_written_on", &loaded_text(&folder));
+    assert_golden("fixture_after_write", &contents_text(&directory));
 }
 
 #[test]
 fn rows_of_a_new_file() {
-    let folder = Folder::new("new");
-    let (mut file, _) = StoreFile::open(&folder.0, 0x0123_4567_89ab_cdef).expect("a new file");
+    let directory = TempDirectory::new("new");
+    let (mut file, _) = StoreFile::open(&directory.0, 0x0123_4567_89ab_cdef).expect("a new file");
     let value = |name: &str, value: &[u8]| (name.to_owned(), Some(value.to_vec()));
     let first = WriteBatch {
         ticket: 1,
@@ -142,22 +143,23 @@
     file.write(&[first]).expect("written");
     file.write(&[second]).expect("written");
     drop(file);
-    assert_golden("new_file_rows", &rows_text(&folder));
-    assert_golden("new_file_loaded", &loaded_text(&folder));
+    assert_golden("new_file_rows", &rows_text(&directory));
+    assert_golden("new_file_loaded", &contents_text(&directory));
 }
 
 #[test]
 fn errors_and_their_advice() {
-    let what = || "what is wrong".to_owned();
+    let cause = || "what is wrong".to_owned();
     let errors = [
-        StoreError::Directory(std::io::Error::other(what())),
+        StoreError::Directory(std::io::Error::other(cause())),
         StoreError::InUse,
-        StoreError::Damaged(what()),
-        StoreError::WriteFailed(what()),
+        StoreError::Damaged(cause()),
+        StoreError::WriteFailed(cause()),
     ];
     let mut text = String::new();
     for error in errors {
-        writeln!(text, "{error}\n  advice: {}", error.advice()).expect("a string takes it");
+        writeln!(text, "{error}\n  advice: {}", error.advice())
+            .expect("formatting into a string succeeds");
     }
     assert_golden("error_texts", &text);
 }
@@ -169,27 +171,27 @@
         ("a wrong checksum", "hard", b"vote\0\0\0\0"),
         // Format 2, with the checksum of that row.
         (
-            "another form",
+            "another format",
             "form",
             b"\x00\x00\x00\x00\x00\x00\x00\x02\xce\x08\x3f\x03",
         ),
     ];
     let mut text = String::new();
     for (label, name, bytes) in cases {
-        let folder = Folder::with_fixture("damage");
-        let file = Database::open(folder.0.join(FILE)).expect("a database");
-        let write = file.begin_write().expect("a writing");
+        let directory = TempDirectory::with_fixture("damage");
+        let file = Database::open(directory.0.join(FILE)).expect("a database");
+        let transaction = file.begin_write().expect("a write transaction");
         {
-            let mut values = write.open_table(VALUES).expect("the values");
+            let mut values = transaction.open_table(VALUES).expect("the values");
             values.insert(name, bytes).expect("written");
         }
-        write.commit().expect("written");
+        transaction.commit().expect("written");
         drop(file);
-        let outcome = match StoreFile::open(&folder.0, 1) {
+        let outcome = match StoreFile::open(&directory.0, 1) {
             Ok(_) => "opened".to_owned(),
             Err(error) => error.to_string(),
         };
-        writeln!(text, "{label}: {outcome}").expect("a string takes it");
+        writeln!(text, "{label}: {outcome}").expect("formatting into a string succeeds");
     }
     assert_golden("damage_texts", &text);
 }
--- a/crates/storage/tests/store.rs
+++ b/crates/storage/tests/store.rs
@@ -1,22 +1,22 @@
-//! The store returns what was reported as durable, and never anything else.
+//! A store returns what it reported as durable, and nothing that was never written.
 
 use marbledeck_storage::{CompletionEvent, Store, StoreError, StoreFile, WriteBatch};
 use std::io::Read;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
 
-struct Folder(PathBuf);
+struct TempDirectory(PathBuf);
 
-impl Folder {
+impl TempDirectory {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("marbledeck-storage-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        Folder(path)
+        TempDirectory(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -30,9 +30,9 @@
 
 #[test]
 fn written_values_and_entries_survive_a_restart() {
-    let folder = Folder::new("restart");
-    let (mut file, loaded) = StoreFile::open(&folder.0, 77).expect("new");
-    assert_eq!((loaded.store_number, loaded.entries.len()), (77, 0));
+    let directory = TempDirectory::new("restart");
+    let (mut file, contents) = StoreFile::open(&directory.0, 77).expect("a new store");
+    assert_eq!((contents.store_number, contents.entries.len()), (77, 0));
     let value = |name: &str, value: &[u8]| (name.to_owned(), Some(value.to_vec()));
     file.write(&[WriteBatch {
         ticket: 1,
@@ -41,7 +41,7 @@
         ..WriteBatch::default()
     }])
     .expect("written");
-    // A later leader's entries replace the end; a snapshot drops the beginning.
+    // A later leader's entries replace the end of the log; a snapshot drops its beginning.
     file.write(&[WriteBatch {
         entries: vec![(6, b"new".to_vec())],
         ..WriteBatch::default()
@@ -54,20 +54,20 @@
     }])
     .expect("written");
     drop(file);
-    let (_, loaded) = StoreFile::open(&folder.0, 5).expect("there");
-    assert_eq!(loaded.store_number, 77);
-    assert_eq!(loaded.values, [("hard".to_owned(), b"b".to_vec())]);
-    let indexes: Vec<u64> = loaded.entries.iter().map(|(n, _)| *n).collect();
+    let (_, contents) = StoreFile::open(&directory.0, 5).expect("an existing store");
+    assert_eq!(contents.store_number, 77);
+    assert_eq!(contents.values, [("hard".to_owned(), b"b".to_vec())]);
+    let indexes: Vec<u64> = contents.entries.iter().map(|(n, _)| *n).collect();
     assert_eq!(indexes, [4, 5, 6]);
-    assert_eq!(loaded.entries[2].1, b"new");
+    assert_eq!(contents.entries[2].1, b"new");
 }
 
-/// A file that is cut or has a flipped byte, at many places: where it can be opened, it holds what was written, or less by
-/// complete writes, and never anything else.
+/// A file is truncated, or has a flipped bit, at many offsets. Where it can still be opened, it holds only entries that
+/// were written.
 #[test]
-fn a_damaged_file_invents_nothing() {
-    let folder = Folder::new("damaged");
-    let (mut file, _) = StoreFile::open(&folder.0, 1).expect("new");
+fn a_damaged_file_yields_only_written_entries() {
+    let directory = TempDirectory::new("damaged");
+    let (mut file, _) = StoreFile::open(&directory.0, 1).expect("a new store");
     for n in 1..=8 {
         file.write(&[WriteBatch {
             entries: entries(n, n),
@@ -76,36 +76,39 @@
         .expect("written");
     }
     drop(file);
-    let path = folder.0.join("agreement.redb");
-    let whole = std::fs::read(&path).expect("there");
-    let (mut refused, mut opened) = (0, 0);
-    let places: Vec<usize> = (0..whole.len()).step_by(whole.len() / 60).collect();
-    for cut in [true, false] {
-        for &at in &places {
-            let mut bytes = whole.clone();
-            if cut {
-                bytes.truncate(at);
+    let path = directory.0.join("agreement.redb");
+    let intact = std::fs::read(&path).expect("the file");
+    let (mut rejected, mut opened) = (0, 0);
+    let offsets: Vec<usize> = (0..intact.len()).step_by(intact.len() / 60).collect();
+    for truncate in [true, false] {
+        for &offset in &offsets {
+            let mut bytes = intact.clone();
+            if truncate {
+                bytes.truncate(offset);
             } else {
-                bytes[at] ^= 0x10;
+                bytes[offset] ^= 0x10;
             }
-            // An empty file counts as a new store with another number, by which the other voters recognise the loss.
+            // An empty file is opened as a new store with another number, by which the other voters recognise the loss.
             std::fs::write(&path, &bytes).expect("written");
-            match StoreFile::open(&folder.0, 999) {
-                Ok((_, loaded)) => {
+            match StoreFile::open(&directory.0, 999) {
+                Ok((_, contents)) => {
                     opened += 1;
-                    let said: Vec<_> = loaded
+                    let unexpected: Vec<_> = contents
                         .entries
                         .iter()
                         .filter(|entry| !entries(1, 8).contains(entry))
                         .collect();
-                    assert!(said.is_empty(), "at {at}: {said:?}");
                     assert!(
-                        loaded.store_number == 1 || loaded.entries.is_empty(),
-                        "at {at}"
+                        unexpected.is_empty(),
+                        "offset {offset}: never written: {unexpected:?}"
+                    );
+                    assert!(
+                        contents.store_number == 1 || contents.entries.is_empty(),
+                        "offset {offset}"
                     );
                 }
                 Err(e) => {
-                    refused += 1;
+                    rejected += 1;
                     assert!(
                         matches!(e, StoreError::Damaged(_) | StoreError::Directory(_)),
                         "{e}"
@@ -116,16 +119,16 @@
         }
     }
     assert!(
-        refused > 0 && opened > 0,
-        "{refused} refused, {opened} opened"
+        rejected > 0 && opened > 0,
+        "{rejected} rejected, {opened} opened"
     );
 }
 
 #[test]
-fn completion_events_come_in_order_and_wake_the_loop() {
-    let folder = Folder::new("thread");
-    let (mut out, pipe) = UnixStream::pair().expect("a pipe");
-    let (store, _) = Store::open(&folder.0, 1, pipe).expect("new");
+fn completion_events_arrive_in_order_and_wake_the_event_loop() {
+    let directory = TempDirectory::new("thread");
+    let (mut wake_reader, wake_pipe) = UnixStream::pair().expect("a pipe");
+    let (store, _) = Store::open(&directory.0, 1, wake_pipe).expect("a new store");
     for ticket in 1..=50 {
         store
             .submit(WriteBatch {
@@ -133,30 +136,30 @@
                 entries: entries(ticket, ticket),
                 ..WriteBatch::default()
             })
-            .expect("the queue has room");
+            .expect("the queue is not full");
     }
     let (mut last, mut byte) = (0, [0; 1]);
     while last < 50 {
-        out.read_exact(&mut byte).expect("a byte");
-        for done in store.take_events() {
-            let CompletionEvent::Persisted(ticket) = done else {
-                panic!("{done:?}");
+        wake_reader.read_exact(&mut byte).expect("a byte");
+        for event in store.take_events() {
+            let CompletionEvent::Persisted(ticket) = event else {
+                panic!("unexpected event {event:?}");
             };
             assert!(ticket > last);
             last = ticket;
         }
     }
     drop(store);
-    let (_, loaded) = StoreFile::open(&folder.0, 1).expect("there");
-    assert_eq!(loaded.entries.len(), 50);
+    let (_, contents) = StoreFile::open(&directory.0, 1).expect("an existing store");
+    assert_eq!(contents.entries.len(), 50);
 }
 
 #[test]
-fn two_processes_do_not_share_a_store() {
-    let folder = Folder::new("shared");
-    let (_first, _) = StoreFile::open(&folder.0, 1).expect("new");
+fn an_open_store_cannot_be_opened_again() {
+    let directory = TempDirectory::new("shared");
+    let (_first, _) = StoreFile::open(&directory.0, 1).expect("a new store");
     assert!(matches!(
-        StoreFile::open(&folder.0, 2),
+        StoreFile::open(&directory.0, 2),
         Err(StoreError::InUse)
     ));
 }
