--- a/crates/consensus/tests/fleet/changes.rs
+++ b/crates/consensus/tests/fleet/changes.rs
@@ -1,6 +1,6 @@
-//! Changes of records, and histories of a fleet under faults.
+//! Changes of records, and simulations of a fleet under random faults.
 
-use crate::world::{no_faults, World, ALL_FAULTS, LONGEST, STEP, TERMS};
+use crate::simulation::{no_faults, Simulation, ALL_FAULTS, LONGEST_RUN_US, STEP_US, TERMS};
 use marbledeck_consensus::{Change, Rates, RecordBody};
 use marbledeck_licensing::Pool;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
     Some(RecordBody::Pool(Pool {
         seats,
         guaranteed: BTreeMap::new(),
-        longest_run_ms: LONGEST / 1000,
+        longest_run_ms: LONGEST_RUN_US / 1000,
     }))
 }
 
@@ -31,73 +31,74 @@
     }
 }
 
-pub fn rates(of: f64) -> Option<RecordBody> {
+pub fn rates(rate: f64) -> Option<RecordBody> {
     Some(RecordBody::Rates(Rates {
-        per_s: [("au".to_owned(), of)].into(),
+        per_s: [("au".to_owned(), rate)].into(),
     }))
 }
 
-/// A second's changes: rates, and a list of which no two versions may act at a time.
-pub fn change_some(world: &mut World) {
-    let Some(book) = world.newest() else {
+/// Requests one random change: of the rates, or of the exclusive list of workers. The first change creates the pool.
+pub fn request_random_change(sim: &mut Simulation) {
+    let Some(state) = sim.newest_state() else {
         return;
     };
-    let (r, o, p) = (
-        book.version("settings/rates"),
-        book.version("workers/out"),
-        book.version("seats/codec"),
+    let (rates_version, out_version, pool_version) = (
+        state.version("settings/rates"),
+        state.version("workers/out"),
+        state.version("seats/codec"),
     );
-    let n = world.rng.below(world.nodes.len() as u64) as usize;
-    let seats = world.pool;
-    let out = Some(RecordBody::OutOfService([format!("w{o}")].into()));
-    let change = match (p, world.rng.chance(0.5)) {
+    let node = sim.rng.below(sim.nodes.len() as u64) as usize;
+    let seats = sim.pool_seats;
+    let out = Some(RecordBody::OutOfService([format!("w{out_version}")].into()));
+    let change = match (pool_version, sim.rng.chance(0.5)) {
         (0, _) => put(
             &[("seats/codec", 0)],
             vec![("seats/codec", pool(seats))],
             &[],
         ),
         (_, true) => put(
-            &[("settings/rates", r)],
-            vec![("settings/rates", rates(r as f64))],
+            &[("settings/rates", rates_version)],
+            vec![("settings/rates", rates(rates_version as f64))],
             &[],
         ),
         (_, false) => put(
-            &[("workers/out", o)],
+            &[("workers/out", out_version)],
             vec![("workers/out", out)],
             &["workers/out"],
         ),
     };
-    world.change(n, change);
+    sim.request_change(node, change);
 }
 
-pub fn history(seed: u64, nodes: usize, seconds: u64) -> World {
-    let mut world = World::new(seed, 5, nodes);
-    world.run(5_000_000, no_faults(), change_some);
-    world.run(seconds * 1_000_000, ALL_FAULTS, change_some);
-    let overlap = TERMS.max_overlap().0 as i64 + STEP as i64;
+/// Simulates a fleet under faults and checks how long different versions of a record were active at the same time.
+pub fn run_with_faults(seed: u64, nodes: usize, seconds: u64) -> Simulation {
+    let mut sim = Simulation::new(seed, 5, nodes);
+    sim.run(5_000_000, no_faults(), request_random_change);
+    sim.run(seconds * 1_000_000, ALL_FAULTS, request_random_change);
+    let max_overlap = TERMS.max_overlap().0 as i64 + STEP_US as i64;
     for name in ["settings/rates", "seats/codec"] {
-        let worst = world.acts.worst(name);
+        let longest_overlap = sim.active_periods.longest_overlap(name);
         assert!(
-            worst <= overlap,
-            "seed {seed}: {name}: {worst} us of overlap, {overlap} are allowed"
+            longest_overlap <= max_overlap,
+            "seed {seed}: {name}: versions overlapped by {longest_overlap} us, {max_overlap} are allowed"
         );
     }
-    let worst = world.acts.worst("workers/out");
+    let longest_overlap = sim.active_periods.longest_overlap("workers/out");
     assert!(
-        worst < 0,
-        "seed {seed}: versions of an exclusive record overlapped by {worst} us"
+        longest_overlap < 0,
+        "seed {seed}: versions of an exclusive record overlapped by {longest_overlap} us"
     );
-    world
+    sim
 }
 
-/// Histories of faults: the first seed, and how many, may be set; a long run takes 1,000.
+/// The seeds to simulate. The environment may set the first one and their number; a long run takes 1,000.
 pub fn seeds() -> std::ops::Range<u64> {
-    let number = |name: &str, or| {
+    let env_number = |name: &str, default| {
         std::env::var(name)
             .ok()
             .and_then(|n| n.parse().ok())
-            .unwrap_or(or)
+            .unwrap_or(default)
     };
-    let first = number("MARBLEDECK_SEED", 1);
-    first..first + number("MARBLEDECK_HISTORIES", 24)
+    let first = env_number("MARBLEDECK_SEED", 1);
+    first..first + env_number("MARBLEDECK_HISTORIES", 24)
 }
--- a/crates/consensus/tests/fleet/main.rs
+++ b/crates/consensus/tests/fleet/main.rs
@@ -1,10 +1,11 @@
-//! A fleet in virtual time: voters that are killed, cut off, and run out of disk; nodes that are stopped, restarted and
-//! whose clocks run at different rates. One checker looks at every node at every step. A failure prints its seed.
+//! Simulation of a fleet in virtual time: voters are killed, cut off and run out of disk space; nodes are paused and
+//! restarted, and their clocks run at different rates. The checks look at every node at every step. A failure prints its
+//! seed.
 
 mod changes;
-mod world;
+mod simulation;
 
-use changes::{change_some, history, put, rates, seeds};
+use changes::{put, rates, request_random_change, run_with_faults, seeds};
 use marbledeck_consensus::wire::ReadResponse;
 use marbledeck_consensus::{
     Change, Command, LeasedReader, Operation, OutgoingMessage, PersistedState, ReadTicket,
@@ -12,60 +13,66 @@
 };
 use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::LicenceId;
-use world::{no_faults, Faults, Node, Seat, World, ALL_FAULTS, LONGEST, STEP, TERMS};
+use simulation::{
+    no_faults, Faults, Node, Simulation, VoterSlot, ALL_FAULTS, LONGEST_RUN_US, STEP_US, TERMS,
+};
 
 #[test]
-fn no_two_versions_act_for_longer_than_t() {
-    let (mut done, mut grants) = (0, 0);
+fn no_two_versions_are_active_for_longer_than_the_maximum_overlap() {
+    let (mut changes_applied, mut grants) = (0, 0);
     for seed in seeds() {
         println!("seed {seed}");
-        let world = history(seed, 30, 40);
-        done += world.done;
-        grants += world.grants;
+        let sim = run_with_faults(seed, 30, 40);
+        changes_applied += sim.changes_applied;
+        grants += sim.grants;
     }
-    // Else nothing was tried.
+    // Otherwise the simulations tested nothing.
     assert!(
-        done >= 24 && grants >= 24 * 20,
-        "{done} changes, {grants} grants"
+        changes_applied >= 24 && grants >= 24 * 20,
+        "{changes_applied} changes, {grants} grants"
     );
 }
 
 #[test]
-fn a_whole_fleet_of_300() {
-    let world = history(7, 300, 20);
-    assert!(world.done > 3, "{} changes", world.done);
-    // One read index a voter and tick, whoever asks.
-    assert!(world.asked > 300 * 15 * 3, "{} questions", world.asked);
+fn a_fleet_of_300_nodes_under_faults() {
+    let sim = run_with_faults(7, 300, 20);
+    assert!(sim.changes_applied > 3, "{} changes", sim.changes_applied);
+    // Voters serve so many reads because each sends at most one read index request per tick for all of them.
+    assert!(
+        sim.reads_sent > 300 * 15 * 3,
+        "{} read requests",
+        sim.reads_sent
+    );
 }
 
 #[test]
-fn without_a_majority_the_fallbacks_hold() {
-    let mut world = World::new(3, 3, 6);
-    world.run(6_000_000, no_faults(), change_some);
-    // Elections take random times: the test begins once every node has a lease.
-    let is_leased = |world: &World| {
-        let mut nodes = world.nodes.iter();
-        nodes.all(|node| node.reader.has_lease(node.now(world.at)))
+fn without_a_quorum_leases_expire_and_no_seats_are_granted() {
+    let mut sim = Simulation::new(3, 3, 6);
+    sim.run(6_000_000, no_faults(), request_random_change);
+    // Elections take random times, so the test begins once every node has a lease.
+    let all_have_leases = |sim: &Simulation| {
+        let mut nodes = sim.nodes.iter();
+        nodes.all(|node| node.reader.has_lease(node.local_time(sim.time)))
     };
-    while !is_leased(&world) && world.at < 16_000_000 {
-        let at = world.at;
-        world.run(at + 100_000, no_faults(), |_| {});
+    while !all_have_leases(&sim) && sim.time < 16_000_000 {
+        let time = sim.time;
+        sim.run(time + 100_000, no_faults(), |_| {});
     }
-    assert!(is_leased(&world));
+    assert!(all_have_leases(&sim));
     for v in [0, 1] {
-        world.seats[v].voter = None;
+        sim.slots[v].voter = None;
     }
-    let before = world.grants;
-    let cut = world.at;
-    // No killed voter may come back while the lease runs out.
+    let grants_before = sim.grants;
+    let killed_at = sim.time;
+    // No killed voter may be restarted before the leases expire.
     let without_restarts = Faults {
-        restarts: 0.0,
+        restart_voter: 0.0,
         ..no_faults()
     };
-    world.run(cut + 1_200_000, without_restarts, |_| {});
-    let granted = world.grants;
-    for node in &mut world.nodes {
-        let now = node.now(world.at);
+    sim.run(killed_at + 1_200_000, without_restarts, |_| {});
+    let grants = sim.grants;
+    for node in &mut sim.nodes {
+        let now = node.local_time(sim.time);
         assert!(!node.reader.has_lease(now));
         assert!(matches!(
             node.reader.validity(now, "settings/rates"),
@@ -73,112 +80,132 @@
         ));
         assert!(node.allocator.acquire(now, &[LicenceId(0)], 0).is_err());
     }
-    assert!(granted > 0 || before > 0);
-    // A majority again, with what it had written: all goes on.
+    assert!(grants > 0 || grants_before > 0);
+    // With a quorum again, restarted from its persisted state, all nodes get leases again.
     for v in [0, 1] {
-        let durable = world.seats[v].disk.durable.clone();
-        world.seats[v].boot += 1;
-        world.seats[v].voter =
-            Some(Voter::new(v as u64 + 1, &[1, 2, 3], 9, &durable).expect("a voter"));
+        let persisted = sim.slots[v].disk.persisted.clone();
+        sim.slots[v].incarnation += 1;
+        sim.slots[v].voter =
+            Some(Voter::new(v as u64 + 1, &[1, 2, 3], 9, &persisted).expect("a voter"));
     }
-    let is_led = |world: &World| {
-        let mut voters = world.seats.iter().filter_map(|seat| seat.voter.as_ref());
+    let has_leader = |sim: &Simulation| {
+        let mut voters = sim.slots.iter().filter_map(|slot| slot.voter.as_ref());
         voters.any(Voter::is_leader)
     };
-    let restarted_at = world.at;
-    while !is_led(&world) && world.at < restarted_at + 10_000_000 {
-        let at = world.at;
-        world.run(at + 100_000, no_faults(), |_| {});
+    let restarted_at = sim.time;
+    while !has_leader(&sim) && sim.time < restarted_at + 10_000_000 {
+        let time = sim.time;
+        sim.run(time + 100_000, no_faults(), |_| {});
     }
-    let at = world.at;
-    world.run(at + 2_000_000, no_faults(), |_| {});
-    assert!(is_leased(&world), "two seconds after the election");
+    let time = sim.time;
+    sim.run(time + 2_000_000, no_faults(), |_| {});
+    assert!(
+        all_have_leases(&sim),
+        "a node has no lease two seconds after the election"
+    );
 }
 
 #[test]
-fn a_dead_nodes_seats_come_back_only_after_its_calls() {
-    let mut world = World::new(5, 3, 4);
-    world.run(8_000_000, no_faults(), change_some);
-    world.run(14_000_000, no_faults(), |_| {});
-    let held = |world: &World, n: u32| -> u32 {
-        let book = world.newest().expect("a book");
-        book.seats()
+fn seats_of_a_dead_node_are_freed_only_after_its_attempts() {
+    let mut sim = Simulation::new(5, 3, 4);
+    sim.run(8_000_000, no_faults(), request_random_change);
+    sim.run(14_000_000, no_faults(), |_| {});
+    let held = |sim: &Simulation, n: u32| -> u32 {
+        let state = sim.newest_state().expect("a voter");
+        state
+            .seats()
             .held_by(n, 1)
             .iter()
             .map(|held| held.seats)
             .sum()
     };
-    let n = (0..4).max_by_key(|n| held(&world, *n)).expect("four");
-    assert!(held(&world, n) > 0, "nobody holds a seat");
-    let taken = world.newest().expect("a book").seats().taken("codec");
-    world.nodes[n as usize].up = false;
-    let died = world.at;
-    while held(&world, n) > 0 {
-        let at = world.at;
-        world.run(at + STEP, no_faults(), |_| {});
+    let n = (0..4).max_by_key(|n| held(&sim, *n)).expect("four nodes");
+    assert!(held(&sim, n) > 0, "no node holds a seat");
+    let taken = sim.newest_state().expect("a voter").seats().taken("codec");
+    sim.nodes[n as usize].up = false;
+    let died = sim.time;
+    while held(&sim, n) > 0 {
+        let time = sim.time;
+        sim.run(time + STEP_US, no_faults(), |_| {});
         assert!(
-            world.at < died + 10_000_000,
-            "its block was never reclaimed"
+            sim.time < died + 10_000_000,
+            "its seats were never reclaimed"
         );
     }
-    // Draining seats are still taken.
-    assert!(world.newest().expect("a book").seats().draining().count() > 0);
-    let reclaimed = world.at;
-    while world.newest().expect("a book").seats().draining().count() > 0 {
-        let at = world.at;
-        world.run(at + STEP, no_faults(), |_| {});
+    // Reclaimed seats drain before they are free.
+    assert!(
+        sim.newest_state()
+            .expect("a voter")
+            .seats()
+            .draining()
+            .count()
+            > 0
+    );
+    let reclaimed = sim.time;
+    while sim
+        .newest_state()
+        .expect("a voter")
+        .seats()
+        .draining()
+        .count()
+        > 0
+    {
+        let time = sim.time;
+        sim.run(time + STEP_US, no_faults(), |_| {});
         assert!(
-            world.at < reclaimed + 10_000_000,
-            "its seats never came back"
+            sim.time < reclaimed + 10_000_000,
+            "its seats were never freed"
         );
     }
     assert!(
-        world.at - reclaimed >= TERMS.max_overlap().0 + LONGEST,
-        "{} us",
-        world.at - reclaimed
+        sim.time - reclaimed >= TERMS.max_overlap().0 + LONGEST_RUN_US,
+        "its seats were freed after {} us",
+        sim.time - reclaimed
     );
     assert!(taken > 0);
 }
 
-/// The messages that promise anything wait for the disk.
+/// A voter sends votes and acknowledgements only after the state behind them is durable, and nothing while its disk is
+/// full.
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "to be split by kind of message or action"
-)]
-fn nothing_leaves_before_it_is_durable() {
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
+fn no_message_is_sent_before_its_state_is_durable() {
     let ids = [1, 2, 3];
     let mut a = Voter::new(1, &ids, 1, &PersistedState::default()).expect("a voter");
     let mut b = Voter::new(2, &ids, 1, &PersistedState::default()).expect("a voter");
-    let mut promised = 0;
-    // a stands for election; b's vote is not said before it is written.
+    let mut held_back = 0;
+    // a starts an election; b must not send its vote before the vote is persisted.
     let mut to_b = Vec::new();
     for _ in 0..40 {
         a.tick();
-        let work = a.poll_effects();
-        work.persist_requests
+        let effects = a.poll_effects();
+        effects
+            .persist_requests
             .iter()
-            .for_each(|save| a.handle_persisted(save.ticket));
-        to_b.extend(work.messages);
+            .for_each(|request| a.handle_persisted(request.ticket));
+        to_b.extend(effects.messages);
         to_b.extend(a.poll_effects().messages);
         for OutgoingMessage { to, bytes } in to_b.drain(..).filter(|message| message.to == 2) {
             assert_eq!(to, 2);
             b.handle_message(1, &bytes).expect("a's message");
         }
-        let work = b.poll_effects();
-        let tickets: Vec<u64> = work
+        let effects = b.poll_effects();
+        let tickets: Vec<u64> = effects
             .persist_requests
             .iter()
-            .map(|save| save.ticket)
+            .map(|request| request.ticket)
             .collect();
-        let held = work
+        let needs_persisting = effects
             .persist_requests
             .iter()
-            .any(|save| save.hard_state.is_some() || !save.entries.is_empty());
-        let early: Vec<_> = work.messages.clone();
-        if held {
-            promised += 1;
-            assert!(early.is_empty(), "b has promised what it has not written");
+            .any(|request| request.hard_state.is_some() || !request.entries.is_empty());
+        let early: Vec<_> = effects.messages.clone();
+        if needs_persisting {
+            held_back += 1;
+            assert!(
+                early.is_empty(),
+                "b has sent a message before its state was durable"
+            );
         }
         tickets
             .iter()
@@ -191,21 +218,24 @@
             a.handle_message(2, &bytes).expect("b's message");
         }
     }
-    assert!(promised > 0 && a.is_leader(), "{promised} promises");
-    // Its disk takes nothing from now on: it leads no more, and says nothing, until a write gets through.
+    assert!(
+        held_back > 0 && a.is_leader(),
+        "{held_back} rounds with a persist request"
+    );
+    // From now on a's disk is full: a does not act as the leader and sends nothing until a write succeeds.
     a.suspend();
     let mut last = 0;
     for _ in 0..20 {
         a.tick();
-        let work = a.poll_effects();
+        let effects = a.poll_effects();
         assert!(
-            work.messages.is_empty() && !a.is_leader(),
-            "it speaks with a full disk"
+            effects.messages.is_empty() && !a.is_leader(),
+            "a leads or sends messages with a full disk"
         );
-        last = work
+        last = effects
             .persist_requests
             .last()
-            .map_or(last, |save| save.ticket);
+            .map_or(last, |request| request.ticket);
     }
     a.propose(&Command {
         node: 1,
@@ -213,100 +243,106 @@
         number: 1,
         operation: Operation::Change(Change::default()),
     });
-    let saves = a.poll_effects().persist_requests;
-    a.handle_persisted(saves.last().map_or(last, |save| save.ticket));
+    let requests = a.poll_effects().persist_requests;
+    a.handle_persisted(requests.last().map_or(last, |request| request.ticket));
     a.tick();
     a.tick();
     assert!(
         !a.poll_effects().messages.is_empty(),
-        "it is silent for good"
+        "a sends nothing after its disk has recovered"
     );
 }
 
-/// A leader whose disk is full gives way, and what was agreed goes on without it.
+/// A leader whose disk is full loses the leadership, and changes are applied without it. It catches up once the disk has
+/// free space.
 #[test]
-fn a_disk_that_is_full_promises_nothing() {
-    let mut world = World::new(11, 3, 6);
-    world.run(6_000_000, no_faults(), change_some);
-    let leader = world
-        .seats
+fn a_leader_with_a_full_disk_is_replaced() {
+    let mut sim = Simulation::new(11, 3, 6);
+    sim.run(6_000_000, no_faults(), request_random_change);
+    let leader = sim
+        .slots
         .iter()
-        .position(|seat| seat.voter.as_ref().is_some_and(Voter::is_leader))
+        .position(|slot| slot.voter.as_ref().is_some_and(Voter::is_leader))
         .expect("a leader");
-    world.seats[leader].disk.full = true;
-    let before = world.done;
-    // The faults' round would end it: none is played here.
-    while world.at < 14_000_000 {
-        let at = world.at;
-        world.seats[leader].disk.full = true;
-        world.run(at + 500_000, no_faults(), change_some);
+    sim.slots[leader].disk.full = true;
+    let changes_before = sim.changes_applied;
+    // Each round of recoveries may free the disk, so it is filled again before every run.
+    while sim.time < 14_000_000 {
+        let time = sim.time;
+        sim.slots[leader].disk.full = true;
+        sim.run(time + 500_000, no_faults(), request_random_change);
     }
-    assert!(world.done > before, "nothing was agreed without it");
-    let book = world.newest().expect("a book").revision();
-    world.seats[leader].disk.full = false;
-    world.run(20_000_000, no_faults(), |_| {});
-    let own = world.seats[leader]
+    assert!(
+        sim.changes_applied > changes_before,
+        "no change was applied without it"
+    );
+    let revision = sim.newest_state().expect("a voter").revision();
+    sim.slots[leader].disk.full = false;
+    sim.run(20_000_000, no_faults(), |_| {});
+    let own_revision = sim.slots[leader]
         .voter
         .as_ref()
         .expect("it runs")
         .state()
         .revision();
     assert!(
-        own >= book,
-        "it takes part again by itself: {own} of {book}"
+        own_revision >= revision,
+        "it did not catch up: revision {own_revision} of {revision}"
     );
 }
 
-/// An answer of an earlier revision, or to another question, is no reading.
+/// A response of an earlier revision, or to another request, is rejected and renews no lease.
 #[test]
-fn an_observer_never_goes_back() {
+fn a_reader_rejects_outdated_responses() {
     let mut reader = LeasedReader::new(TERMS);
     let first = reader.begin_read(Micros(0)).request_id;
     let second = reader.begin_read(Micros(10)).request_id;
-    let answer = |question, revision| ReadResponse {
-        request_id: question,
+    let response = |request_id, revision| ReadResponse {
+        request_id,
         revision,
         ..ReadResponse::default()
     };
-    assert!(!reader.apply_response(Micros(20), &answer(first, 5)));
-    assert!(reader.apply_response(Micros(20), &answer(second, 5)));
+    assert!(!reader.apply_response(Micros(20), &response(first, 5)));
+    assert!(reader.apply_response(Micros(20), &response(second, 5)));
     let ReadTicket {
         request_id: third,
-        known_revision: known,
+        known_revision,
     } = reader.begin_read(Micros(500_000));
-    assert_eq!(known, 5);
-    assert!(!reader.apply_response(Micros(500_010), &answer(third, 4)));
+    assert_eq!(known_revision, 5);
+    assert!(!reader.apply_response(Micros(500_010), &response(third, 4)));
     assert_eq!(reader.lease_expiry(), Micros(1_000_010));
-    // Counted from the question, however late the answer is.
-    assert!(reader.apply_response(Micros(900_000), &answer(third, 6)));
+    // The lease counts from the request, however late the response is.
+    assert!(reader.apply_response(Micros(900_000), &response(third, 6)));
     assert_eq!(reader.lease_expiry(), Micros(1_500_000));
 }
 
-/// Figures for `docs/benchmarks.md`, not a test: `cargo test --release -p marbledeck-consensus --test fleet figures --
-/// --ignored --nocapture`.
+/// Prints the figures of `docs/benchmarks.md`; not a test. Run: `cargo test --release -p marbledeck-consensus --test fleet
+/// figures -- --ignored --nocapture`.
 #[test]
-#[ignore = "figures"]
-#[expect(
-    clippy::too_many_lines,
-    reason = "to be split by kind of message or action"
-)]
-fn figures() {
+#[ignore = "prints benchmark figures"]
+#[expect(clippy::too_many_lines, reason = "one section per figure")]
+fn benchmark_figures() {
     for nodes in [10, 100, 300] {
-        let mut world = World::new(1, 5, nodes);
-        world.run(6_000_000, no_faults(), change_some);
-        let (sent, asked) = (world.sent.clone(), world.asked);
-        let leads = |seat: &Seat| seat.voter.as_ref().is_some_and(Voter::is_leader);
-        let leader = 1 + world.seats.iter().position(leads).expect("a leader") as u64;
-        world.run(16_000_000, no_faults(), |_| {});
-        let now_sent = world.sent.clone();
-        let rate =
-            |id: u64| (now_sent.get(&id).unwrap_or(&0) - sent.get(&id).unwrap_or(&0)) as f64 / 10.0;
-        let others: f64 = (1..=5).filter(|v| *v != leader).map(rate).sum::<f64>() / 4.0;
-        let each = (world.asked - asked) as f64 / 10.0 / nodes as f64;
-        // A change, and when the last node acts on it.
-        let version = world.newest().expect("a book").version("settings/rates");
-        let at = world.at;
-        world.change(
+        let mut sim = Simulation::new(1, 5, nodes);
+        sim.run(6_000_000, no_faults(), request_random_change);
+        let (messages_before, reads_before) = (sim.messages_sent.clone(), sim.reads_sent);
+        let is_leader = |slot: &VoterSlot| slot.voter.as_ref().is_some_and(Voter::is_leader);
+        let leader = 1 + sim.slots.iter().position(is_leader).expect("a leader") as u64;
+        sim.run(16_000_000, no_faults(), |_| {});
+        let messages_after = sim.messages_sent.clone();
+        let rate = |id: u64| {
+            (messages_after.get(&id).unwrap_or(&0) - messages_before.get(&id).unwrap_or(&0)) as f64
+                / 10.0
+        };
+        let follower_rate: f64 = (1..=5).filter(|v| *v != leader).map(rate).sum::<f64>() / 4.0;
+        let read_rate = (sim.reads_sent - reads_before) as f64 / 10.0 / nodes as f64;
+        // The time from a change to when the last node acts on it.
+        let version = sim
+            .newest_state()
+            .expect("a voter")
+            .version("settings/rates");
+        let changed_at = sim.time;
+        sim.request_change(
             0,
             put(
                 &[("settings/rates", version)],
@@ -314,46 +350,46 @@
                 &[],
             ),
         );
-        let acts = |node: &Node, now| match node.reader.validity(now, "settings/rates") {
+        let is_active = |node: &Node, now| match node.reader.validity(now, "settings/rates") {
             RecordValidity::Active(record) => record.version > version,
             _ => false,
         };
-        while !world
+        while !sim
             .nodes
             .iter()
-            .all(|node| acts(node, node.now(world.at)))
+            .all(|node| is_active(node, node.local_time(sim.time)))
         {
-            let at = world.at;
-            world.run(at + STEP, no_faults(), |_| {});
+            let time = sim.time;
+            sim.run(time + STEP_US, no_faults(), |_| {});
         }
         println!(
-            "{nodes} nodes: the leader sends {:.0} messages a second, each other voter {others:.0}, each node asks {each:.1}; \
-             a change is acted on by all after {} ms",
+            "{nodes} nodes: the leader sends {:.0} messages a second, each other voter {follower_rate:.0}, \
+             each node {read_rate:.1} read requests; all nodes act on a change after {} ms",
             rate(leader),
-            (world.at - at) / 1000
+            (sim.time - changed_at) / 1000
         );
     }
-    for (name, greedy) in [("even", false), ("moving", true)] {
-        let mut world = World::new(2, 5, 30);
-        world.greedy = greedy;
-        world.run(10_000_000, no_faults(), change_some);
-        world.in_use = 0;
-        world.run(70_000_000, no_faults(), |_| {});
-        let steps = 60_000_000 / STEP;
+    for (name, shifting_demand) in [("even", false), ("shifting", true)] {
+        let mut sim = Simulation::new(2, 5, 30);
+        sim.shifting_demand = shifting_demand;
+        sim.run(10_000_000, no_faults(), request_random_change);
+        sim.used_seat_steps = 0;
+        sim.run(70_000_000, no_faults(), |_| {});
+        let steps = 60_000_000 / STEP_US;
         println!(
-            "pool of 20, {name} demand of 30 nodes: {:.2} of it in use",
-            world.in_use as f64 / steps as f64 / 20.0
+            "pool of 20, {name} demand of 30 nodes: {:.2} of the seats in use",
+            sim.used_seat_steps as f64 / steps as f64 / 20.0
         );
     }
-    let mut worst = i64::MIN;
+    let mut longest_overlap = i64::MIN;
     for seed in 1..=10 {
-        let mut world = World::new(seed, 5, 30);
-        world.run(40_000_000, ALL_FAULTS, change_some);
-        worst = worst.max(world.acts.worst("settings/rates"));
+        let mut sim = Simulation::new(seed, 5, 30);
+        sim.run(40_000_000, ALL_FAULTS, request_random_change);
+        longest_overlap = longest_overlap.max(sim.active_periods.longest_overlap("settings/rates"));
     }
     println!(
-        "worst overlap of two versions over 10 histories: {} ms of {} allowed",
-        worst / 1000,
+        "longest overlap of two versions over 10 seeds: {} ms of {} allowed",
+        longest_overlap / 1000,
         TERMS.max_overlap().0 / 1000
     );
 }
