--- a/crates/consensus/tests/model/state.rs
+++ b/crates/consensus/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! The state of the model: the replicated state, two nodes, and the messages between them.
+//! The state of the model: the replicated state, two nodes, and the messages in flight.
 
 use marbledeck_consensus::wire::ReadResponse;
 use marbledeck_consensus::{
@@ -9,26 +9,28 @@
 use marbledeck_licensing::{ConfirmedSeats, LedgerCommand, LicenceId, SeatAllocator};
 use std::hash::{Hash, Hasher};
 
-pub const TICK: u64 = 1_000_000;
-/// A reading holds for a tick, and a call runs for one at most.
+/// Length of a tick.
+pub const TICK_US: u64 = 1_000_000;
+/// A lease lasts one tick, and an attempt one tick at most.
 pub const TERMS: LeaseTerms = LeaseTerms {
-    duration: Micros(TICK),
+    duration: Micros(TICK_US),
     clock_drift: 0.0,
 };
-pub const RUN: u64 = 1;
-pub const SEAT: &[LicenceId] = &[LicenceId(0)];
+/// Duration of an attempt in ticks.
+pub const RUN_TICKS: u64 = 1;
+pub const LICENCE: &[LicenceId] = &[LicenceId(0)];
 
-/// By what it shows: everything of it counts.
+/// Compares and hashes a value by its `Debug` output, for types that do not implement `PartialEq` and `Hash`.
 #[derive(Clone, Debug)]
-pub struct Shown<T>(pub T);
+pub struct ByDebug<T>(pub T);
 
-impl<T: std::fmt::Debug> Hash for Shown<T> {
+impl<T: std::fmt::Debug> Hash for ByDebug<T> {
     fn hash<H: Hasher>(&self, state: &mut H) {
         format!("{:?}", self.0).hash(state);
     }
 }
 
-impl<T: std::fmt::Debug> PartialEq for Shown<T> {
+impl<T: std::fmt::Debug> PartialEq for ByDebug<T> {
     fn eq(&self, other: &Self) -> bool {
         format!("{:?}", self.0) == format!("{:?}", other.0)
     }
@@ -36,48 +38,49 @@
 
 #[derive(Clone, Debug, Hash, PartialEq)]
 pub struct Node {
-    pub reader: Shown<LeasedReader>,
-    pub allocator: Shown<SeatAllocator>,
-    pub boot: u64,
-    /// Its attempts whose end it does not know: when each was sent, and when it ends at its worker.
-    pub calls: Vec<(u64, u64)>,
+    pub reader: ByDebug<LeasedReader>,
+    pub allocator: ByDebug<SeatAllocator>,
+    pub incarnation: u64,
+    /// Its attempts whose end it has not observed: when each was sent, and when it ends at its worker.
+    pub attempts: Vec<(u64, u64)>,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq)]
-pub enum Msg {
-    Question {
+pub enum Message {
+    ReadRequest {
         node: u32,
-        boot: u64,
-        question: u64,
-        known: u64,
+        incarnation: u64,
+        request_id: u64,
+        known_revision: u64,
     },
     ReadResponse {
         node: u32,
-        boot: u64,
-        answer: Shown<ReadResponse>,
+        incarnation: u64,
+        response: ByDebug<ReadResponse>,
     },
-    Command(Shown<Command>),
+    Command(ByDebug<Command>),
 }
 
 #[derive(Clone, Debug, Hash, PartialEq)]
 pub struct State {
-    pub at: u64,
-    pub book: Shown<ReplicatedState>,
-    pub reclaimer: Shown<LeaseReclaimer>,
+    /// Virtual time in ticks.
+    pub tick: u64,
+    pub replicated: ByDebug<ReplicatedState>,
+    pub reclaimer: ByDebug<LeaseReclaimer>,
     pub nodes: Vec<Node>,
-    pub msgs: Vec<Msg>,
-    /// When the calls that run at workers end.
+    pub messages: Vec<Message>,
+    /// When each attempt that runs at a worker ends.
     pub running: Vec<u64>,
     pub crashes: u8,
-    pub leaders: u8,
+    pub leader_changes: u8,
     pub changes: u64,
-    pub asks: u8,
+    pub reads_sent: u8,
 }
 
 impl Node {
-    pub fn read(&mut self, time: Micros, answer: &ReadResponse) {
+    pub fn apply_response(&mut self, time: Micros, response: &ReadResponse) {
         let reader = &mut self.reader.0;
-        if !reader.apply_response(time, answer) {
+        if !reader.apply_response(time, response) {
             return;
         }
         let pools = match reader.validity(time, "seats/av1") {
@@ -89,24 +92,24 @@
             }
             _ => Vec::new(),
         };
-        let (until, parts) = (reader.lease_expiry(), answer.held_seats());
+        let (lease_expiry, allocations) = (reader.lease_expiry(), response.held_seats());
         self.allocator.0.apply_confirmed(&ConfirmedSeats {
-            free_seats: answer.free_seats.clone(),
-            lease_expiry: until,
-            last_applied_command: answer.last_seat_operation,
-            allocations: parts,
+            free_seats: response.free_seats.clone(),
+            lease_expiry,
+            last_applied_command: response.last_seat_operation,
+            allocations,
             pools,
         });
     }
 }
 
-pub fn node() -> Node {
-    let allocator = SeatAllocator::new(vec!["av1".into()], Vec::new(), Micros(100 * TICK));
+pub fn new_node() -> Node {
+    let allocator = SeatAllocator::new(vec!["av1".into()], Vec::new(), Micros(100 * TICK_US));
     Node {
-        reader: Shown(LeasedReader::new(TERMS)),
-        allocator: Shown(allocator),
-        boot: 1,
-        calls: Vec::new(),
+        reader: ByDebug(LeasedReader::new(TERMS)),
+        allocator: ByDebug(allocator),
+        incarnation: 1,
+        attempts: Vec::new(),
     }
 }
 
@@ -118,28 +121,31 @@
     })
 }
 
-/// Long before all that is played.
-pub fn before() -> Micros {
-    Micros(TICK)
+/// A time long before the first tick.
+pub fn initial_time() -> Micros {
+    Micros(TICK_US)
 }
 
-pub fn now(at: u64) -> Micros {
-    // Not from 0: that is a time before all others.
-    Micros((at + 10) * TICK)
+/// The time of a tick.
+pub fn time_at(tick: u64) -> Micros {
+    // Ticks are mapped to times after 0, which stands for a time before all others.
+    Micros((tick + 10) * TICK_US)
 }
 
 impl State {
-    pub fn command(&mut self, what: Operation) {
-        self.book.0.apply(&Command {
+    /// Applies a command of the leader.
+    pub fn apply_command(&mut self, operation: Operation) {
+        self.replicated.0.apply(&Command {
             node: 0,
             incarnation: 0,
             number: 0,
-            operation: what,
+            operation,
         });
     }
 
-    pub fn version(&self, node: &Node) -> Option<u64> {
-        match node.reader.0.validity(now(self.at), "workers/out") {
+    /// The version of the exclusive record that the node may act on.
+    pub fn active_version(&self, node: &Node) -> Option<u64> {
+        match node.reader.0.validity(time_at(self.tick), "workers/out") {
             RecordValidity::Active(record) => Some(record.version),
             _ => None,
         }
@@ -148,99 +154,111 @@
 
 impl State {
     pub fn tick(&mut self) {
-        self.at += 1;
-        let at = self.at;
-        self.running.retain(|end| *end > at);
+        self.tick += 1;
+        let tick = self.tick;
+        self.running.retain(|end| *end > tick);
     }
 
     /// A node sends its seat command, if it has one, and a read request.
     pub fn send_request(&mut self, n: usize) {
-        let time = now(self.at);
+        let time = time_at(self.tick);
         let node = &mut self.nodes[n];
         if let Some(numbered) = node.allocator.0.poll_command(time) {
             let command = Command {
                 node: n as u32,
-                incarnation: node.boot,
+                incarnation: node.incarnation,
                 number: numbered.number,
                 operation: Operation::Seats(numbered.command),
             };
-            self.msgs.push(Msg::Command(Shown(command)));
+            self.messages.push(Message::Command(ByDebug(command)));
         }
         let ticket = node.reader.0.begin_read(time);
-        self.msgs.push(Msg::Question {
+        self.messages.push(Message::ReadRequest {
             node: n as u32,
-            boot: node.boot,
-            question: ticket.request_id,
-            known: ticket.known_revision,
+            incarnation: node.incarnation,
+            request_id: ticket.request_id,
+            known_revision: ticket.known_revision,
         });
     }
 
-    /// A voter answers the read request that is this message.
+    /// A voter responds to the read request that is this message, from the current state.
     pub fn answer_request(&mut self, message: usize) -> Option<()> {
-        let Msg::Question {
+        let Message::ReadRequest {
             node,
-            boot,
-            question,
-            known,
-        } = self.msgs.remove(message)
+            incarnation,
+            request_id,
+            known_revision,
+        } = self.messages.remove(message)
         else {
             return None;
         };
-        let answer = ReadResponse::new(&self.book.0, node, boot, question, known);
-        self.msgs.push(Msg::ReadResponse {
+        let response = ReadResponse::new(
+            &self.replicated.0,
+            node,
+            incarnation,
+            request_id,
+            known_revision,
+        );
+        self.messages.push(Message::ReadResponse {
             node,
-            boot,
-            answer: Shown(answer),
+            incarnation,
+            response: ByDebug(response),
         });
         Some(())
     }
 
     /// A command reaches the voters, or a response its node.
     pub fn deliver(&mut self, message: usize) -> Option<()> {
-        match self.msgs.remove(message) {
-            Msg::Command(command) => drop(self.book.0.apply(&command.0)),
-            Msg::ReadResponse { node, boot, answer } => {
-                let time = now(self.at);
+        match self.messages.remove(message) {
+            Message::Command(command) => drop(self.replicated.0.apply(&command.0)),
+            Message::ReadResponse {
+                node,
+                incarnation,
+                response,
+            } => {
+                let time = time_at(self.tick);
                 let node = &mut self.nodes[node as usize];
-                if node.boot == boot {
-                    node.read(time, &answer.0);
+                if node.incarnation == incarnation {
+                    node.apply_response(time, &response.0);
                 }
             }
-            Msg::Question { .. } => return None,
+            Message::ReadRequest { .. } => return None,
         }
         Some(())
     }
 
     pub fn begin_attempt(&mut self, n: usize) {
-        let time = now(self.at);
+        let time = time_at(self.tick);
         let node = &mut self.nodes[n];
-        if node.allocator.0.acquire(time, SEAT, 0).is_ok() {
-            let end = self.at + RUN;
-            node.calls.push((self.at, end));
+        if node.allocator.0.acquire(time, LICENCE, 0).is_ok() {
+            let end = self.tick + RUN_TICKS;
+            node.attempts.push((self.tick, end));
             self.running.push(end);
         }
     }
 
-    /// A node learns that an attempt has ended, or gives it up where the end is not `known`.
-    pub fn end_attempt(&mut self, n: usize, known: bool) -> Option<()> {
-        let at = self.at;
+    /// A node learns that an attempt has ended, or gives it up if the end is not known.
+    pub fn end_attempt(&mut self, n: usize, end_is_known: bool) -> Option<()> {
+        let tick = self.tick;
         let node = &mut self.nodes[n];
-        let over = |(_, end): &(u64, u64)| !known || *end <= at;
-        let index = node.calls.iter().position(over)?;
-        let (sent, _) = node.calls.remove(index);
-        node.allocator.0.release(now(sent), SEAT, 0, known);
+        let is_over = |(_, end): &(u64, u64)| !end_is_known || *end <= tick;
+        let index = node.attempts.iter().position(is_over)?;
+        let (sent, _) = node.attempts.remove(index);
+        node.allocator
+            .0
+            .release(time_at(sent), LICENCE, 0, end_is_known);
         Some(())
     }
 
-    /// The leader takes a node for dead.
+    /// The leader reclaims the seats of a node that it suspects to be dead.
     pub fn suspect(&mut self, n: usize) {
-        let incarnation = self.nodes[n].boot;
-        self.command(Operation::Seats(LedgerCommand::Reclaim {
+        let incarnation = self.nodes[n].incarnation;
+        self.apply_command(Operation::Seats(LedgerCommand::Reclaim {
             node: n as u32,
             incarnation,
         }));
-        // It observes the draining seats at once.
-        let time = now(self.at);
-        let _ = self.reclaimer.0.poll_operations(time, &self.book.0);
+        // The reclaimer observes the draining seats at once.
+        let time = time_at(self.tick);
+        let _ = self.reclaimer.0.poll_operations(time, &self.replicated.0);
     }
 }
--- a/crates/consensus/tests/state.rs
+++ b/crates/consensus/tests/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: commands, validation of changes, and damaged input from peers and stores.
+//! The replicated state: commands, validation of changes, and malformed input from peers and stores.
 
 use marbledeck_consensus::wire::{self, Frame, NodeMessage};
 use marbledeck_consensus::{
@@ -16,9 +16,9 @@
     }))
 }
 
-fn rates(of: f64) -> Option<RecordBody> {
+fn rates(rate: f64) -> Option<RecordBody> {
     Some(RecordBody::Rates(Rates {
-        per_s: [("au".to_owned(), of)].into(),
+        per_s: [("au".to_owned(), rate)].into(),
     }))
 }
 
@@ -36,17 +36,17 @@
     }
 }
 
-fn command(number: u64, boot: u64, change: Change) -> Command {
+fn command(number: u64, incarnation: u64, change: Change) -> Command {
     Command {
         node: 3,
-        incarnation: boot,
+        incarnation,
         number,
         operation: Operation::Change(change),
     }
 }
 
 #[test]
-fn a_change_over_several_records_holds_whole_or_not_at_all() {
+fn a_change_of_several_records_is_applied_completely_or_not_at_all() {
     let mut state = ReplicatedState::default();
     let both = change(vec![
         ("seats/av1", 0, pool(5)),
@@ -57,14 +57,14 @@
         (state.version("seats/av1"), state.version("settings/rates")),
         (1, 1)
     );
-    // One of the two versions is outdated: nothing is applied.
-    let half = change(vec![
+    // One of the two expected versions is outdated, so nothing is applied.
+    let outdated = change(vec![
         ("seats/av1", 1, pool(9)),
         ("settings/rates", 0, rates(2.0)),
     ]);
-    let refused = state.apply(&command(2, 1, half));
+    let rejected = state.apply(&command(2, 1, outdated));
     assert_eq!(
-        refused,
+        rejected,
         Outcome::Rejected(ChangeError::VersionMismatch {
             record: "settings/rates".into(),
             actual: 1,
@@ -72,8 +72,8 @@
         })
     );
     assert_eq!(state.version("seats/av1"), 1);
-    // A repeat changes nothing and returns the outcome of the last command; so does a command of a replaced process.
-    assert_eq!(state.apply(&command(1, 1, both.clone())), refused);
+    // A repeat changes nothing and returns the outcome of the last command. A command of an earlier incarnation is rejected.
+    assert_eq!(state.apply(&command(1, 1, both.clone())), rejected);
     assert_eq!(
         state
             .last_command(3, 1, CommandSequence::Changes)
@@ -88,28 +88,28 @@
         state.apply(&command(9, 1, both)),
         Outcome::Rejected(ChangeError::StaleIncarnation { node: 3 })
     );
-    // What was removed keeps its version.
+    // A removed record keeps its version.
     assert_eq!((state.version("seats/av1"), state.pools().count()), (2, 0));
 }
 
 #[test]
-fn a_change_that_makes_no_sense_names_record_and_key() {
-    let bad = |puts| {
+fn an_invalid_change_is_rejected_with_record_and_key() {
+    let error_text = |puts| {
         change(puts)
             .check()
-            .expect_err("it makes no sense")
+            .expect_err("an invalid change")
             .to_string()
     };
     assert_eq!(
-        bad(vec![("settings/rates", 0, rates(-1.0))]),
+        error_text(vec![("settings/rates", 0, rates(-1.0))]),
         "settings/rates: per_s.au: want a number, 0 or more"
     );
     assert_eq!(
-        bad(vec![("seats/av1", 0, rates(1.0))]),
+        error_text(vec![("seats/av1", 0, rates(1.0))]),
         "seats/av1: it cannot hold this"
     );
     assert_eq!(
-        bad(vec![("colours/red", 0, None)]),
+        error_text(vec![("colours/red", 0, None)]),
         "colours/red: no records have such a name"
     );
     let parts = Pool {
@@ -119,15 +119,15 @@
     };
     let parts = Some(RecordBody::Pool(parts));
     assert_eq!(
-        bad(vec![("seats/av1", 0, parts)]),
+        error_text(vec![("seats/av1", 0, parts)]),
         "seats/av1: guaranteed: the parts are more than there are seats"
     );
-    let unnamed = Change {
+    let without_expected_version = Change {
         put: [("workers/out".to_owned(), None)].into(),
         ..Change::default()
     };
     assert!(matches!(
-        unnamed.check(),
+        without_expected_version.check(),
         Err(ChangeError::MissingExpectedVersion { .. })
     ));
     assert!(matches!(
@@ -138,9 +138,9 @@
 
 /// Each variant has advice for operators.
 #[test]
-fn every_error_says_what_to_do() {
+fn every_error_has_advice() {
     let sample = || String::from("x");
-    let refusals = [
+    let change_errors = [
         ChangeError::VersionMismatch {
             record: sample(),
             actual: 1,
@@ -166,7 +166,7 @@
         ConsensusError::Stopped(sample()),
         ConsensusError::InvalidConfiguration(sample()),
     ];
-    let all = refusals.iter().map(|r| (r.to_string(), r.advice()));
+    let all = change_errors.iter().map(|e| (e.to_string(), e.advice()));
     for (text, advice) in all.chain(errors.iter().map(|e| (e.to_string(), e.advice()))) {
         assert!(
             !text.is_empty() && advice.split(' ').count() > 4,
@@ -175,28 +175,28 @@
     }
 }
 
-/// Any bytes decode to nothing, an error or a frame, without a panic. The length is checked before anything else.
+/// Decoding arbitrary bytes never panics: the result is nothing, an error or a frame. The length is checked first.
 #[test]
-fn bytes_of_a_peer_do_no_harm() {
+fn arbitrary_bytes_from_a_peer_cause_no_panic() {
     let hello = Frame::Node(Box::new(NodeMessage::Hello {
         fleet: "f".into(),
         node: 1,
         voter: None,
     }));
-    let whole = wire::encode(&hello);
-    for cut in 0..whole.len() {
-        assert!(matches!(wire::decode(&whole[..cut]), Ok(None)));
+    let encoded = wire::encode(&hello);
+    for cut in 0..encoded.len() {
+        assert!(matches!(wire::decode(&encoded[..cut]), Ok(None)));
     }
     assert!(
-        matches!(wire::decode(&whole), Ok(Some((Frame::Node(_), used))) if used == whole.len())
+        matches!(wire::decode(&encoded), Ok(Some((Frame::Node(_), used))) if used == encoded.len())
     );
-    let mut long = whole.clone();
-    long[0] = 0xff;
-    assert!(wire::decode(&long[..5]).is_err());
-    let deep = [b"{\"Hello\":".to_vec(), vec![b'['; 100_000]].concat();
-    let mut frame = (deep.len() as u32).to_be_bytes().to_vec();
+    let mut too_long = encoded.clone();
+    too_long[0] = 0xff;
+    assert!(wire::decode(&too_long[..5]).is_err());
+    let nested = [b"{\"Hello\":".to_vec(), vec![b'['; 100_000]].concat();
+    let mut frame = (nested.len() as u32).to_be_bytes().to_vec();
     frame.push(b'S');
-    frame.extend(&deep);
+    frame.extend(&nested);
     assert!(wire::decode(&frame).is_err());
     let mut rng = oorandom::Rand64::new(7);
     let mut voter = Voter::new(1, &[1, 2, 3], 1, &PersistedState::default()).expect("a voter");
@@ -231,21 +231,21 @@
 }
 
 #[test]
-fn a_store_that_lacks_what_it_had_committed_is_not_used() {
-    let bad = PersistedState {
+fn incomplete_persisted_state_and_invalid_voters_are_rejected() {
+    let without_entries = PersistedState {
         hard_state: Some(vec![0x18, 9]),
         ..PersistedState::default()
     };
     assert!(matches!(
-        Voter::new(1, &[1, 2, 3], 1, &bad),
+        Voter::new(1, &[1, 2, 3], 1, &without_entries),
         Err(ConsensusError::CorruptState(_))
     ));
-    let hole = PersistedState {
+    let gap = PersistedState {
         entries: vec![(2, vec![0x18, 2])],
         ..PersistedState::default()
     };
     assert!(matches!(
-        Voter::new(1, &[1, 2, 3], 1, &hole),
+        Voter::new(1, &[1, 2, 3], 1, &gap),
         Err(ConsensusError::CorruptState(_))
     ));
     assert!(matches!(
