--- a/crates/consensus/tests/golden/frames.rs
+++ b/crates/consensus/tests/golden/frames.rs
@@ -8,10 +8,10 @@
 };
 use std::fmt::Write as _;
 
-/// Length and kind of a frame, before its body.
-const HEAD_BYTES: usize = 5;
+/// Length of the header before a frame's body.
+const HEADER_BYTES: usize = 5;
 
-fn full_answer() -> ReadResponse {
+fn full_response() -> ReadResponse {
     ReadResponse {
         request_id: 17,
         revision: 4711,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A message of every kind, but for those of the consensus library.
+/// A message of every kind except those of the consensus library.
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn messages() -> Vec<(String, NodeMessage)> {
     let mut messages = vec![
@@ -50,7 +50,7 @@
         ("welcome".to_owned(), NodeMessage::Welcome { voter: 2 }),
         ("denied".to_owned(), NodeMessage::Denied { voter: u64::MAX }),
         (
-            "question without commands".to_owned(),
+            "read request without commands".to_owned(),
             NodeMessage::ReadRequest {
                 request_id: 1,
                 known_revision: 0,
@@ -59,7 +59,7 @@
             },
         ),
         (
-            "question with commands".to_owned(),
+            "read request with commands".to_owned(),
             NodeMessage::ReadRequest {
                 request_id: 17,
                 known_revision: 4710,
@@ -68,44 +68,44 @@
             },
         ),
         (
-            "empty answer".to_owned(),
+            "empty read response".to_owned(),
             NodeMessage::ReadResponse(Box::default()),
         ),
         (
-            "full answer".to_owned(),
-            NodeMessage::ReadResponse(Box::new(full_answer())),
+            "full read response".to_owned(),
+            NodeMessage::ReadResponse(Box::new(full_response())),
         ),
         (
-            "nobody was heard".to_owned(),
+            "contact report without nodes".to_owned(),
             NodeMessage::ContactReport { nodes: Vec::new() },
         ),
         (
-            "nodes were heard".to_owned(),
+            "contact report with nodes".to_owned(),
             NodeMessage::ContactReport {
                 nodes: vec![(4, 1_700_000_000_000_000), (5, u64::MAX)],
             },
         ),
     ];
     for (number, outcome) in outcomes().into_iter().enumerate() {
-        let answer = ReadResponse {
+        let response = ReadResponse {
             last_change: Some((number as u64, outcome)),
             ..ReadResponse::default()
         };
-        let label = format!("answer with outcome {number}");
-        messages.push((label, NodeMessage::ReadResponse(Box::new(answer))));
+        let label = format!("read response with outcome {number}");
+        messages.push((label, NodeMessage::ReadResponse(Box::new(response))));
     }
     messages
 }
 
-/// Head in hexadecimal, body as the text that it is.
+/// The header in hexadecimal, and the body as text.
 fn frame_lines(label: &str, bytes: &[u8]) -> String {
-    let (head, body) = bytes.split_at(HEAD_BYTES);
+    let (header, body) = bytes.split_at(HEADER_BYTES);
     let body = std::str::from_utf8(body).expect("JSON");
-    format!("{label}\n  head {}\n  body {body}\n", hex(head))
+    format!("{label}\n  header {}\n  body {body}\n", hex(header))
 }
 
 #[test]
-fn every_message_is_framed_and_read_back() {
+fn every_message_is_encoded_and_decoded() {
     let mut text = String::new();
     let mut stream = Vec::new();
     for (label, message) in messages() {
@@ -113,14 +113,14 @@
         text += &frame_lines(&label, &bytes);
         stream.extend(bytes);
     }
-    // All of them in one stream, as a connection brings them.
+    // All frames are decoded from one stream, as on a connection.
     let mut rest = stream.as_slice();
     for (label, message) in messages() {
-        let decoded = decode(rest).expect("a frame").expect("a whole frame");
-        let (Frame::Node(said), used) = decoded else {
+        let decoded = decode(rest).expect("a frame").expect("a complete frame");
+        let (Frame::Node(actual), used) = decoded else {
             panic!("{label}: decoded to another kind");
         };
-        assert!(*said == message, "{label}: decoded to another message");
+        assert!(*actual == message, "{label}: decoded to another message");
         rest = &rest[used..];
     }
     assert!(rest.is_empty());
@@ -128,79 +128,86 @@
 }
 
 #[test]
-fn a_message_of_the_consensus_library_is_framed_as_it_is() {
+fn a_message_of_the_consensus_library_is_framed_unmodified() {
     let mut text = String::new();
     for body in [&b""[..], b"\x00\x01\xfe\xff", b"{\"not\":\"JSON here\"}"] {
         let bytes = encode(&Frame::Raft(body.to_vec()));
-        writeln!(text, "body {}: {}", hex(body), hex(&bytes)).expect("a string takes it");
-        let (frame, used) = decode(&bytes).expect("a frame").expect("a whole frame");
+        writeln!(text, "body {}: {}", hex(body), hex(&bytes))
+            .expect("formatting into a string succeeds");
+        let (frame, used) = decode(&bytes).expect("a frame").expect("a complete frame");
         assert!(matches!(frame, Frame::Raft(decoded) if decoded == body));
         assert_eq!(used, bytes.len());
     }
     assert_golden("raft_frames", &text);
 }
 
-/// What seats an answer tells its asker that it holds.
+/// The seats that a read response tells its node that it holds.
 #[test]
-fn held_seats_of_an_answer() {
+fn held_seats_of_a_read_response() {
     let mut text = String::new();
-    for part in full_answer().held_seats() {
-        let (pool, tenant) = (part.pool, part.tenant);
-        let (seats, recalled) = (part.seats, part.recalled);
+    for held in full_response().held_seats() {
+        let (pool, tenant) = (held.pool, held.tenant);
+        let (seats, recalled) = (held.seats, held.recalled);
         writeln!(
             text,
-            "pool '{pool}', tenant '{tenant}': {seats} seats, {recalled} asked back"
+            "pool '{pool}', tenant '{tenant}': {seats} seats, {recalled} recalled"
         )
-        .expect("a string takes it");
+        .expect("formatting into a string succeeds");
     }
     assert_golden("held_seats", &text);
 }
 
-/// Frames that are decoded though this code writes them otherwise, and those that end a connection.
+/// Frames that are decoded although this code encodes them differently, and malformed ones, which end a connection.
 #[test]
-fn frames_in_other_forms() {
-    let said = |body: &str| {
+fn frames_of_other_forms_and_malformed_frames() {
+    let node_frame = |body: &str| {
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
         bytes.push(b'S');
         bytes.extend(body.as_bytes());
         bytes
     };
     let length = MAX_FRAME_BYTES as u32;
-    let long_head = |length: u32| [length.to_be_bytes().as_slice(), b"R"].concat();
+    let header_with_length = |length: u32| [length.to_be_bytes().as_slice(), b"R"].concat();
     let cases = [
         ("nothing", Vec::new()),
-        ("part of a head", vec![0, 0, 0, 9]),
+        ("incomplete header", vec![0, 0, 0, 9]),
         (
-            "part of a body",
-            said(r#"{"Welcome":{"voter":2}}"#)[..12].to_vec(),
+            "incomplete body",
+            node_frame(r#"{"Welcome":{"voter":2}}"#)[..12].to_vec(),
         ),
-        ("longest head", long_head(length)),
-        ("too long", long_head(length + 1)),
+        ("header of the longest frame", header_with_length(length)),
+        ("too long", header_with_length(length + 1)),
         ("unknown kind", vec![0, 0, 0, 0, b'X']),
-        ("spaces", said(r#" { "Welcome" : { "voter" : 2 } } "#)),
-        ("unknown key", said(r#"{"Welcome":{"voter":2,"more":3}}"#)),
+        (
+            "white space",
+            node_frame(r#" { "Welcome" : { "voter" : 2 } } "#),
+        ),
+        (
+            "unknown key",
+            node_frame(r#"{"Welcome":{"voter":2,"more":3}}"#),
+        ),
         (
             "no key for the voter",
-            said(r#"{"Hello":{"fleet":"fleet-1","node":4}}"#),
+            node_frame(r#"{"Hello":{"fleet":"fleet-1","node":4}}"#),
         ),
-        ("unknown message", said(r#"{"Leave":{"voter":2}}"#)),
-        ("missing key", said(r#"{"Welcome":{}}"#)),
-        ("not JSON", said("welcome")),
-        ("more after it", said(r#"{"Welcome":{"voter":2}}{}"#)),
+        ("unknown message", node_frame(r#"{"Leave":{"voter":2}}"#)),
+        ("missing key", node_frame(r#"{"Welcome":{}}"#)),
+        ("not JSON", node_frame("welcome")),
+        ("trailing data", node_frame(r#"{"Welcome":{"voter":2}}{}"#)),
     ];
     let mut text = format!(
-        "longest frame: {MAX_FRAME_BYTES}\nlongest of a node that does not vote: {MAX_REQUEST_BYTES}\n\
-         commands at most: {MAX_COMMANDS_PER_REQUEST}\n"
+        "maximum frame: {MAX_FRAME_BYTES}\nmaximum frame of a node that is not a voter: {MAX_REQUEST_BYTES}\n\
+         maximum commands in a request: {MAX_COMMANDS_PER_REQUEST}\n"
     );
     for (label, bytes) in cases {
         let outcome = match decode(&bytes) {
-            Ok(None) => "not whole yet".to_owned(),
+            Ok(None) => "incomplete".to_owned(),
             Ok(Some((Frame::Raft(body), used))) => format!("{used} bytes, raft {}", hex(&body)),
-            Ok(Some((Frame::Node(said), used))) => format!("{used} bytes, {}", json(&*said)),
+            Ok(Some((Frame::Node(message), used))) => format!("{used} bytes, {}", json(&*message)),
             Err(error) => format!("error: {error}"),
         };
         writeln!(text, "{label}: {}\n  => {outcome}", bytes.escape_ascii())
-            .expect("a string takes it");
+            .expect("formatting into a string succeeds");
     }
     assert_golden("other_frames", &text);
 }
--- a/crates/consensus/tests/golden/main.rs
+++ b/crates/consensus/tests/golden/main.rs
@@ -1,7 +1,8 @@
-//! Golden forms of what voters and nodes send each other, of the log, of its snapshot and of what is stored.
+//! Compatibility tests of everything that voters and nodes send each other or store: frames, log entries, snapshots of the
+//! state and the stored file.
 //!
-//! The snapshots under `tests/snapshots` were written before any rename of the code. A test here may follow a renamed
-//! item; a snapshot that changes is a change of the protocol or of the file.
+//! A snapshot under `tests/snapshots` that changes in more than a label or an error text is a change of the protocol or of
+//! the stored file, and breaks compatibility with earlier versions.
 
 mod frames;
 mod records;
@@ -28,24 +29,24 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("a string takes it");
+        write!(text, "{byte:02x}").expect("formatting into a string succeeds");
         text
     })
 }
 
 fn json<T: Serialize>(value: &T) -> String {
-    serde_json::to_string(value).expect("a value that can be encoded")
+    serde_json::to_string(value).expect("an encodable value")
 }
 
 /// One line of a snapshot: the label and the JSON, which must decode to an equal value.
 fn json_line<T: Serialize + DeserializeOwned + PartialEq>(label: &str, value: &T) -> String {
     let encoded = json(value);
-    let decoded: T = serde_json::from_str(&encoded).expect("a value that can be decoded");
+    let decoded: T = serde_json::from_str(&encoded).expect("a decodable value");
     assert!(decoded == *value, "{label}: decoded to another value");
     format!("{label}: {encoded}\n")
 }
 
-/// One line of a snapshot: what a given text is decoded to, encoded again, or the error.
+/// One line of a snapshot: a text, and the value decoded from it, encoded again, or the error.
 fn decoded_line<T: Serialize + DeserializeOwned>(label: &str, text: &str) -> String {
     let outcome = match serde_json::from_str::<T>(text) {
         Ok(value) => json(&value),
--- a/crates/consensus/tests/golden/records.rs
+++ b/crates/consensus/tests/golden/records.rs
@@ -1,4 +1,4 @@
-//! Records, changes and commands, as operators send them and as they are written into the log.
+//! Encoded records, changes and commands, as operators send them and as the log holds them.
 
 use crate::samples::{bodies, change, command, commands, outcomes, records};
 use crate::{assert_golden, decoded_line, json_line};
@@ -70,19 +70,19 @@
     let mut text = String::new();
     for (label, command) in commands() {
         text += &json_line(label, &command);
-        let node_may = if command.is_allowed_for_nodes() {
+        let permission = if command.is_allowed_for_nodes() {
             "may"
         } else {
             "may not"
         };
-        text += &format!("  a node {node_may} ask for it\n");
-        text += &json_line("  counted by", &command.sequence());
+        text += &format!("  a node {permission} request it\n");
+        text += &json_line("  sequence", &command.sequence());
     }
     let empty = command(4, 1, 1, Operation::Change(Change::default()));
     text += &json_line("empty change", &empty);
     let lines = [
-        json_line("stream", &CommandSequence::Seats),
-        json_line("stream", &CommandSequence::Changes),
+        json_line("sequence", &CommandSequence::Seats),
+        json_line("sequence", &CommandSequence::Changes),
         decoded_line::<Command>(
             "keys in another order",
             r#"{"what":{"Seats":{"Reclaim":{"boot":2,"node":1}}},"number":0,"boot":0,"node":0}"#,
--- a/crates/consensus/tests/golden/samples.rs
+++ b/crates/consensus/tests/golden/samples.rs
@@ -1,4 +1,4 @@
-//! One value of every kind that is written or sent.
+//! Sample values of every kind that is stored or sent.
 
 use marbledeck_consensus::{
     Change, ChangeError, Command, Operation, Outcome, Rates, Record, RecordBody, Site,
@@ -7,8 +7,8 @@
 use marbledeck_licensing::{LedgerCommand, Pool};
 use std::collections::BTreeSet;
 
-pub fn names(of: &[&str]) -> BTreeSet<String> {
-    of.iter().map(|name| (*name).to_owned()).collect()
+pub fn names(list: &[&str]) -> BTreeSet<String> {
+    list.iter().map(|name| (*name).to_owned()).collect()
 }
 
 pub fn rates() -> Rates {
@@ -20,7 +20,7 @@
 pub fn pool(seats: u32, guaranteed: &[(&str, u32)]) -> Pool {
     let guaranteed = guaranteed
         .iter()
-        .map(|(tenant, part)| ((*tenant).to_owned(), *part));
+        .map(|(tenant, seats)| ((*tenant).to_owned(), *seats));
     Pool {
         seats,
         guaranteed: guaranteed.collect(),
@@ -61,10 +61,10 @@
     ]
 }
 
-/// A record of every kind, one that was removed, and one that is exclusive.
+/// A record of every kind, and a removed one; every second record is exclusive.
 pub fn records() -> Vec<(String, Record)> {
-    let held = bodies().into_iter().zip(1..);
-    let mut records: Vec<(String, Record)> = held
+    let versioned = bodies().into_iter().zip(1..);
+    let mut records: Vec<(String, Record)> = versioned
         .map(|((name, body), version)| {
             let record = Record {
                 version,
@@ -85,7 +85,7 @@
     records
 }
 
-/// A change that writes every kind of body, removes a record and only reads another.
+/// A change that writes every kind of body, removes a record and only checks the version of another.
 pub fn change() -> Change {
     let mut change = Change::default();
     for ((name, body), version) in bodies().into_iter().zip(0..) {
@@ -112,7 +112,7 @@
     change
 }
 
-pub fn want(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
+pub fn request_seats(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
     LedgerCommand::Request {
         pool: pool.into(),
         tenant: tenant.into(),
@@ -120,7 +120,7 @@
     }
 }
 
-pub fn give_back(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
+pub fn return_seats(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
     LedgerCommand::Return {
         pool: pool.into(),
         tenant: tenant.into(),
@@ -128,42 +128,58 @@
     }
 }
 
-pub fn command(node: u32, boot: u64, number: u64, what: Operation) -> Command {
+pub fn command(node: u32, incarnation: u64, number: u64, operation: Operation) -> Command {
     Command {
         node,
-        incarnation: boot,
+        incarnation,
         number,
-        operation: what,
+        operation,
     }
 }
 
 /// A command of every kind.
 pub fn commands() -> Vec<(&'static str, Command)> {
-    let boot = 1_700_000_000_000_000;
+    let incarnation = 1_700_000_000_000_000;
     let reclaim = LedgerCommand::Reclaim {
         node: 4,
-        incarnation: boot,
+        incarnation,
     };
     let free = LedgerCommand::FreeDrained {
         pool: "av1".into(),
         draining_id: 12,
     };
     vec![
-        ("change", command(4, boot, 1, Operation::Change(change()))),
         (
-            "want",
-            command(4, boot, 2, Operation::Seats(want("av1", "news", 3))),
+            "change",
+            command(4, incarnation, 1, Operation::Change(change())),
         ),
         (
-            "give back",
-            command(4, boot, u64::MAX, Operation::Seats(give_back("av1", "", 2))),
+            "request seats",
+            command(
+                4,
+                incarnation,
+                2,
+                Operation::Seats(request_seats("av1", "news", 3)),
+            ),
+        ),
+        (
+            "return seats",
+            command(
+                4,
+                incarnation,
+                u64::MAX,
+                Operation::Seats(return_seats("av1", "", 2)),
+            ),
+        ),
+        ("reclaim seats", command(0, 0, 0, Operation::Seats(reclaim))),
+        (
+            "free drained seats",
+            command(0, 0, 0, Operation::Seats(free)),
         ),
-        ("reclaim", command(0, 0, 0, Operation::Seats(reclaim))),
-        ("free", command(0, 0, 0, Operation::Seats(free))),
     ]
 }
 
-pub fn refusals() -> Vec<ChangeError> {
+pub fn change_errors() -> Vec<ChangeError> {
     let record = || "seats/av1".to_owned();
     vec![
         ChangeError::VersionMismatch {
@@ -187,6 +203,6 @@
 }
 
 pub fn outcomes() -> Vec<Outcome> {
-    let refused = refusals().into_iter().map(Outcome::Rejected);
-    [Outcome::Done].into_iter().chain(refused).collect()
+    let rejected = change_errors().into_iter().map(Outcome::Rejected);
+    [Outcome::Done].into_iter().chain(rejected).collect()
 }
--- a/crates/consensus/tests/golden/state.rs
+++ b/crates/consensus/tests/golden/state.rs
@@ -1,13 +1,13 @@
-//! The state that the voters keep, as a snapshot holds it, after each command of a history.
+//! The encoded replicated state after each command of a history.
 
-use crate::samples::{command, give_back, names, pool, put, rates, site, want};
+use crate::samples::{command, names, pool, put, rates, request_seats, return_seats, site};
 use crate::{assert_golden, json, json_line};
 use marbledeck_consensus::wire::ReadResponse;
 use marbledeck_consensus::{Command, Operation, RecordBody, ReplicatedState};
 use marbledeck_licensing::LedgerCommand;
 
-/// Commands that bring every part of the state about: records that are written, exclusive and removed; seats that are
-/// held, owed and draining; nodes with a last command of each stream, and one that was refused.
+/// Commands that produce every part of the state: written, exclusive and removed records; held, owed and draining seats;
+/// nodes with a last command of each sequence, and a rejected command.
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 pub fn history() -> Vec<(&'static str, Command)> {
     let pools = put(
@@ -49,37 +49,43 @@
     );
     let removal = put(&[("seats/aac", 1, None)], &[]);
     let outdated = put(&[("workers/out", 0, None)], &[]);
-    let change =
-        |node, boot, number, change| command(node, boot, number, Operation::Change(change));
-    let seats = |node, boot, number, what| command(node, boot, number, Operation::Seats(what));
+    let change = |node, incarnation, number, change| {
+        command(node, incarnation, number, Operation::Change(change))
+    };
+    let seats = |node, incarnation, number, operation| {
+        command(node, incarnation, number, Operation::Seats(operation))
+    };
     vec![
         ("pools", change(1, 100, 1, pools)),
         ("settings", change(1, 100, 2, settings)),
         ("sites", change(2, 200, 1, sites)),
         (
-            "node 1 wants seats",
-            seats(1, 100, 1, want("av1", "sport", 8)),
+            "node 1 requests seats",
+            seats(1, 100, 1, request_seats("av1", "sport", 8)),
         ),
         (
-            "node 2 wants the rest",
-            seats(2, 200, 1, want("av1", "", 5)),
+            "node 2 requests the rest",
+            seats(2, 200, 1, request_seats("av1", "", 5)),
         ),
         (
-            "node 3 wants seats",
-            seats(3, 300, 1, want("aac", "news", 2)),
+            "node 3 requests seats",
+            seats(3, 300, 1, request_seats("aac", "news", 2)),
         ),
-        ("a part is guaranteed", change(1, 100, 3, guarantee)),
         (
-            "node 2 is owed seats",
-            seats(2, 200, 2, want("av1", "news", 3)),
+            "seats are guaranteed to a tenant",
+            change(1, 100, 3, guarantee),
         ),
         (
-            "node 1 gives some back",
-            seats(1, 100, 2, give_back("av1", "sport", 1)),
+            "node 2 requests seats that others hold",
+            seats(2, 200, 2, request_seats("av1", "news", 3)),
+        ),
+        (
+            "node 1 returns a seat",
+            seats(1, 100, 2, return_seats("av1", "sport", 1)),
         ),
         ("an outdated change", change(3, 300, 1, outdated)),
         (
-            "node 3 is gone",
+            "node 3's seats are reclaimed",
             seats(
                 0,
                 0,
@@ -91,15 +97,15 @@
             ),
         ),
         (
-            "node 1 starts anew",
-            seats(1, 101, 1, want("av1", "sport", 1)),
+            "node 1 is restarted",
+            seats(1, 101, 1, request_seats("av1", "sport", 1)),
         ),
         (
-            "its earlier start still sends",
-            seats(1, 100, 3, want("av1", "sport", 1)),
+            "a command of node 1's earlier incarnation",
+            seats(1, 100, 3, request_seats("av1", "sport", 1)),
         ),
         (
-            "node 3's seats are free",
+            "node 3's drained seats are freed",
             seats(
                 0,
                 0,
@@ -111,46 +117,51 @@
             ),
         ),
         ("a pool is removed", change(2, 200, 2, removal)),
-        ("a repeat", seats(2, 200, 2, want("av1", "news", 3))),
+        (
+            "a repeat",
+            seats(2, 200, 2, request_seats("av1", "news", 3)),
+        ),
     ]
 }
 
 #[test]
 fn state_after_each_command() {
-    let mut book = ReplicatedState::default();
-    let mut text = json_line("empty", &book);
+    let mut state = ReplicatedState::default();
+    let mut text = json_line("empty", &state);
     for (label, command) in history() {
-        let mut decoded: ReplicatedState = serde_json::from_str(&json(&book)).expect("a snapshot");
-        let outcome = book.apply(&command);
+        let mut decoded: ReplicatedState = serde_json::from_str(&json(&state)).expect("a snapshot");
+        let outcome = state.apply(&command);
         assert!(
-            decoded.apply(&command) == outcome && decoded == book,
-            "{label}: the decoded state went another way"
+            decoded.apply(&command) == outcome && decoded == state,
+            "{label}: the decoded state differs after the command"
         );
         text += &format!("{label}: {}\n  ", json(&outcome));
-        text += &json_line("state", &book);
+        text += &json_line("state", &state);
     }
     assert_golden("state", &text);
 }
 
-/// The responses that nodes get at the history's end.
+/// The responses to read requests of nodes at the end of the history.
 #[test]
-fn answers_from_the_state() {
-    let mut book = ReplicatedState::default();
+fn read_responses_from_the_state() {
+    let mut state = ReplicatedState::default();
     for (_, command) in history() {
-        book.apply(&command);
+        state.apply(&command);
     }
-    let askers = [
+    let requests = [
         ("node 1, all", 1, 101, 0),
-        ("node 1, its earlier start", 1, 100, 0),
-        ("node 2, what has changed of late", 2, 200, 6),
-        ("node 2, nothing new", 2, 200, book.revision()),
-        ("node 3, whose change was refused", 3, 300, 14),
-        ("a node that was never heard", 9, 1, 14),
+        ("node 1, earlier incarnation", 1, 100, 0),
+        ("node 2, recent changes", 2, 200, 6),
+        ("node 2, no changes", 2, 200, state.revision()),
+        ("node 3, whose change was rejected", 3, 300, 14),
+        ("an unknown node", 9, 1, 14),
     ];
     let mut text = String::new();
-    for (question, (label, node, boot, known)) in askers.into_iter().enumerate() {
-        let answer = ReadResponse::new(&book, node, boot, question as u64, known);
-        text += &json_line(label, &answer);
+    for (request_id, (label, node, incarnation, known_revision)) in requests.into_iter().enumerate()
+    {
+        let response =
+            ReadResponse::new(&state, node, incarnation, request_id as u64, known_revision);
+        text += &json_line(label, &response);
     }
-    assert_golden("answers", &text);
+    assert_golden("read_responses", &text);
 }
--- a/crates/consensus/tests/golden/stored_file.rs
+++ b/crates/consensus/tests/golden/stored_file.rs
@@ -1,10 +1,10 @@
-//! A voter's store: the file that was written before any rename of the code is opened, and the voter goes on from it.
+//! Compatibility of a voter's store: a file written by an earlier version is opened, and a voter starts from it.
 //!
-//! With `MARBLEDECK_WRITE_FIXTURE` set, the file that this code writes takes the fixture's place.
+//! If `MARBLEDECK_WRITE_FIXTURE` is set, the file that this code writes replaces the fixture.
 
-use crate::samples::{command, want};
+use crate::samples::{command, request_seats};
 use crate::state::history;
-use crate::voters::{idle_command, store};
+use crate::voters::{no_op_command, store};
 use crate::{assert_golden, hex, json};
 use flate2::read::GzDecoder;
 use flate2::write::GzEncoder;
@@ -15,29 +15,31 @@
 use std::fs::File;
 use std::path::{Path, PathBuf};
 
-/// The name of the file in its folder.
+/// Name of the file in its directory.
 const FILE: &str = "agreement.redb";
 const STORE_NUMBER: u64 = 0x0123_4567_89ab_cdef;
-/// The names of the values besides the log, as the node has them.
+/// Names of the values that a node stores besides the log.
 const HARD_STATE: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
 const PROVEN: &str = "proven";
-const MOST_TICKS: usize = 40;
-const MANY: usize = 2000;
+/// More ticks than any election timeout.
+const MAX_TICKS: usize = 40;
+/// Commands after which the voter has written a snapshot.
+const COMMANDS_UNTIL_SNAPSHOT: usize = 2000;
 
-struct Folder(PathBuf);
+struct TempDirectory(PathBuf);
 
-impl Folder {
+impl TempDirectory {
     fn new(name: &str) -> Self {
-        let own = format!("marbledeck-golden-agreement-{name}-{}", std::process::id());
-        let path = std::env::temp_dir().join(own);
+        let directory_name = format!("marbledeck-golden-agreement-{name}-{}", std::process::id());
+        let path = std::env::temp_dir().join(directory_name);
         let _ = std::fs::remove_dir_all(&path);
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("a directory");
+        TempDirectory(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -48,154 +50,154 @@
     package.join("../storage/tests/golden/agreement.redb.gz")
 }
 
-fn unpack_fixture(folder: &Path) {
+fn unpack_fixture(directory: &Path) {
     let mut packed = GzDecoder::new(File::open(fixture()).expect("the fixture"));
-    let mut unpacked = File::create(folder.join(FILE)).expect("a file");
+    let mut unpacked = File::create(directory.join(FILE)).expect("a file");
     std::io::copy(&mut packed, &mut unpacked).expect("the whole fixture");
 }
 
-fn replace_fixture(folder: &Path) {
-    let mut written = File::open(folder.join(FILE)).expect("the file");
+fn replace_fixture(directory: &Path) {
+    let mut written = File::open(directory.join(FILE)).expect("the file");
     let packed = File::create(fixture()).expect("the fixture");
     let mut packed = GzEncoder::new(packed, Compression::best());
     std::io::copy(&mut written, &mut packed).expect("the whole file");
     packed.finish().expect("the fixture");
 }
 
-/// A fleet of this one voter, with what it stores.
-struct Single {
+/// A single voter and its persisted state.
+struct SingleVoter {
     voter: Voter,
-    durable: PersistedState,
+    persisted: PersistedState,
 }
 
-impl Single {
-    fn start(durable: PersistedState) -> Self {
-        let voter = Voter::new(1, &[1], 1, &durable).expect("a voter");
-        Single { voter, durable }
+impl SingleVoter {
+    fn start(persisted: PersistedState) -> Self {
+        let voter = Voter::new(1, &[1], 1, &persisted).expect("a voter");
+        SingleVoter { voter, persisted }
     }
 
-    fn settle(&mut self) {
+    fn run_until_idle(&mut self) {
         loop {
-            let work = self.voter.poll_effects();
-            if work.persist_requests.is_empty() {
+            let effects = self.voter.poll_effects();
+            if effects.persist_requests.is_empty() {
                 return;
             }
-            for save in work.persist_requests {
-                store(&mut self.durable, &save);
-                self.voter.handle_persisted(save.ticket);
+            for request in effects.persist_requests {
+                store(&mut self.persisted, &request);
+                self.voter.handle_persisted(request.ticket);
             }
         }
     }
 
     fn elect(&mut self) {
-        for _ in 0..MOST_TICKS {
+        for _ in 0..MAX_TICKS {
             if self.voter.is_leader() {
                 return;
             }
             self.voter.tick();
-            self.settle();
+            self.run_until_idle();
         }
-        panic!("it was not elected");
+        panic!("the voter was not elected within {MAX_TICKS} ticks");
     }
 }
 
-/// Writes a voter's file: the numbers of the other voters' stores, a log, a snapshot, and entries after it.
-fn write_file(folder: &Path) {
+/// Writes a voter's file with the numbers of the other voters' stores, a log, a snapshot, and entries after the snapshot.
+fn write_file(directory: &Path) {
     let value = |name: &str, value: &[u8]| (name.to_owned(), Some(value.to_vec()));
-    let (mut disk, _) = StoreFile::open(folder, STORE_NUMBER).expect("a new file");
-    let known = vec![
+    let (mut file, _) = StoreFile::open(directory, STORE_NUMBER).expect("a new file");
+    let known_stores = vec![
         value(PROVEN, &[1]),
         value("voter/2", &0x2222_2222_2222_2222_u64.to_be_bytes()),
         value("voter/3", &0x3333_3333_3333_3333_u64.to_be_bytes()),
     ];
-    let known = WriteBatch {
+    let first = WriteBatch {
         ticket: 1,
-        values: known,
+        values: known_stores,
         ..WriteBatch::default()
     };
-    disk.write(&[known]).expect("written");
-    let mut single = Single::start(PersistedState::default());
+    file.write(&[first]).expect("written");
+    let mut single = SingleVoter::start(PersistedState::default());
     single.elect();
     for (_, command) in history() {
         single.voter.propose(&command);
-        single.settle();
+        single.run_until_idle();
     }
-    let hard = single.durable.hard_state.clone().expect("a vote");
+    let hard_state = single.persisted.hard_state.clone().expect("a vote");
     let log = WriteBatch {
         ticket: 2,
-        values: vec![value(HARD_STATE, &hard)],
-        entries: single.durable.entries.clone(),
+        values: vec![value(HARD_STATE, &hard_state)],
+        entries: single.persisted.entries.clone(),
         ..WriteBatch::default()
     };
-    disk.write(&[log]).expect("written");
-    for _ in 0..MANY {
-        single.voter.propose(&idle_command());
+    file.write(&[log]).expect("written");
+    for _ in 0..COMMANDS_UNTIL_SNAPSHOT {
+        single.voter.propose(&no_op_command());
     }
-    single.settle();
+    single.run_until_idle();
     for number in 3..=5 {
-        let want = want("av1", "news", number as u32);
-        let command = command(2, 200, number, Operation::Seats(want));
+        let operation = request_seats("av1", "news", number as u32);
+        let command = command(2, 200, number, Operation::Seats(operation));
         single.voter.propose(&command);
-        single.settle();
+        single.run_until_idle();
     }
-    let hard = single.durable.hard_state.clone().expect("a vote");
-    let snapshot = single.durable.snapshot.clone().expect("a snapshot");
-    let (first_kept, _) = single.durable.entries.first().expect("entries");
+    let hard_state = single.persisted.hard_state.clone().expect("a vote");
+    let snapshot = single.persisted.snapshot.clone().expect("a snapshot");
+    let (first_retained, _) = single.persisted.entries.first().expect("entries");
     let last = WriteBatch {
         ticket: 3,
-        values: vec![value(HARD_STATE, &hard), value(SNAPSHOT, &snapshot)],
-        drop_entries_to: Some(first_kept - 1),
-        entries: single.durable.entries.clone(),
+        values: vec![value(HARD_STATE, &hard_state), value(SNAPSHOT, &snapshot)],
+        drop_entries_to: Some(first_retained - 1),
+        entries: single.persisted.entries.clone(),
     };
-    disk.write(&[last]).expect("written");
+    file.write(&[last]).expect("written");
 }
 
-fn loaded_text(loaded: &StoredContents) -> String {
-    let mut text = format!("number: {:016x}\n", loaded.store_number);
-    for (name, value) in &loaded.values {
-        writeln!(text, "value {name}: {}", hex(value)).expect("a string takes it");
+fn contents_text(contents: &StoredContents) -> String {
+    let mut text = format!("store number: {:016x}\n", contents.store_number);
+    for (name, value) in &contents.values {
+        writeln!(text, "value {name}: {}", hex(value)).expect("formatting into a string succeeds");
     }
-    for (index, entry) in &loaded.entries {
-        writeln!(text, "entry {index}: {}", hex(entry)).expect("a string takes it");
+    for (index, entry) in &contents.entries {
+        writeln!(text, "entry {index}: {}", hex(entry)).expect("formatting into a string succeeds");
     }
     text
 }
 
-fn durable(loaded: StoredContents) -> PersistedState {
+fn persisted_state(contents: StoredContents) -> PersistedState {
     let value = |name: &str| {
-        let mut values = loaded.values.iter();
-        let found = values.find(|(known, _)| known == name);
+        let mut values = contents.values.iter();
+        let found = values.find(|(stored_name, _)| stored_name == name);
         found.map(|(_, value)| value.clone())
     };
     PersistedState {
         hard_state: value(HARD_STATE),
         snapshot: value(SNAPSHOT),
-        entries: loaded.entries.clone(),
+        entries: contents.entries.clone(),
     }
 }
 
-/// Opens the file in this folder, has a voter go on from it, and compares all of it with the snapshots.
-fn assert_file_holds(folder: &Path) {
-    let (_, loaded) = StoreFile::open(folder, 1).expect("the file");
-    assert_golden("stored_file", &loaded_text(&loaded));
-    let mut single = Single::start(durable(loaded));
+/// Opens the file in this directory, starts a voter from it, and compares file and state with the snapshots.
+fn assert_file_matches_snapshots(directory: &Path) {
+    let (_, contents) = StoreFile::open(directory, 1).expect("the file");
+    assert_golden("stored_file", &contents_text(&contents));
+    let mut single = SingleVoter::start(persisted_state(contents));
     single.elect();
     assert_golden("stored_state", &json(single.voter.state()));
 }
 
 #[test]
-fn a_file_written_before_is_read() {
-    let folder = Folder::new("before");
-    unpack_fixture(&folder.0);
-    assert_file_holds(&folder.0);
+fn a_file_of_an_earlier_version_is_read() {
+    let directory = TempDirectory::new("earlier");
+    unpack_fixture(&directory.0);
+    assert_file_matches_snapshots(&directory.0);
 }
 
 #[test]
-fn a_file_written_now_holds_the_same() {
-    let folder = Folder::new("now");
-    write_file(&folder.0);
+fn a_newly_written_file_has_the_same_contents() {
+    let directory = TempDirectory::new("new");
+    write_file(&directory.0);
     if std::env::var_os("MARBLEDECK_WRITE_FIXTURE").is_some() {
-        replace_fixture(&folder.0);
+        replace_fixture(&directory.0);
     }
-    assert_file_holds(&folder.0);
+    assert_file_matches_snapshots(&directory.0);
 }
--- a/crates/consensus/tests/golden/texts.rs
+++ b/crates/consensus/tests/golden/texts.rs
@@ -1,7 +1,7 @@
-//! Error texts for operators: rejected changes, and voters that cannot work.
+//! Error texts and advice for operators: rejected changes, and errors of voters.
 
 use crate::assert_golden;
-use crate::samples::{bodies, change, names, pool, put, rates, refusals, site};
+use crate::samples::{bodies, change, change_errors, names, pool, put, rates, site};
 use marbledeck_consensus::{
     Change, ChangeError, ConsensusError, PersistedState, Rates, RecordBody, Voter,
 };
@@ -10,27 +10,29 @@
 use std::fmt::Write as _;
 
 #[test]
-fn refusals_and_their_advice() {
+fn change_errors_and_their_advice() {
     let mut text = String::new();
-    for refusal in refusals() {
-        writeln!(text, "{refusal}\n  advice: {}", refusal.advice()).expect("a string takes it");
+    for error in change_errors() {
+        writeln!(text, "{error}\n  advice: {}", error.advice())
+            .expect("formatting into a string succeeds");
     }
     assert_golden("refusal_texts", &text);
 }
 
 #[test]
 fn errors_and_their_advice() {
-    let what = || "what is wrong".to_owned();
+    let cause = || "what is wrong".to_owned();
     let errors = [
-        ConsensusError::MalformedMessage(what()),
+        ConsensusError::MalformedMessage(cause()),
         ConsensusError::UnknownSender { from: 4, to: 1 },
-        ConsensusError::CorruptState(what()),
-        ConsensusError::Stopped(what()),
-        ConsensusError::InvalidConfiguration(what()),
+        ConsensusError::CorruptState(cause()),
+        ConsensusError::Stopped(cause()),
+        ConsensusError::InvalidConfiguration(cause()),
     ];
     let mut text = String::new();
     for error in errors {
-        writeln!(text, "{error}\n  advice: {}", error.advice()).expect("a string takes it");
+        writeln!(text, "{error}\n  advice: {}", error.advice())
+            .expect("formatting into a string succeeds");
     }
     assert_golden("error_texts", &text);
 }
@@ -39,10 +41,10 @@
     put(&[(name, 0, Some(body))], &[])
 }
 
-/// Changes that every state rejects, with their errors.
+/// Changes that are rejected whatever the replicated state is, with their errors.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-fn changes_that_are_refused_without_the_state() {
+fn changes_rejected_by_stateless_checks() {
     let rate = |rate: f64| {
         RecordBody::Rates(Rates {
             per_s: [("news".to_owned(), rate)].into(),
@@ -65,7 +67,7 @@
     let long_name = format!("seats/{}", "x".repeat(128));
     let mut not_written = single("workers/out", RecordBody::OutOfService(names(&[])));
     not_written.exclusive = names(&["seats/av1"]);
-    let unnamed = Change {
+    let without_expected_version = Change {
         put: [("workers/out".to_owned(), None)].into(),
         ..Change::default()
     };
@@ -83,18 +85,18 @@
         ("no records", Change::default()),
         ("too many records", many_records),
         ("too many bytes", huge),
-        ("a version that is not named", unnamed),
+        ("no expected version", without_expected_version),
         ("exclusive and not written", not_written),
         (
-            "a name without a folder",
+            "a name without a prefix",
             single("rates", RecordBody::Rates(rates())),
         ),
-        ("a name that is a folder", single("seats/", run(1))),
-        ("an unknown folder", single("colours/red", run(1))),
+        ("a name that is only a prefix", single("seats/", run(1))),
+        ("an unknown prefix", single("colours/red", run(1))),
         ("an unknown setting", single("settings/colour", run(1))),
         ("a name with a space", single("seats/av 1", run(1))),
         ("a long name", single(&long_name, run(1))),
-        ("another body", single("seats/av1", rate(1.0))),
+        ("a body of another kind", single("seats/av1", rate(1.0))),
         ("a rate below 0", single("settings/rates", rate(-1.0))),
         (
             "a rate that is no number",
@@ -121,17 +123,23 @@
             single("seats/av1", RecordBody::Pool(pool(1_000_001, &[]))),
         ),
         (
-            "more guaranteed than there are",
+            "more guaranteed seats than seats",
             single(
                 "seats/av1",
                 RecordBody::Pool(pool(9, &[("news", 5), ("sport", 5)])),
             ),
         ),
-        ("no run", single("seats/av1", run(0))),
-        ("longest run", single("seats/av1", run(86_400_000))),
-        ("too long a run", single("seats/av1", run(86_400_001))),
+        ("longest_run_ms of 0", single("seats/av1", run(0))),
         (
-            "a catalog with a bad figure",
+            "maximum longest_run_ms",
+            single("seats/av1", run(86_400_000)),
+        ),
+        (
+            "longest_run_ms above the maximum",
+            single("seats/av1", run(86_400_001)),
+        ),
+        (
+            "a catalog with an invalid number",
             single(
                 "sites/east",
                 catalog(Catalog {
@@ -153,35 +161,36 @@
     ];
     let mut text = String::new();
     for (label, change) in cases {
-        let word = change.check().map_or_else(
-            |refusal: ChangeError| refusal.to_string(),
-            |()| "may be taken".to_owned(),
+        let result = change.check().map_or_else(
+            |error: ChangeError| error.to_string(),
+            |()| "accepted".to_owned(),
         );
-        writeln!(text, "{label}: {word}").expect("a string takes it");
+        writeln!(text, "{label}: {result}").expect("formatting into a string succeeds");
     }
     for (name, body) in bodies() {
         for other in ["settings/rates", "workers/out", "seats/av1", "sites/east"] {
-            let word = match single(other, body.clone()).check() {
-                Ok(()) => "may be taken".to_owned(),
-                Err(refusal) => refusal.to_string(),
+            let result = match single(other, body.clone()).check() {
+                Ok(()) => "accepted".to_owned(),
+                Err(error) => error.to_string(),
             };
-            writeln!(text, "the body of {name} under {other}: {word}").expect("a string takes it");
+            writeln!(text, "the body of {name} under {other}: {result}")
+                .expect("formatting into a string succeeds");
         }
     }
     assert_golden("change_checks", &text);
 }
 
-/// What is said of voters and stored bytes of which no voter can be made.
+/// Errors of invalid voter groups and of persisted state from which no voter can start.
 #[test]
-fn voters_that_cannot_be_made() {
+fn errors_of_voters_that_cannot_start() {
     let nothing = PersistedState::default;
-    let stored = |durable: PersistedState| (1, vec![1, 2, 3], durable);
+    let stored = |persisted: PersistedState| (1, vec![1, 2, 3], persisted);
     let cases = [
         ("not one of the voters", (4, vec![1, 2, 3], nothing())),
         ("two voters", (1, vec![1, 2], nothing())),
         ("number 0", (0, vec![0, 1, 2], nothing())),
         (
-            "less than was committed",
+            "entries missing up to the commit index",
             stored(PersistedState {
                 hard_state: Some(vec![0x18, 9]),
                 ..nothing()
@@ -203,12 +212,12 @@
         ),
     ];
     let mut text = String::new();
-    for (label, (id, voters, durable)) in cases {
-        let word = match Voter::new(id, &voters, 1, &durable) {
-            Ok(_) => "a voter".to_owned(),
+    for (label, (id, voters, persisted)) in cases {
+        let result = match Voter::new(id, &voters, 1, &persisted) {
+            Ok(_) => "valid".to_owned(),
             Err(error) => error.to_string(),
         };
-        writeln!(text, "{label}: {word}").expect("a string takes it");
+        writeln!(text, "{label}: {result}").expect("formatting into a string succeeds");
     }
     assert_golden("bad_voters", &text);
 }
--- a/crates/consensus/tests/golden/voters.rs
+++ b/crates/consensus/tests/golden/voters.rs
@@ -1,6 +1,6 @@
-//! What three voters send each other and store, byte by byte, from an election to the transfer of a snapshot.
+//! The exact bytes that three voters send each other and store, from an election to the transfer of a snapshot.
 
-use crate::samples::{command, want};
+use crate::samples::{command, request_seats};
 use crate::state::history;
 use crate::{assert_golden, hex, json};
 use marbledeck_consensus::{
@@ -14,15 +14,15 @@
 use std::fmt::Write as _;
 
 const VOTERS: [u64; 3] = [1, 2, 3];
-const BOOT: u64 = 1_700_000_000_000_000;
+const INCARNATION: u64 = 1_700_000_000_000_000;
 /// More ticks than any election timeout.
-const MOST_TICKS: usize = 40;
+const MAX_TICKS: usize = 40;
 /// Commands after which every voter has written a snapshot.
-const MANY: usize = 2000;
-const BATCH: usize = 100;
+const COMMANDS_UNTIL_SNAPSHOT: usize = 2000;
+const COMMANDS_PER_ROUND: usize = 100;
 
 /// The name of a message's type in the consensus library's protocol.
-fn kind_of(bytes: &[u8]) -> &'static str {
+fn message_type(bytes: &[u8]) -> &'static str {
     let message = Message::parse_from_bytes(bytes).expect("a message of the library");
     match message.get_msg_type() {
         MessageType::MsgPropose => "propose",
@@ -41,42 +41,44 @@
     }
 }
 
-/// Stores a save as the node has it in its store: what a snapshot replaces goes, and what an entry overwrites.
-pub fn store(durable: &mut PersistedState, save: &PersistRequest) {
-    if let Some(hard) = &save.hard_state {
-        durable.hard_state = Some(hard.clone());
+/// Persists a request as a node's store does: removes the entries that its snapshot covers or its entries replace.
+pub fn store(persisted: &mut PersistedState, request: &PersistRequest) {
+    if let Some(hard_state) = &request.hard_state {
+        persisted.hard_state = Some(hard_state.clone());
     }
     if let Some(EncodedSnapshot {
         index,
         bytes: snapshot,
-    }) = &save.snapshot
+    }) = &request.snapshot
     {
-        durable.snapshot = Some(snapshot.clone());
-        durable
+        persisted.snapshot = Some(snapshot.clone());
+        persisted
             .entries
-            .retain(|(at, _)| !save.replaces_log && at > index);
+            .retain(|(entry_index, _)| !request.replaces_log && entry_index > index);
     }
-    if let Some((first, _)) = save.entries.first() {
-        durable.entries.retain(|(at, _)| at < first);
+    if let Some((first, _)) = request.entries.first() {
+        persisted
+            .entries
+            .retain(|(entry_index, _)| entry_index < first);
     }
-    durable.entries.extend(save.entries.iter().cloned());
+    persisted.entries.extend(request.entries.iter().cloned());
 }
 
-/// Three voters, whose messages arrive at once and in order.
+/// Three voters whose messages are delivered at once and in order.
 struct Group {
     voters: BTreeMap<u64, Voter>,
     stores: BTreeMap<u64, PersistedState>,
-    /// No message to this one or from it arrives.
+    /// The voter to and from which no messages are delivered.
     cut_off: Option<u64>,
     transcript: String,
     recording: bool,
-    kinds: BTreeSet<&'static str>,
+    sent_types: BTreeSet<&'static str>,
 }
 
 impl Group {
-    fn start(stores: BTreeMap<u64, PersistedState>, boot: u64) -> Self {
-        let voters = stores.iter().map(|(id, durable)| {
-            let voter = Voter::new(*id, &VOTERS, boot, durable).expect("a voter");
+    fn start(stores: BTreeMap<u64, PersistedState>, incarnation: u64) -> Self {
+        let voters = stores.iter().map(|(id, persisted)| {
+            let voter = Voter::new(*id, &VOTERS, incarnation, persisted).expect("a voter");
             (*id, voter)
         });
         Group {
@@ -85,7 +87,7 @@
             cut_off: None,
             transcript: String::new(),
             recording: true,
-            kinds: BTreeSet::new(),
+            sent_types: BTreeSet::new(),
         }
     }
 
@@ -93,73 +95,73 @@
         self.voters.get_mut(&id).expect("one of the voters")
     }
 
-    fn line(&mut self, line: &str) {
+    fn add_line(&mut self, line: &str) {
         if self.recording {
-            writeln!(self.transcript, "{line}").expect("a string takes it");
+            writeln!(self.transcript, "{line}").expect("formatting into a string succeeds");
         }
     }
 
     fn section(&mut self, title: &str) {
-        self.line(&format!("== {title}"));
+        self.add_line(&format!("== {title}"));
     }
 
-    /// Everything that a voter wants done now; tells whether there was anything.
-    fn work(&mut self, id: u64, messages: &mut Vec<(u64, u64, Vec<u8>)>) -> bool {
-        let work = self.voter(id).poll_effects();
-        let busy = !work.persist_requests.is_empty() || !work.messages.is_empty();
-        for save in &work.persist_requests {
-            self.save(id, save);
+    /// Does all work that a voter hands to its caller now; returns whether there was any.
+    fn process_effects(&mut self, id: u64, messages: &mut Vec<(u64, u64, Vec<u8>)>) -> bool {
+        let effects = self.voter(id).poll_effects();
+        let has_work = !effects.persist_requests.is_empty() || !effects.messages.is_empty();
+        for request in &effects.persist_requests {
+            self.persist(id, request);
         }
-        if let Some(question) = work.confirmed_read {
-            self.line(&format!("{id} confirms question {question}"));
+        if let Some(read) = effects.confirmed_read {
+            self.add_line(&format!("{id} confirms read {read}"));
         }
-        for AppliedCommand { command, outcome } in &work.applied {
+        for AppliedCommand { command, outcome } in &effects.applied {
             let (command, outcome) = (json(command), json(outcome));
-            self.line(&format!("{id} applies {command}: {outcome}"));
+            self.add_line(&format!("{id} applies {command}: {outcome}"));
         }
-        let sent = work
+        let sent = effects
             .messages
             .into_iter()
             .map(|OutgoingMessage { to, bytes }| (id, to, bytes));
         messages.extend(sent);
-        busy
+        has_work
     }
 
-    fn save(&mut self, id: u64, save: &PersistRequest) {
-        if let Some(hard) = &save.hard_state {
-            self.line(&format!("{id} stores hard state {}", hex(hard)));
+    fn persist(&mut self, id: u64, request: &PersistRequest) {
+        if let Some(hard_state) = &request.hard_state {
+            self.add_line(&format!("{id} stores hard state {}", hex(hard_state)));
         }
         if let Some(EncodedSnapshot {
             index,
             bytes: snapshot,
-        }) = &save.snapshot
+        }) = &request.snapshot
         {
-            let how = if save.replaces_log {
-                "for the log"
+            let mode = if request.replaces_log {
+                "in place of the log"
             } else {
-                "besides the log"
+                "beside the log"
             };
-            self.line(&format!(
-                "{id} stores snapshot {index} {how} {}",
+            self.add_line(&format!(
+                "{id} stores snapshot {index} {mode} {}",
                 hex(snapshot)
             ));
         }
-        for (index, entry) in &save.entries {
-            self.line(&format!("{id} stores entry {index} {}", hex(entry)));
+        for (index, entry) in &request.entries {
+            self.add_line(&format!("{id} stores entry {index} {}", hex(entry)));
         }
-        store(self.stores.get_mut(&id).expect("its store"), save);
-        self.voter(id).handle_persisted(save.ticket);
+        store(self.stores.get_mut(&id).expect("its store"), request);
+        self.voter(id).handle_persisted(request.ticket);
     }
 
-    /// Goes on until nobody has anything to do.
-    fn settle(&mut self) {
+    /// Delivers messages until no voter has work to do.
+    fn run_until_idle(&mut self) {
         loop {
             let mut messages = Vec::new();
-            let mut busy = false;
+            let mut has_work = false;
             for id in VOTERS {
-                busy |= self.work(id, &mut messages);
+                has_work |= self.process_effects(id, &mut messages);
             }
-            if !busy {
+            if !has_work {
                 return;
             }
             messages.sort_by_key(|(from, to, _)| (*from, *to));
@@ -173,57 +175,57 @@
         if self.cut_off == Some(from) || self.cut_off == Some(to) {
             return;
         }
-        let kind = kind_of(bytes);
+        let message_type = message_type(bytes);
         if self.recording {
-            self.kinds.insert(kind);
+            self.sent_types.insert(message_type);
         }
-        self.line(&format!("{from} to {to}, {kind}: {}", hex(bytes)));
+        self.add_line(&format!("{from} to {to}, {message_type}: {}", hex(bytes)));
         let received = self.voter(to).handle_message(from, bytes);
         received.expect("a message between voters");
     }
 
     fn tick(&mut self, id: u64) {
         self.voter(id).tick();
-        self.settle();
+        self.run_until_idle();
     }
 
-    /// Only this voter's time passes: it is the one that stands for election. How many ticks that takes is drawn at
-    /// random; what is sent does not depend on it.
+    /// Ticks only this voter, so that it is the one that starts an election. The number of ticks is random; the messages do
+    /// not depend on it.
     fn elect(&mut self, id: u64) {
-        for _ in 0..MOST_TICKS {
+        for _ in 0..MAX_TICKS {
             if self.voter(id).is_leader() {
                 return;
             }
             self.tick(id);
         }
-        panic!("voter {id} was not elected");
+        panic!("voter {id} was not elected within {MAX_TICKS} ticks");
     }
 
     fn propose(&mut self, by: u64, command: &Command) {
         self.voter(by).propose(command);
-        self.settle();
+        self.run_until_idle();
     }
 
-    fn book(&self, id: u64) -> &ReplicatedState {
+    fn state(&self, id: u64) -> &ReplicatedState {
         self.voters[&id].state()
     }
 
-    /// What is in each voter's store.
-    fn stored(&mut self) {
-        for (id, durable) in self.stores.clone() {
-            let hard = durable.hard_state.as_deref().map_or(String::new(), hex);
-            let snapshot = durable.snapshot.as_deref().map_or(String::new(), hex);
-            self.line(&format!("{id} has hard state {hard}"));
-            self.line(&format!("{id} has snapshot {snapshot}"));
-            for (index, entry) in &durable.entries {
-                self.line(&format!("{id} has entry {index} {}", hex(entry)));
+    /// Adds the contents of each voter's store to the transcript.
+    fn add_stored_state(&mut self) {
+        for (id, persisted) in self.stores.clone() {
+            let hard_state = persisted.hard_state.as_deref().map_or(String::new(), hex);
+            let snapshot = persisted.snapshot.as_deref().map_or(String::new(), hex);
+            self.add_line(&format!("{id} has hard state {hard_state}"));
+            self.add_line(&format!("{id} has snapshot {snapshot}"));
+            for (index, entry) in &persisted.entries {
+                self.add_line(&format!("{id} has entry {index} {}", hex(entry)));
             }
         }
     }
 }
 
-/// Changes nothing but the count of commands.
-pub fn idle_command() -> Command {
+/// A command that changes only the revision.
+pub fn no_op_command() -> Command {
     let free = LedgerCommand::FreeDrained {
         pool: "none".into(),
         draining_id: 0,
@@ -233,9 +235,9 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one history, step by step")]
-fn messages_between_voters_and_what_they_store() {
+fn messages_between_voters_and_their_stored_state() {
     let empty = VOTERS.map(|id| (id, PersistedState::default()));
-    let mut group = Group::start(empty.into(), BOOT);
+    let mut group = Group::start(empty.into(), INCARNATION);
     group.section("election of voter 1");
     group.elect(1);
 
@@ -245,48 +247,48 @@
         group.propose(by, &command);
     }
 
-    group.section("a reading at the leader, and a sign of life");
+    group.section("a read at the leader, and a heartbeat");
     group.voter(1).request_read(1);
     group.tick(1);
     group.tick(1);
 
-    group.section("a reading at a follower");
+    group.section("a read at a follower");
     group.voter(2).request_read(1);
     group.tick(2);
 
     group.section("voter 3 misses an entry");
     group.cut_off = Some(3);
-    let missed = command(2, 200, 3, Operation::Seats(want("av1", "news", 1)));
+    let missed = command(2, 200, 3, Operation::Seats(request_seats("av1", "news", 1)));
     group.propose(1, &missed);
     group.cut_off = None;
-    let next = command(2, 200, 4, Operation::Seats(want("av1", "news", 2)));
+    let next = command(2, 200, 4, Operation::Seats(request_seats("av1", "news", 2)));
     group.propose(1, &next);
 
-    group.section("voter 3 misses more than the log keeps");
+    group.section("voter 3 misses more entries than the log retains");
     group.cut_off = Some(3);
     group.recording = false;
-    for _ in 0..MANY / BATCH {
-        for _ in 0..BATCH {
-            group.voter(1).propose(&idle_command());
+    for _ in 0..COMMANDS_UNTIL_SNAPSHOT / COMMANDS_PER_ROUND {
+        for _ in 0..COMMANDS_PER_ROUND {
+            group.voter(1).propose(&no_op_command());
         }
-        group.settle();
+        group.run_until_idle();
     }
     group.recording = true;
-    let after = command(2, 200, 5, Operation::Seats(want("av1", "news", 3)));
+    let after = command(2, 200, 5, Operation::Seats(request_seats("av1", "news", 3)));
     group.propose(1, &after);
     group.cut_off = None;
-    for _ in 0..MOST_TICKS {
-        if group.book(3) == group.book(1) {
+    for _ in 0..MAX_TICKS {
+        if group.state(3) == group.state(1) {
             break;
         }
         group.tick(1);
     }
-    assert!(group.book(3) == group.book(1) && group.book(2) == group.book(1));
+    assert!(group.state(3) == group.state(1) && group.state(2) == group.state(1));
 
-    group.section("what is stored at the end");
-    group.stored();
-    let book = json(group.book(1));
-    group.line(&format!("state {book}"));
+    group.section("the stored state at the end");
+    group.add_stored_state();
+    let state = json(group.state(1));
+    group.add_line(&format!("state {state}"));
 
     let sent = [
         "append",
@@ -303,19 +305,19 @@
         "snapshot",
     ];
     assert_eq!(
-        group.kinds,
+        group.sent_types,
         BTreeSet::from(sent),
-        "every kind of message was sent"
+        "not every type of message was sent"
     );
     assert_golden("voters", &group.transcript);
 
-    // From what was stored, all of them go on where they were.
-    let mut restarted = Group::start(group.stores.clone(), BOOT + 1);
+    // All voters restart from their persisted state without losing anything.
+    let mut restarted = Group::start(group.stores.clone(), INCARNATION + 1);
     restarted.elect(1);
     for id in VOTERS {
         assert!(
-            restarted.book(id) == group.book(1),
-            "voter {id} lost something"
+            restarted.state(id) == group.state(1),
+            "voter {id} lost part of its state"
         );
     }
 }
