--- a/crates/consensus/src/command.rs
+++ b/crates/consensus/src/command.rs
@@ -15,7 +15,7 @@
     Changes,
 }
 
-/// What a command does.
+/// The operation of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "What")]
 pub enum Operation {
@@ -35,7 +35,7 @@
     pub incarnation: u64,
     /// Number in its sequence, from 1, so that a repeated command is applied only once. 0 for an idempotent command.
     pub number: u64,
-    /// What to do.
+    /// The operation.
     #[serde(rename = "what")]
     pub operation: Operation,
 }
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,6 +1,6 @@
 //! The errors of this crate, each with advice for operators.
 
-/// Why a change of records was rejected. No part of a rejected change is applied.
+/// The reason why a change of records was rejected. No part of a rejected change is applied.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, thiserror::Error)]
 #[serde(rename = "Refusal")]
 pub enum ChangeError {
@@ -29,7 +29,7 @@
     InvalidRecord {
         /// Name of the record.
         record: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         #[serde(rename = "what")]
         reason: String,
     },
@@ -41,7 +41,7 @@
         record: String,
         /// The key in its body.
         key: String,
-        /// What is wrong with the value.
+        /// Why the value is invalid.
         #[serde(rename = "what")]
         reason: String,
     },
@@ -59,7 +59,7 @@
 }
 
 impl ChangeError {
-    /// What an operator can do about it.
+    /// Advice for the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             ChangeError::VersionMismatch { .. } => {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Why a voter or a connection to one cannot work.
+/// An error of a voter, or of a connection to one.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConsensusError {
     /// A peer sent bytes that are not a valid message.
@@ -110,7 +110,7 @@
 }
 
 impl ConsensusError {
-    /// What an operator can do about it.
+    /// Advice for the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             ConsensusError::MalformedMessage(_) => {
--- a/crates/consensus/src/record.rs
+++ b/crates/consensus/src/record.rs
@@ -19,7 +19,7 @@
 pub struct Site {
     /// Address of its submission server.
     pub address: std::net::SocketAddr,
-    /// What the site offers.
+    /// The resources that the site offers.
     pub catalog: Catalog,
 }
 
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -43,7 +43,7 @@
 }
 
 impl ReplicatedState {
-    /// Applies a command. A repeated command changes nothing and returns the outcome of the first time.
+    /// Applies a command. A repeat changes nothing but the revision, and returns the stored outcome of its sequence.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         self.revision += 1;
         if command.number > 0 {
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Why this voter has stopped; `None` while it runs.
+    /// The reason why this voter has stopped; `None` while it runs.
     pub fn stop_reason(&self) -> Option<&str> {
         self.stop_reason.as_deref()
     }
--- a/crates/consensus/tests/golden/texts.rs
+++ b/crates/consensus/tests/golden/texts.rs
@@ -50,7 +50,7 @@
             per_s: [("news".to_owned(), rate)].into(),
         })
     };
-    let run = |longest_run_ms: u64| {
+    let pool_with_run = |longest_run_ms: u64| {
         RecordBody::Pool(Pool {
             longest_run_ms,
             ..pool(1, &[])
@@ -91,11 +91,20 @@
             "a name without a prefix",
             single("rates", RecordBody::Rates(rates())),
         ),
-        ("a name that is only a prefix", single("seats/", run(1))),
-        ("an unknown prefix", single("colours/red", run(1))),
-        ("an unknown setting", single("settings/colour", run(1))),
-        ("a name with a space", single("seats/av 1", run(1))),
-        ("a long name", single(&long_name, run(1))),
+        (
+            "a name that is only a prefix",
+            single("seats/", pool_with_run(1)),
+        ),
+        ("an unknown prefix", single("colours/red", pool_with_run(1))),
+        (
+            "an unknown setting",
+            single("settings/colour", pool_with_run(1)),
+        ),
+        (
+            "a name with a space",
+            single("seats/av 1", pool_with_run(1)),
+        ),
+        ("a long name", single(&long_name, pool_with_run(1))),
         ("a body of another kind", single("seats/av1", rate(1.0))),
         ("a rate below 0", single("settings/rates", rate(-1.0))),
         (
@@ -129,14 +138,14 @@
                 RecordBody::Pool(pool(9, &[("news", 5), ("sport", 5)])),
             ),
         ),
-        ("longest_run_ms of 0", single("seats/av1", run(0))),
+        ("longest_run_ms of 0", single("seats/av1", pool_with_run(0))),
         (
             "maximum longest_run_ms",
-            single("seats/av1", run(86_400_000)),
+            single("seats/av1", pool_with_run(86_400_000)),
         ),
         (
             "longest_run_ms above the maximum",
-            single("seats/av1", run(86_400_001)),
+            single("seats/av1", pool_with_run(86_400_001)),
         ),
         (
             "a catalog with an invalid number",
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// Why a store cannot be opened, or why a write failed.
+/// An error of opening a store or of writing to it.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The directory or the file in it cannot be accessed.
@@ -20,7 +20,7 @@
 }
 
 impl StoreError {
-    /// What an operator can do about it.
+    /// Advice for the operator.
     pub fn advice(&self) -> &'static str {
         match self {
             StoreError::Directory(_) => {
