--- a/crates/node/src/discovery/answer.rs
+++ b/crates/node/src/discovery/answer.rs
@@ -1,4 +1,4 @@
-//! The answers of discovery: each is read as its bytes come, and counts entry by entry.
+//! Reads the answers of discovery as their bytes arrive; each entry takes effect as soon as it is complete.
 
 use super::list_reader::{ListHeader, ListReader};
 use super::list_update::ListUpdate;
@@ -13,7 +13,8 @@
 use marbledeck_membership::MembershipChange;
 
 const HTTP_OK: u16 = 200;
-/// The most bytes of a list: none of them is held, and a call that takes too long is given up.
+/// The maximum length of a list. It costs no memory, since the bytes are not stored, and a call that takes too long
+/// is given up.
 const MAX_LIST_BYTES: usize = 32 * 1024 * 1024;
 
 /// An answer that has begun.
@@ -21,12 +22,12 @@
     /// The number of its list.
     list_number: u64,
     began_at: Micros,
-    /// Its head, and what is still to come of its body.
+    /// The response head and the state of the body; none until the head is complete.
     head: Option<(http::ResponseHead, Body)>,
     list: ListReader,
 }
 
-/// A call that has failed.
+/// Why a call has failed.
 pub(super) struct CallError {
     pub(super) fault: Fault,
     pub(super) message: String,
@@ -42,8 +43,9 @@
 }
 
 impl Discovery {
-    /// Reads what has come of the answer, and takes it in. Returns what the list says of itself, once it is complete.
-    pub(super) fn read(
+    /// Reads and applies the part of the answer that has arrived. Returns the list's header once the answer is
+    /// complete.
+    pub(super) fn read_answer(
         &mut self,
         now: Micros,
         token: Token,
@@ -55,12 +57,12 @@
             return Ok(None);
         };
         if !conn.input.is_empty() {
-            self.note_progress(now, fleet);
+            self.record_progress(now, fleet);
             self.read_head(conn)?;
         }
-        let taken = self.take_content(conn);
+        let decoded = self.decode_content(conn);
         self.apply_content(now, fleet, core)?;
-        taken?;
+        decoded?;
         let answer = self.call.as_ref().and_then(|call| call.answer.as_ref());
         if let Some((answer, (head, body))) = answer.and_then(|a| Some((a, a.head.as_ref()?))) {
             if body.is_done() || conn.eof && body.ends_with_connection() {
@@ -82,12 +84,14 @@
                 message: "no connection".to_owned(),
             })
         } else {
-            Err(CallError::broken("the connection broke"))
+            Err(CallError::broken(
+                "the connection ended before the answer was complete",
+            ))
         }
     }
 
-    /// Bytes of the answer have come.
-    fn note_progress(&mut self, now: Micros, fleet: &mut Fleet) {
+    /// Records that bytes of the answer have arrived, and begins a new list with the first of them.
+    fn record_progress(&mut self, now: Micros, fleet: &mut Fleet) {
         let Some(call) = &mut self.call else {
             return;
         };
@@ -97,7 +101,7 @@
         }
         fleet.members.begin_full_list(self.source);
         let list_number = fleet.members.list_number(self.source);
-        let began_at = self.quiet_at.max(call.sent_at);
+        let began_at = self.input_empty_at.max(call.sent_at);
         self.trust.begin_answer(list_number, began_at);
         call.answer = Some(Answer {
             list_number,
@@ -107,7 +111,7 @@
         });
     }
 
-    /// Reads the answer's head, where it has not been read and has come completely.
+    /// Parses the response head once it has arrived completely.
     fn read_head(&mut self, conn: &mut Connection) -> Result<(), CallError> {
         let answer = self.call.as_mut().and_then(|call| call.answer.as_mut());
         let Some(answer) = answer.filter(|answer| answer.head.is_none()) else {
@@ -131,17 +135,17 @@
         Ok(())
     }
 
-    /// Takes the bytes of the list out of the message.
-    fn take_content(&mut self, conn: &mut Connection) -> Result<(), CallError> {
+    /// Decodes the body bytes that have arrived into `self.content`.
+    fn decode_content(&mut self, conn: &mut Connection) -> Result<(), CallError> {
         let answer = self.call.as_mut().and_then(|call| call.answer.as_mut());
         if let Some((_, body)) = answer.and_then(|answer| answer.head.as_mut()) {
-            let taken = body.take(conn.input.all(), &mut self.content);
-            conn.input.consume(taken.map_err(CallError::broken)?);
+            let consumed = body.take(conn.input.all(), &mut self.content);
+            conn.input.consume(consumed.map_err(CallError::broken)?);
         }
         Ok(())
     }
 
-    /// Takes in the entries that have come completely; those before a fault count.
+    /// Applies the entries that have arrived completely. Entries before a malformed one take effect, too.
     fn apply_content(
         &mut self,
         now: Micros,
@@ -152,8 +156,8 @@
         let Some(mut answer) = self.call.as_mut().and_then(|call| call.answer.take()) else {
             return Ok(());
         };
-        let mut update = self.update(now, fleet);
-        let pushed = answer.list.push(&content, &mut |text| update.apply(text));
+        let mut update = self.new_update(now, fleet);
+        let result = answer.list.push(&content, &mut |text| update.apply(text));
         let change = update.change;
         fleet.apply_change(now, change, core);
         if let Some(call) = &mut self.call {
@@ -161,10 +165,10 @@
         }
         self.content = content;
         self.content.clear();
-        pushed.map_err(CallError::broken)
+        result.map_err(CallError::broken)
     }
 
-    pub(super) fn update<'a>(&'a self, now: Micros, fleet: &'a mut Fleet) -> ListUpdate<'a> {
+    pub(super) fn new_update<'a>(&'a self, now: Micros, fleet: &'a mut Fleet) -> ListUpdate<'a> {
         ListUpdate {
             now,
             source: self.source,
@@ -174,7 +178,8 @@
         }
     }
 
-    /// The list has come completely: all that it says was taken in entry by entry.
+    /// Finishes a list whose entries have all been applied: removes the workers that a complete list does not name, and
+    /// trusts the list.
     pub(super) fn complete_list(
         &mut self,
         now: Micros,
@@ -190,7 +195,7 @@
             revision, entries, ..
         } = header;
         log::debug!(
-            "directory: revision {revision}, {entries} lines, after {} us",
+            "directory: revision {revision}, {entries} entries, after {} us",
             (now - sent_at).0
         );
         self.revision = revision;
@@ -200,12 +205,12 @@
         if header.is_complete {
             change.append(fleet.members.sweep_all_missing(now, self.source));
         }
-        // After what is new: only those that are still named are trusted again.
+        // Last, so that only workers that are still listed become trusted again.
         change.append(self.restore_trust(now, fleet));
         fleet.apply_change(now, change, core);
     }
 
-    /// Sends by all that the list names again, unless it has become too old while it was read.
+    /// Routes requests to all listed workers again, unless the list became too old while it was read.
     fn restore_trust(&mut self, now: Micros, fleet: &mut Fleet) -> MembershipChange {
         let was_limited = self.trust.complete_answer();
         let was_distrusted = std::mem::take(&mut self.is_distrusted);
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery writes it, and the reports that it stands for.
+//! The endpoint list in discovery's format, and its conversion from and to membership reports.
 
 use super::MAX_WORKERS;
 use crate::clock::Clock;
@@ -11,16 +11,17 @@
 const REMOVED: &str = "removed";
 /// The phase of a worker that takes requests.
 const UP: &str = "up";
-/// The phase of a worker that finishes what it has.
+/// The phase of a worker that only finishes its current requests.
 const DRAINING: &str = "draining";
-/// The names of the sources that a successor has by itself, or is passed in another way.
-const OWN_SOURCES: [&str; 2] = ["directory", "static"];
+/// The sources whose reports are not handed over by [`entries_of_other_sources`]: a successor reads the static workers
+/// itself, and gets the directory's list as part of the discovery state.
+const SOURCES_NOT_HANDED_OVER: [&str; 2] = ["directory", "static"];
 
-/// A list, or the part of one that has changed.
+/// A complete list, or the part of it that has changed.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(rename = "Listing")]
 pub struct EndpointList {
-    /// Which state of the list this is; later ones are greater.
+    /// The revision of the list, which grows with each change.
     pub revision: u64,
     /// Whether this is the complete list.
     #[serde(default)]
@@ -30,11 +31,11 @@
     pub endpoints: Vec<EndpointEntry>,
 }
 
-/// A worker, as a list has it. Its texts may belong to the list.
+/// A worker's entry in a list. Its strings may be borrowed from the list's text.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename = "Member")]
 pub struct EndpointEntry<Text = String> {
-    /// Its id.
+    /// The worker's id.
     pub id: Text,
     /// Its IP address and port.
     #[serde(rename = "host_port")]
@@ -42,16 +43,16 @@
     /// The name of its zone.
     #[serde(default, rename = "locality")]
     pub zone: Text,
-    /// The name of its kind.
+    /// The name of its kind of machine.
     #[serde(default, rename = "flavor")]
     pub kind: Text,
     /// Its cell.
     #[serde(default)]
     pub cell: Option<u32>,
-    /// Whether it takes requests.
+    /// Whether it takes requests: `up`, `draining` or `removed`.
     #[serde(default)]
     pub phase: Text,
-    /// When it started, in Unix milliseconds; 0 for long ago.
+    /// When its process last started, in Unix milliseconds; 0 if long ago.
     #[serde(default)]
     pub up_since_ms: u64,
 }
@@ -62,17 +63,19 @@
         self.phase.as_ref() == REMOVED
     }
 
-    /// What the entry reports.
+    /// Converts the entry to a report.
     pub fn report(&self) -> ListedReport<'_> {
         let address = self.address.as_ref();
         let parsed = address.parse().ok();
         if parsed.is_none() && !self.is_removed() {
-            log::warn!("directory: '{address}' is no address");
+            log::warn!(
+                "directory: '{address}' is not an IP address and port; its worker gets no requests"
+            );
         }
         ListedReport {
             id: self.id.as_ref(),
             address: parsed,
-            // An unknown phase is no invitation to send there.
+            // A worker in an unknown phase gets no requests.
             status: match self.phase.as_ref() {
                 UP => Status::Up,
                 DRAINING => Status::Draining,
@@ -108,17 +111,17 @@
     }
 }
 
-/// What these entries report.
+/// Converts entries to reports.
 pub fn to_reports(entries: &[EndpointEntry]) -> Vec<SourceReport> {
     let reports = entries.iter().map(|entry| entry.report().to_report());
     reports.collect()
 }
 
-/// The reports of all sources besides discovery and the operator file, by the sources' names: for a successor.
+/// The reports of all sources except discovery and the static workers, by source name, for a successor process.
 pub fn entries_of_other_sources(members: &Membership) -> BTreeMap<String, Vec<EndpointEntry>> {
     let mut entries = BTreeMap::new();
     for (source, name) in members.source_names() {
-        if OWN_SOURCES.contains(&name) {
+        if SOURCES_NOT_HANDED_OVER.contains(&name) {
             continue;
         }
         let reports = members.reports(source).take(MAX_WORKERS);
--- a/crates/node/src/discovery/list_reader.rs
+++ b/crates/node/src/discovery/list_reader.rs
@@ -1,57 +1,57 @@
-//! Reads an endpoint list as its bytes come, in any form that JSON allows: nothing of it is held but one entry.
+//! Reads an endpoint list as its bytes arrive, in any form that JSON allows. No more than one entry is held in memory.
 
 use marbledeck_json_splitter::{Part, SplitError, Splitter};
 
-/// The most bytes of an entry.
+/// The maximum length of an entry.
 const MAX_ENTRY_BYTES: usize = 4 * 1024;
 /// The key of the entries.
 const ENTRIES: &str = "members";
 /// The key of the list's revision.
 const REVISION: &str = "revision";
-/// The key that tells whether this is the complete list.
+/// The key of the flag that marks a complete list.
 const COMPLETE: &str = "complete";
 
-/// Why bytes are no endpoint list.
+/// Why an endpoint list cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// They are no JSON, or nested too deep, or an entry is too long.
+    /// The bytes are not JSON, nested too deep, or hold an entry that is too long.
     #[error("the list cannot be read: {0}")]
     Split(#[from] SplitError),
-    /// An entry lacks a field, or has one of another type.
+    /// An entry lacks a field or has one of the wrong type.
     #[error("an entry cannot be read: {0}")]
     Entry(#[from] serde_json::Error),
-    /// An entry is no UTF-8.
-    #[error("an entry is no text: {0}")]
-    NoText(#[from] std::str::Utf8Error),
-    /// An entry is no object, or there is no array of entries.
+    /// An entry is not UTF-8.
+    #[error("an entry is not valid UTF-8: {0}")]
+    InvalidUtf8(#[from] std::str::Utf8Error),
+    /// `members` holds a scalar where an object is expected.
     #[error("`members` is no array of objects")]
-    NoEntries,
-    /// The revision is missing, or is no number.
-    #[error("the list has no revision")]
-    NoRevision,
+    InvalidEntries,
+    /// The revision is missing or is not an unsigned integer.
+    #[error("the list has no revision that is an unsigned integer")]
+    InvalidRevision,
     /// `complete` is neither true nor false.
     #[error("`complete` is neither true nor false")]
-    BadComplete,
-    /// The list names more workers than a node can hold.
+    InvalidComplete,
+    /// The list names more workers than a node supports.
     #[error("the list names more than {0} workers")]
     TooManyWorkers(usize),
-    /// The answer has ended before the list did.
+    /// The answer ended before the list did.
     #[error("the list is cut short")]
     Truncated,
 }
 
-/// What a list says of itself.
+/// The fields of a list beside its entries, and the number of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListHeader {
-    /// Which state of the list this is; later ones are greater.
+    /// The revision of the list, which grows with each change.
     pub revision: u64,
-    /// Whether this is the complete list; else the part of it that has changed.
+    /// Whether this is the complete list; otherwise it holds only what has changed.
     pub is_complete: bool,
-    /// How many entries it has.
+    /// The number of entries.
     pub entries: usize,
 }
 
-/// Reads one list.
+/// An incremental reader of one list.
 pub struct ListReader {
     splitter: Splitter,
     revision: Option<u64>,
@@ -71,49 +71,49 @@
 }
 
 impl ListReader {
-    /// Takes the bytes that have come, and hands out the text of each entry that ends in them.
+    /// Reads the next bytes and calls `on_entry` with the text of each entry that ends in them.
     ///
     /// # Errors
-    /// The bytes are no list, or `apply` has failed.
+    /// The bytes are no list, or `on_entry` has failed.
     pub fn push(
         &mut self,
         bytes: &[u8],
-        apply: &mut impl FnMut(&[u8]) -> Result<(), ListError>,
+        on_entry: &mut impl FnMut(&[u8]) -> Result<(), ListError>,
     ) -> Result<(), ListError> {
         let (revision, is_complete) = (&mut self.revision, &mut self.is_complete);
         let entries = &mut self.entries;
         self.splitter.push(bytes, &mut |part| match part {
             Part::Element(text) => {
                 *entries += 1;
-                apply(text)
+                on_entry(text)
             }
             Part::Scalar { key, text, .. } if key == REVISION => {
                 let digits = std::str::from_utf8(text).unwrap_or_default();
-                *revision = Some(digits.parse().map_err(|_| ListError::NoRevision)?);
+                *revision = Some(digits.parse().map_err(|_| ListError::InvalidRevision)?);
                 Ok(())
             }
             Part::Scalar { text, .. } => {
                 *is_complete = match text {
                     b"true" => true,
                     b"false" => false,
-                    _ => return Err(ListError::BadComplete),
+                    _ => return Err(ListError::InvalidComplete),
                 };
                 Ok(())
             }
-            Part::UnexpectedScalar => Err(ListError::NoEntries),
+            Part::UnexpectedScalar => Err(ListError::InvalidEntries),
         })
     }
 
-    /// The answer has ended. Returns what the list says of itself.
+    /// Ends the list and returns its header.
     ///
     /// # Errors
-    /// It is not complete, or has no revision.
+    /// The JSON is cut short, or the list has no revision.
     pub fn finish(&self) -> Result<ListHeader, ListError> {
         if !self.splitter.is_complete() {
             return Err(ListError::Truncated);
         }
         Ok(ListHeader {
-            revision: self.revision.ok_or(ListError::NoRevision)?,
+            revision: self.revision.ok_or(ListError::InvalidRevision)?,
             is_complete: self.is_complete,
             entries: self.entries,
         })
--- a/crates/node/src/discovery/list_update.rs
+++ b/crates/node/src/discovery/list_update.rs
@@ -1,4 +1,4 @@
-//! Takes the entries of a list into the membership, one after the other as they come.
+//! Applies the entries of an endpoint list to the membership one by one as they arrive.
 
 use super::endpoint_list::EndpointEntry;
 use super::list_reader::ListError;
@@ -7,29 +7,29 @@
 use marbledeck_membership::{EntryDigest, Membership, MembershipChange, SourceId};
 use std::hash::BuildHasher;
 
-/// The most workers that discovery may name: more than twice as many as the largest fleet has. What a node needs for
-/// them fits into the smallest limit on memory.
+/// The maximum number of workers that discovery may name: more than twice the size of the largest fleet. The memory
+/// that a node needs for them fits into the smallest memory limit.
 pub const MAX_WORKERS: usize = 8192;
 
-/// The way of a list's entries into the membership.
+/// A batch of entries that is applied to the membership.
 pub struct ListUpdate<'a> {
-    /// The time of this turn.
+    /// The time of this turn of the event loop.
     pub now: Micros,
-    /// The source that discovery is.
+    /// The source under which discovery reports.
     pub source: SourceId,
-    /// The key of the entries' digests, which nobody else knows.
+    /// The secret hash key of the entries' digests.
     pub digest_key: &'a RandomState,
     /// The membership.
     pub members: &'a mut Membership,
-    /// What has changed.
+    /// The changes so far.
     pub change: MembershipChange,
 }
 
 impl ListUpdate<'_> {
-    /// Takes an entry in. One with the same text as before needs no more than its digest.
+    /// Applies the text of an entry. An entry with the same text as before is recognised by its digest and not parsed.
     ///
     /// # Errors
-    /// The text is no entry, or there are too many workers.
+    /// The text is not an entry, or there are too many workers.
     pub fn apply(&mut self, text: &[u8]) -> Result<(), ListError> {
         let digest = EntryDigest(self.digest_key.hash_one(text));
         let (now, source) = (self.now, self.source);
@@ -38,7 +38,7 @@
             return Ok(());
         }
         let text = std::str::from_utf8(text)?;
-        // Texts with escapes cannot be borrowed.
+        // Strings with escapes cannot be borrowed from the text, so they need an owned entry.
         if let Ok(entry) = serde_json::from_str::<EndpointEntry<&str>>(text) {
             self.apply_entry(&entry, Some(digest));
         } else {
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// Takes in an entry that was read already, from a text of this digest.
+    /// Applies a parsed entry; `digest` is that of its text.
     pub fn apply_entry<Text: AsRef<str>>(
         &mut self,
         entry: &EndpointEntry<Text>,
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! The client of discovery: watches the endpoint list, one call after the other, and passes its changes on to the
-//! fleet.
+//! The client of the discovery service: watches the endpoint list with one call after another and applies its changes
+//! to the fleet.
 
 mod answer;
 mod endpoint_list;
@@ -27,36 +27,36 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A wait that took longer was no glance at what had come before.
-const MIN_SLEEP: Micros = Micros(5_000);
+/// A wait for events that took longer than this did block, so the events that ended it arrived just now.
+const MIN_BLOCKING_WAIT: Micros = Micros(5_000);
 
-/// What a successor can start from.
+/// The state of discovery that is handed over to a successor process.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct DiscoveryState {
-    /// The ids of the workers that are out of service by hand.
+    /// The ids of the workers that operators have taken out of service.
     #[serde(rename = "out")]
     pub out_of_service: BTreeSet<String>,
-    /// The endpoint list as discovery sent it last.
+    /// The endpoint list as discovery last sent it.
     pub list: EndpointList,
-    /// In so many microseconds a change that was missed may count as notified; none where nothing is in doubt.
+    /// The microseconds until a missed change may count as notified; none if no change can have been missed.
     #[serde(default, rename = "told_in_us")]
     pub notified_in_us: Option<u64>,
 }
 
-/// A call that is not answered yet.
+/// A call that has not been answered completely.
 struct Call {
     token: Token,
     sent_at: Micros,
-    /// What has come of its answer; none where nothing has.
+    /// The part of its answer that has arrived; none before the first byte.
     answer: Option<Answer>,
 }
 
-/// What a wait for events has shown of the connection to discovery.
+/// What a wait for events has shown about the connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitFinding {
-    /// Nothing has come there.
+    /// No input has arrived there.
     Nothing,
-    /// Something has, or may have: the wait was interrupted, or there were more events than one reports.
+    /// Input has or may have arrived: the wait was interrupted, or there were more events than one wait reports.
     Something,
 }
 
@@ -64,27 +64,27 @@
 pub struct Discovery {
     address: SocketAddr,
     source: SourceId,
-    /// The revision of the list that this node has.
+    /// The revision of this node's list.
     revision: u64,
     call: Option<Call>,
     staleness: StalenessTracker,
-    /// When the next call is due, while there is none.
+    /// When the next call is due, if none is open.
     next_call: Option<Micros>,
-    /// Which lists may be sent by.
+    /// Which lists may be used to route requests.
     trust: ListTrust,
-    /// The list is too old: its workers count as draining.
+    /// Whether the list is too old, so that its workers count as draining.
     is_distrusted: bool,
-    /// At this moment nothing that had come from discovery was unread.
-    quiet_at: Micros,
+    /// The latest moment at which all input from discovery was known to have been read.
+    input_empty_at: Micros,
     digest_key: RandomState,
-    /// The bytes of a body that were taken out of a message; empty between two events, kept for its allocation.
+    /// The decoded bytes of an answer's body. Empty between two events; the buffer is kept to reuse its allocation.
     content: Vec<u8>,
-    /// An open connection between two calls.
+    /// The connection that stays open between two calls.
     idle: Option<Token>,
 }
 
 impl Discovery {
-    /// Watches discovery at this address, which is this source of the fleet.
+    /// Creates a client that watches discovery at this address and reports as this source of the fleet.
     pub fn new(
         address: SocketAddr,
         source: SourceId,
@@ -97,29 +97,29 @@
             revision: 0,
             call: None,
             staleness,
-            // At once, whatever the settings call the way of the lists.
+            // The first call is due at once, whether lists are pushed or not.
             next_call: Some(Micros(0)),
             trust,
             is_distrusted: false,
-            quiet_at: Micros(0),
+            input_empty_at: Micros(0),
             digest_key: RandomState::default(),
             content: Vec::new(),
             idle: None,
         }
     }
 
-    /// What a successor can start from: the list as it came last, and who is out of service by hand.
+    /// The state for a successor process: the latest list and the workers that operators have taken out of service.
     pub fn state(&self, now: Micros, members: &Membership) -> DiscoveryState {
-        // A discovery service that is only being moved to counts its revisions in its own way.
+        // Revisions of different discovery services cannot be compared, and during a move the list is the old one's.
         let revision = if self.staleness.is_moving() {
             0
         } else {
             self.revision
         };
         let endpoints = members.reports(self.source).map(EndpointEntry::from);
-        let mut notified_at = self.staleness.doubt_for_successor();
+        let mut notified_at = self.staleness.notified_at_for_successor();
         if self.trust.is_behind() {
-            // What discovery has written, and this process has not read, counts as notified already.
+            // Changes that discovery has written already count as notified, even if this process has not read them.
             notified_at = Some(now);
         }
         DiscoveryState {
@@ -133,17 +133,18 @@
         }
     }
 
-    /// Takes over the doubt of the process that this one replaces.
+    /// Takes over the staleness of the process that this one replaces.
     pub fn inherit_doubt(&mut self, now: Micros, notified_in_us: Option<u64>) {
         match notified_in_us {
             None => {}
-            // Nobody knows for how long it has: the list is of no use before the first answer.
+            // It is unknown since when changes have counted as notified, so the list is unusable before the first
+            // answer.
             Some(0) => self.staleness.inherit_doubt(Micros(0)),
             Some(notified_in) => self.staleness.inherit_doubt(now + Micros(notified_in)),
         }
     }
 
-    /// Starts from the list that this node had last; it may be old.
+    /// Starts from the list that this node had last, which may be outdated.
     pub fn load_cached_list(
         &mut self,
         now: Micros,
@@ -153,7 +154,7 @@
     ) {
         self.revision = list.revision;
         fleet.members.begin_full_list(self.source);
-        let mut update = self.update(now, fleet);
+        let mut update = self.new_update(now, fleet);
         for entry in list.endpoints.iter().take(MAX_WORKERS) {
             update.apply_entry(entry, None);
         }
@@ -161,17 +162,17 @@
         fleet.apply_change(now, change, core);
     }
 
-    /// The revision of the list that this node has.
+    /// The revision of this node's list.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The connection on which an answer may come.
+    /// The connection of the open call.
     pub fn awaited(&self) -> Option<Token> {
         self.call.as_ref().map(|call| call.token)
     }
 
-    /// When [`Discovery::wake`] is next wanted.
+    /// When [`Discovery::wake`] has to be called next.
     pub fn next_wake(&self) -> Option<Micros> {
         let call = self.staleness.call_deadline().or(self.next_call);
         let expiry = self.trust.next_expiry();
@@ -181,44 +182,45 @@
             .min()
     }
 
-    /// When the list becomes too old to send by, unless discovery answers before.
+    /// When the list becomes too old to route requests by, unless discovery answers before.
     fn distrusted_at(&self) -> Option<Micros> {
         let trusted_until = self.staleness.trusted_until();
         let trusted_until = trusted_until.filter(|_| !self.is_distrusted);
         trusted_until.map(|trusted_until| trusted_until - SEND_MARGIN)
     }
 
-    /// The loop has waited for events from one moment to the other, and `found` tells what it has heard of the awaited
-    /// connection.
+    /// Records that the event loop waited for events between two moments, and whether the connection of the open call
+    /// had input.
     pub fn note_wait(&mut self, from: Micros, to: Micros, found: WaitFinding) {
-        // What ends a sleep has come just now; what was there when the loop began to wait may have come since it last
-        // looked.
-        if found == WaitFinding::Nothing || to - from > MIN_SLEEP {
-            self.quiet_at = to;
+        // Input that ended a blocking wait arrived just now. Input that was already there when the wait began may have
+        // arrived at any time since the previous check.
+        if found == WaitFinding::Nothing || to - from > MIN_BLOCKING_WAIT {
+            self.input_empty_at = to;
         }
     }
 
-    /// Stops trusting a list that is too old, gives up a silent call, and makes the next call when it is due.
+    /// Stops trusting a list that is too old, gives up a call that has timed out, and makes the next call when it is
+    /// due.
     pub fn wake(&mut self, now: Micros, fleet: &mut Fleet, net: &mut Net, core: &mut Core) {
         let is_due = |due: Option<Micros>| due.is_some_and(|due| due <= now);
-        self.limit_trust(now, fleet, core);
+        self.enforce_trust(now, fleet, core);
         match self.call {
             Some(_) if is_due(self.staleness.call_deadline()) => {
                 self.handle_failure(now, Fault::Silent, "no answer in time", net);
-                self.limit_trust(now, fleet, core);
+                self.enforce_trust(now, fleet, core);
             }
             None if is_due(self.next_call) => self.watch(now, net),
             _ => {}
         }
     }
 
-    /// Sees to it that nothing is sent by a list that discovery may have outdated.
-    fn limit_trust(&mut self, now: Micros, fleet: &mut Fleet, core: &mut Core) {
+    /// Stops routing requests by lists that may be outdated.
+    fn enforce_trust(&mut self, now: Micros, fleet: &mut Fleet, core: &mut Core) {
         if let Some(since) = self.trust.expire(now) {
             let ms = since.0 / 1000;
             log::warn!(
-                "directory: an answer that began {ms} ms ago is not complete in time; the workers that it has not \
-                 named get nothing new"
+                "directory: an answer that began {ms} ms ago is not complete in time; workers that it has not yet \
+                 listed get no new requests"
             );
         }
         if self.distrusted_at().is_some_and(|due| due <= now) {
@@ -229,10 +231,11 @@
         }
         if self.is_distrusted {
             let list_number = fleet.members.list_number(self.source);
-            // What an answer names that is just being read is newer than all that is in doubt.
+            // Entries of the answer that is being read are newer than any change that may have been missed.
             let is_answering = self.call.as_ref().is_some_and(|call| call.answer.is_some());
-            let names_current = is_answering && !self.staleness.lists_are_pushed();
-            self.trust.limit(list_number + u64::from(!names_current));
+            let is_reading_current_list = is_answering && !self.staleness.lists_are_pushed();
+            self.trust
+                .limit(list_number + u64::from(!is_reading_current_list));
         }
         let trusted_from = self.trust.trusted_from();
         if trusted_from > fleet.members.trusted_from_list(self.source) {
@@ -243,13 +246,13 @@
         }
     }
 
-    /// Moves to another discovery service at once: the old one may be about to end. The list stays until the new one
-    /// has sent its own, complete, since its revisions may be others.
+    /// Moves to another discovery service at once, since the old one may be about to stop. The node keeps its list
+    /// until the new service has sent a complete one; revisions of different services cannot be compared.
     pub fn move_to(&mut self, now: Micros, address: SocketAddr, net: &mut Net) {
         if address == self.address {
             return;
         }
-        log::info!("directory: now at {address}");
+        log::info!("directory: moved to {address}");
         let call = self.call.take().map(|call| call.token);
         for token in call.into_iter().chain(self.idle.take()) {
             net.close(token);
@@ -259,7 +262,7 @@
         self.watch(now, net);
     }
 
-    /// Begins to watch, unless it does already.
+    /// Makes the next call, unless one is open.
     pub fn watch(&mut self, now: Micros, net: &mut Net) {
         if self.call.is_some() {
             return;
@@ -276,7 +279,7 @@
             Err(e) => {
                 let fault = match e.kind() {
                     io::ErrorKind::ConnectionRefused => Fault::Unreachable,
-                    // No descriptor, say: discovery may well be there.
+                    // A local failure, such as a lack of descriptors, shows nothing about discovery.
                     _ => Fault::Refused,
                 };
                 return self.handle_failure(now, fault, &e.to_string(), net);
@@ -289,7 +292,12 @@
             answer: None,
         });
         if !net.write(token, request.as_bytes()) {
-            self.handle_failure(now, Fault::Refused, "the request does not fit", net);
+            self.handle_failure(
+                now,
+                Fault::Refused,
+                "the request does not fit into the send buffer",
+                net,
+            );
         }
     }
 
@@ -306,7 +314,7 @@
         )
     }
 
-    /// Something has come from discovery.
+    /// Handles an event on a connection to discovery.
     pub fn handle_event(
         &mut self,
         now: Micros,
@@ -323,31 +331,32 @@
             return;
         };
         if conn.input.is_empty() && !conn.eof && !conn.broken {
-            self.quiet_at = now;
+            self.input_empty_at = now;
             return;
         }
-        match self.read(now, token, fleet, net, core) {
+        match self.read_answer(now, token, fleet, net, core) {
             Ok(None) => {}
             Ok(Some(header)) => {
                 self.complete_list(now, header, fleet, core);
-                // A watch goes on only where the next call comes soon after the answer: now.
+                // Discovery continues a watch only if the next call follows its answer soon, so it is made now.
                 self.watch(now, net);
             }
             Err(error) => {
                 self.handle_failure(now, error.fault, &error.message, net);
-                self.limit_trust(now, fleet, core);
+                self.enforce_trust(now, fleet, core);
             }
         }
     }
 
-    /// The call has failed: the list stays, and is asked for again soon, since the rule's delay may be running.
+    /// Handles a failed call. The node keeps its list and calls again soon, since a missed change may count as notified
+    /// shortly.
     fn handle_failure(&mut self, now: Micros, fault: Fault, message: &str, net: &mut Net) {
         if let Some(call) = self.call.take() {
             net.close(call.token);
         }
         let next_call = self.staleness.handle_failure(now, fault);
-        let pause_ms = (next_call - now).0 / 1000;
-        log::warn!("directory: {message}; asked again in {pause_ms} ms");
+        let retry_delay_ms = (next_call - now).0 / 1000;
+        log::warn!("directory: {message}; asked again in {retry_delay_ms} ms");
         self.next_call = Some(next_call);
     }
 }
--- a/crates/node/src/discovery/staleness.rs
+++ b/crates/node/src/discovery/staleness.rs
@@ -1,48 +1,51 @@
-//! When discovery is called, and until when its endpoint list may be trusted. No input or output: the client in the
-//! module above calls when this module says so, and reports what has become of each call.
+//! Decides when discovery is called and until when its endpoint list may be trusted.
 //!
-//! The platform's rule: whatever becomes of a call, a change counts as notified [`NOTIFICATION_DELAY`] after discovery
-//! had it and could be reached. So after each call that was not answered there is a moment since when something may
-//! have been missed, and the list is trusted for no longer than that, the rule's delay and the drain's grace.
-//! `docs/fleet.md` has the table.
+//! The module does no I/O: [`Discovery`](super::Discovery) calls when this module says so and reports the outcome of
+//! each call.
+//!
+//! The platform's rule: a change counts as notified [`NOTIFICATION_DELAY`] after discovery had it and could be reached,
+//! whatever becomes of the node's calls. After an unanswered call, a change may therefore have been missed since some
+//! moment, and the list is trusted until that moment plus the notification delay and the drain grace. `docs/fleet.md`
+//! has the table.
 
 use marbledeck_dispatcher::Micros;
 
-/// The platform's rule (protocol page, Figures; standing test): a change counts as notified so long after discovery had
-/// it and could be reached.
+/// The time after which a change counts as notified, from the moment when discovery had it and could be reached
+/// (platform rule: protocol page, Figures; standing test).
 pub const NOTIFICATION_DELAY: Micros = Micros(6_000_000);
-/// What a new discovery service has counts as notified so long after the move to it (SIGHUP).
+/// The time after which the list of a new discovery service counts as notified, from the move to it (SIGHUP).
 pub const MOVE_DELAY: Micros = Micros(4_000_000);
 
-/// How much longer than its wait a call may take: discovery handles its calls one after another. A watch that has been
-/// open for longer is one that discovery holds.
-const QUEUE_TIME: Micros = Micros(1_200_000);
-/// How long a call that is to end a doubt may wait for its turn: longer than discovery lets any wait.
-const DOUBT_TIMEOUT: Micros = Micros(2 * QUEUE_TIME.0);
-/// The longest wait of a watch. One that is silent from its first moment is given up [`QUEUE_TIME`] later, and there is
-/// a whole call's time until the rule's delay is over, with the drain's grace to spare.
-const MAX_WAIT: Micros = Micros(NOTIFICATION_DELAY.0 - 2 * QUEUE_TIME.0);
-/// The shortest wait of a watch is this part of the longest: where all nodes have been answered in one moment, their
-/// next calls are spread over the rest.
-const MIN_WAIT_PART: f64 = 0.5;
-/// How long the complete list may take once the node has moved: two tries fit into [`MOVE_DELAY`].
+/// How much longer than its requested wait a call may take, since discovery handles its calls one after another. A
+/// watch that has been open for longer has left that queue: discovery holds it until the next change.
+const MAX_QUEUE_TIME: Micros = Micros(1_200_000);
+/// The timeout of a call without a wait. It is longer than discovery lets any call queue.
+const IMMEDIATE_CALL_TIMEOUT: Micros = Micros(2 * MAX_QUEUE_TIME.0);
+/// The longest wait of a watch. A watch that gets no answer is given up [`MAX_QUEUE_TIME`] after its wait, which leaves
+/// enough time for one more call within the notification delay, and the drain grace as a reserve.
+const MAX_WAIT: Micros = Micros(NOTIFICATION_DELAY.0 - 2 * MAX_QUEUE_TIME.0);
+/// The shortest wait of a watch, as a fraction of the longest. Random waits spread the next calls of nodes that were
+/// all answered at the same time.
+const MIN_WAIT_FRACTION: f64 = 0.5;
+/// The timeout of a call for the complete list after a move. Two calls fit into [`MOVE_DELAY`].
 const COMPLETE_LIST_TIMEOUT: Micros = Micros(2_000_000);
-/// The longest pause before a retry, drawn at random; it doubles once. There is none after a silent watch, whose wait
-/// was drawn.
-const MAX_PAUSE: Micros = Micros(300_000);
-/// After so many failures the pause grows no more.
+/// The upper limit of the random delay before a retry; it doubles once. After a watch that got no answer there is no
+/// delay, since its wait was already random.
+const MAX_RETRY_DELAY: Micros = Micros(300_000);
+/// The number of failures after which the retry delay stops growing.
 const MAX_BACKOFF_STEPS: u32 = 2;
-/// Where lists are pushed, what is there at discovery's return counts at once: so many tries fit into the grace.
-const TRIES_IN_GRACE: u64 = 4;
-/// There is no more than one try in this time, however short the grace is.
-const MIN_TRY_INTERVAL: Micros = Micros(50_000);
+/// The number of calls within the drain grace where lists are pushed: whatever discovery has when it returns counts as
+/// notified at once.
+const CALLS_IN_GRACE: u64 = 4;
+/// The lower limit of the interval between calls, however short the drain grace is.
+const MIN_CALL_INTERVAL: Micros = Micros(50_000);
 
 /// What to ask discovery for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// Changes since the list that the node has.
+    /// The changes since the revision that the node has.
     Changes {
-        /// How long discovery may wait for one; 0 for an answer at once.
+        /// How long discovery may wait for a change; 0 asks for an immediate answer.
         wait: Micros,
     },
     /// The complete list.
@@ -54,31 +57,31 @@
 pub struct PlannedCall {
     /// What to ask for.
     pub query: Query,
-    /// From then on the call counts as silent.
+    /// When the call times out.
     pub deadline: Micros,
 }
 
 /// How a call has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing has come in time.
+    /// No answer came before the deadline.
     Silent,
-    /// A connection that was up has ended, or what came made no sense.
+    /// An established connection ended, or the answer was malformed.
     Broken,
-    /// Discovery has said so, or this node could not even ask.
+    /// Discovery answered with an error status, or this node could not send the call.
     Refused,
-    /// The connection was refused: proof that discovery could not be reached at this moment. No other fault is.
+    /// The connection was refused. Only this fault proves that discovery could not be reached at this moment.
     Unreachable,
 }
 
-/// What the node's list is worth.
+/// How current the node's list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListState {
-    /// The latest call was answered: nothing can have been missed before it.
+    /// The latest call was answered, so no earlier change can have been missed.
     Current,
-    /// From `notified_at` on, a change that was missed may count as notified.
-    Doubtful { notified_at: Micros },
-    /// The same, and the node has moved to a discovery service that has not sent its list yet.
+    /// A change may have been missed; it counts as notified from `notified_at` on.
+    PossiblyStale { notified_at: Micros },
+    /// As `PossiblyStale`, and the node has moved to a discovery service that has not sent its list yet.
     Moving { notified_at: Micros },
 }
 
@@ -86,101 +89,109 @@
     fn notified_at(self) -> Option<Micros> {
         match self {
             ListState::Current => None,
-            ListState::Doubtful { notified_at } | ListState::Moving { notified_at } => {
+            ListState::PossiblyStale { notified_at } | ListState::Moving { notified_at } => {
                 Some(notified_at)
             }
         }
     }
 
-    /// The same state with another moment of doubt.
-    fn with_doubt(self, notified_at: Micros) -> Self {
+    /// Returns this state with a new `notified_at`; a current list becomes possibly stale.
+    fn with_notified_at(self, notified_at: Micros) -> Self {
         match self {
             ListState::Moving { .. } => ListState::Moving { notified_at },
-            ListState::Current | ListState::Doubtful { .. } => ListState::Doubtful { notified_at },
+            ListState::Current | ListState::PossiblyStale { .. } => {
+                ListState::PossiblyStale { notified_at }
+            }
         }
     }
 }
 
-/// What the failures since the latest answer prove.
+/// What the failures since the latest answer show about missed changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Outage {
-    /// At most a watch broke that discovery had held, and it could not be reached after that: it went down, and had
+enum FailureEvidence {
+    /// At most, a watch broke that discovery held, and discovery could not be reached afterwards. It went down, and had
     /// sent all changes until then.
     NothingMissed,
     /// A change may have been missed.
     MayHaveMissed,
 }
 
-/// A call that is not answered yet.
+/// A call that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct OpenCall {
     sent_at: Micros,
     call: PlannedCall,
-    /// Bytes of its answer have come.
+    /// Whether bytes of its answer have arrived.
     is_answering: bool,
 }
 
 impl OpenCall {
-    /// Whether discovery has held this call, to answer it at the next change.
+    /// Whether discovery holds this call in order to answer it at the next change.
     fn is_held(&self, now: Micros) -> bool {
         let waits = matches!(self.call.query, Query::Changes { wait } if wait > Micros(0));
-        waits && now - self.sent_at > QUEUE_TIME
+        waits && now - self.sent_at > MAX_QUEUE_TIME
     }
 }
 
-/// Tracks how stale one node's list may be, and plans its calls.
+/// Tracks how stale this node's list may be and plans its calls to discovery.
 #[derive(Debug)]
 pub struct StalenessTracker {
-    /// How long a drain that was notified may be disregarded.
-    grace: Micros,
-    /// Lists are pushed: what discovery has counts as notified at once.
+    /// How long a worker may still be sent to after its drain was notified.
+    drain_grace: Micros,
+    /// Whether lists are pushed, so that a change counts as notified as soon as discovery has it.
     lists_are_pushed: bool,
     rng: oorandom::Rand64,
     open_call: Option<OpenCall>,
     list: ListState,
-    /// Calls that failed since the latest answer.
+    /// The number of calls that failed since the latest answer.
     failures: u32,
-    outage: Outage,
+    failure_evidence: FailureEvidence,
 }
 
 impl StalenessTracker {
-    /// For a process that starts now, with this grace of the rule about drains. Where lists are pushed, what discovery
-    /// has counts as notified from the first moment.
-    pub fn new(now: Micros, grace: Micros, lists_are_pushed: bool, seed: u64) -> Self {
-        let (list, outage) = if lists_are_pushed {
+    /// Creates the tracker of a process that starts now. Where lists are pushed, what discovery has counts as notified
+    /// from the start.
+    pub fn new(now: Micros, drain_grace: Micros, lists_are_pushed: bool, seed: u64) -> Self {
+        let (list, failure_evidence) = if lists_are_pushed {
             let notified_at = now;
-            (ListState::Doubtful { notified_at }, Outage::MayHaveMissed)
+            (
+                ListState::PossiblyStale { notified_at },
+                FailureEvidence::MayHaveMissed,
+            )
         } else {
-            (ListState::Current, Outage::NothingMissed)
+            (ListState::Current, FailureEvidence::NothingMissed)
         };
         StalenessTracker {
-            grace,
+            drain_grace,
             lists_are_pushed,
             rng: oorandom::Rand64::new(u128::from(seed)),
             open_call: None,
             list,
             failures: 0,
-            outage,
+            failure_evidence,
         }
     }
 
-    /// A random part of this span.
-    fn draw(&mut self, span: Micros) -> Micros {
-        Micros::from_secs_f64(span.as_secs_f64() * self.rng.rand_float())
+    /// A random duration below `max`.
+    fn random_duration(&mut self, max: Micros) -> Micros {
+        Micros::from_secs_f64(max.as_secs_f64() * self.rng.rand_float())
     }
 
-    /// The next call, which is sent now.
+    /// Plans the next call and records it as sent now.
     pub fn next_call(&mut self, now: Micros) -> PlannedCall {
         let (query, timeout) = match self.list {
             ListState::Moving { .. } => (Query::CompleteList, COMPLETE_LIST_TIMEOUT),
-            ListState::Doubtful { .. } => {
-                // Only an answer ends the doubt: it must not wait for a change.
-                (Query::Changes { wait: Micros(0) }, self.doubt_timeout())
+            ListState::PossiblyStale { .. } => {
+                // Only an answer makes the list current again, so the call must not wait for a change.
+                (
+                    Query::Changes { wait: Micros(0) },
+                    self.immediate_call_timeout(),
+                )
             }
             ListState::Current => {
-                let min_wait = Micros::from_secs_f64(MAX_WAIT.as_secs_f64() * MIN_WAIT_PART);
-                let wait = min_wait + self.draw(MAX_WAIT - min_wait);
-                (Query::Changes { wait }, wait + QUEUE_TIME)
+                let min_wait = Micros::from_secs_f64(MAX_WAIT.as_secs_f64() * MIN_WAIT_FRACTION);
+                let wait = min_wait + self.random_duration(MAX_WAIT - min_wait);
+                (Query::Changes { wait }, wait + MAX_QUEUE_TIME)
             }
         };
         let deadline = now + timeout;
@@ -193,132 +204,136 @@
         call
     }
 
-    /// How long an answer without a wait may take: as long as discovery itself lets a call wait. One with many callers
-    /// would never answer a node that gave up before its turn and called again at the end of the queue.
-    fn doubt_timeout(&self) -> Micros {
+    /// The timeout of a call without a wait: as long as discovery lets a call queue. A node that gave up earlier and
+    /// called again would rejoin at the end of the queue, and a discovery service with many callers would never answer
+    /// it.
+    fn immediate_call_timeout(&self) -> Micros {
         if self.lists_are_pushed && self.failures > 0 {
-            self.try_interval_in_grace()
+            self.call_interval_in_grace()
         } else {
-            DOUBT_TIMEOUT
+            IMMEDIATE_CALL_TIMEOUT
         }
     }
 
-    fn try_interval_in_grace(&self) -> Micros {
-        Micros(self.grace.0 / TRIES_IN_GRACE).max(MIN_TRY_INTERVAL)
+    fn call_interval_in_grace(&self) -> Micros {
+        Micros(self.drain_grace.0 / CALLS_IN_GRACE).max(MIN_CALL_INTERVAL)
     }
 
-    /// The answer to the open call has begun; discovery wrote its first bytes at `began_at` at the earliest. Where lists
-    /// are pushed, what changes while it is read counts as notified at once.
+    /// Records that the answer to the open call has begun; discovery wrote its first bytes at `began_at` at the
+    /// earliest. Where lists are pushed, a change that happens while it is read counts as notified at once.
     pub fn handle_answer_begun(&mut self, began_at: Micros) {
         if self.lists_are_pushed {
-            self.doubt_from(began_at);
+            self.limit_notified_at(began_at);
         }
     }
 
-    /// Bytes of the answer to the open call have come: it is not silent as long as more come, and until what changes
-    /// meanwhile counts as notified.
+    /// Records that bytes of the answer to the open call have arrived. Each arrival extends the deadline, at most until
+    /// a change since the call counts as notified.
     pub fn handle_progress(&mut self, now: Micros) {
         if let Some(open) = &mut self.open_call {
             open.is_answering = true;
             let latest = open.sent_at + NOTIFICATION_DELAY;
-            open.call.deadline = latest.min(now + QUEUE_TIME);
+            open.call.deadline = latest.min(now + MAX_QUEUE_TIME);
         }
     }
 
-    /// The list, or a part of it, has come.
+    /// Records an answer: the list is current.
     pub fn handle_answer(&mut self) {
         self.open_call = None;
         self.list = ListState::Current;
         self.failures = 0;
-        self.outage = Outage::NothingMissed;
+        self.failure_evidence = FailureEvidence::NothingMissed;
     }
 
-    /// The list, or a part of it, has come completely, in an answer that was begun at this moment. Where lists are
-    /// pushed, what has changed since then counts as notified: after one that took long, it is asked for at once.
+    /// Records an answer that began at `began_at` and has been read completely. Where lists are pushed, changes since
+    /// `began_at` count as notified, so the list stays possibly stale after an answer that took long.
     pub fn handle_complete_answer(&mut self, now: Micros, began_at: Micros) {
         self.handle_answer();
-        if self.lists_are_pushed && now - began_at > self.try_interval_in_grace() {
-            self.doubt_from(began_at);
-            self.outage = Outage::MayHaveMissed;
+        if self.lists_are_pushed && now - began_at > self.call_interval_in_grace() {
+            self.limit_notified_at(began_at);
+            self.failure_evidence = FailureEvidence::MayHaveMissed;
         }
     }
 
-    /// The call has failed. Returns when to call again.
+    /// Records that the call has failed. Returns when to call again.
     pub fn handle_failure(&mut self, now: Micros, fault: Fault) -> Micros {
         let call = self.open_call.take();
         let sent_at = call.map_or(now, |call| call.sent_at);
         let is_held = call.is_some_and(|call| call.is_held(now));
-        let is_cut_off = call.is_some_and(|call| call.is_answering);
-        let is_first = self.failures == 0;
+        let had_begun_answer = call.is_some_and(|call| call.is_answering);
+        let is_first_failure = self.failures == 0;
         self.failures += 1;
-        let proves_outage = match fault {
-            Fault::Broken => is_first && is_held && !is_cut_off,
+        let rules_out_missed_changes = match fault {
+            Fault::Broken => is_first_failure && is_held && !had_begun_answer,
             Fault::Unreachable => true,
             Fault::Silent | Fault::Refused => false,
         };
-        if !proves_outage {
-            self.outage = Outage::MayHaveMissed;
+        if !rules_out_missed_changes {
+            self.failure_evidence = FailureEvidence::MayHaveMissed;
         }
-        // Since when something may have been missed: a call may have waited for its turn, or been silent, from its
-        // first moment. Not one that discovery held, and ended with an answer of its own.
+        // The call may have been queued or lost from the start, so a change may have been missed since then. A call
+        // that discovery held, and ended with an error status, missed nothing before its end.
         let missed_since = match fault {
             Fault::Refused if is_held => now,
             _ => sent_at,
         };
-        self.doubt_since(missed_since, fault);
-        let is_cut_off = is_cut_off && fault == Fault::Broken;
-        let max_pause = if is_cut_off && is_first && !self.lists_are_pushed {
-            // Discovery answers, and what it has said counts as notified.
-            MIN_TRY_INTERVAL
+        self.record_missed_since(missed_since, fault);
+        let is_cut_off = had_begun_answer && fault == Fault::Broken;
+        let max_retry_delay = if is_cut_off && is_first_failure && !self.lists_are_pushed {
+            // Discovery is answering, and what it has written counts as notified.
+            MIN_CALL_INTERVAL
         } else {
-            self.max_pause(fault, is_first)
+            self.max_retry_delay(fault, is_first_failure)
         };
-        now + self.draw(max_pause)
+        now + self.random_duration(max_retry_delay)
     }
 
-    fn doubt_since(&mut self, missed_since: Micros, fault: Fault) {
+    /// Records that a change may have been missed since this moment. Where discovery went down after it had sent all
+    /// changes, the moment moves forward with each call that proves it unreachable.
+    fn record_missed_since(&mut self, missed_since: Micros, fault: Fault) {
         let notified_at = missed_since + NOTIFICATION_DELAY;
-        let is_down = self.outage == Outage::NothingMissed && fault == Fault::Unreachable;
+        let is_down =
+            self.failure_evidence == FailureEvidence::NothingMissed && fault == Fault::Unreachable;
         if is_down {
-            self.list = self.list.with_doubt(notified_at);
+            self.list = self.list.with_notified_at(notified_at);
         } else {
-            self.doubt_from(notified_at);
+            self.limit_notified_at(notified_at);
         }
     }
 
-    /// From then on a change that was missed may count as notified, unless it does already.
-    fn doubt_from(&mut self, notified_at: Micros) {
+    /// Records that a missed change may count as notified from this moment on, unless it already does earlier.
+    fn limit_notified_at(&mut self, notified_at: Micros) {
         let earlier = self.list.notified_at();
         let notified_at = earlier.map_or(notified_at, |earlier| earlier.min(notified_at));
-        self.list = self.list.with_doubt(notified_at);
+        self.list = self.list.with_notified_at(notified_at);
     }
 
-    /// The longest pause before the next call, after a failure.
-    fn max_pause(&self, fault: Fault, is_first: bool) -> Micros {
+    /// The longest delay before the next call after a failure.
+    fn max_retry_delay(&self, fault: Fault, is_first_failure: bool) -> Micros {
         match fault {
-            _ if self.lists_are_pushed => self.try_interval_in_grace(),
-            Fault::Silent if is_first => Micros(0),
-            // A watch that broke is opened anew soon, and not in step with the others.
-            Fault::Broken if is_first => QUEUE_TIME,
-            _ if self.is_moving() => MAX_PAUSE,
-            // Backoff: many callers are what keeps discovery from answering.
-            _ => Micros(MAX_PAUSE.0 << (self.failures.min(MAX_BACKOFF_STEPS) - 1)),
+            _ if self.lists_are_pushed => self.call_interval_in_grace(),
+            Fault::Silent if is_first_failure => Micros(0),
+            // Spreads the new watches of nodes whose watches broke at the same time.
+            Fault::Broken if is_first_failure => MAX_QUEUE_TIME,
+            _ if self.is_moving() => MAX_RETRY_DELAY,
+            // Backs off, since discovery may be failing to answer because of too many callers.
+            _ => Micros(MAX_RETRY_DELAY.0 << (self.failures.min(MAX_BACKOFF_STEPS) - 1)),
         }
     }
 
-    /// From when on a change that was missed may count as notified, should the open call be silent.
-    pub fn doubt_for_successor(&self) -> Option<Micros> {
+    /// When a missed change may count as notified, assuming that the open call gets no answer; for a successor process.
+    pub fn notified_at_for_successor(&self) -> Option<Micros> {
         let silent = self.open_call.map(|open| open.sent_at + NOTIFICATION_DELAY);
         self.list.notified_at().into_iter().chain(silent).min()
     }
 
-    /// Takes over the doubt of the process that this one replaces.
+    /// Takes over the staleness of the process that this one replaces.
     pub fn inherit_doubt(&mut self, notified_at: Micros) {
-        self.doubt_from(notified_at);
-        self.outage = Outage::MayHaveMissed;
+        self.limit_notified_at(notified_at);
+        self.failure_evidence = FailureEvidence::MayHaveMissed;
     }
 
-    /// The node moves to another discovery service.
+    /// Records that the node moves to another discovery service.
     pub fn handle_move(&mut self, now: Micros) {
         self.inherit_doubt(now + MOVE_DELAY);
         if let Some(notified_at) = self.list.notified_at() {
@@ -327,7 +342,7 @@
         self.open_call = None;
     }
 
-    /// Whether what discovery has counts as notified at once.
+    /// Whether a change counts as notified as soon as discovery has it.
     pub fn lists_are_pushed(&self) -> bool {
         self.lists_are_pushed
     }
@@ -337,15 +352,15 @@
         matches!(self.list, ListState::Moving { .. })
     }
 
-    /// When the open call counts as silent.
+    /// When the open call times out.
     pub fn call_deadline(&self) -> Option<Micros> {
         self.open_call.map(|open| open.call.deadline)
     }
 
-    /// From when on the list is no longer to be trusted, unless discovery answers before: a worker may be draining, and
-    /// the rule counts that as notified.
+    /// Until when the list may be trusted unless discovery answers before: from then on, a worker may be draining whose
+    /// drain counts as notified.
     pub fn trusted_until(&self) -> Option<Micros> {
         let notified_at = self.list.notified_at();
-        notified_at.map(|notified_at| notified_at + self.grace)
+        notified_at.map(|notified_at| notified_at + self.drain_grace)
     }
 }
