--- a/crates/membership/src/address_claims.rs
+++ b/crates/membership/src/address_claims.rs
@@ -1,4 +1,4 @@
-//! Which workers are reported at one address. The first in the order of precedence owns it.
+//! The workers that are reported at one address. The one with the highest precedence owns it.
 
 use crate::SourceId;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
     pub id: String,
 }
 
-/// All claims of one address. Nearly always it is one.
+/// All claims of one address; almost always there is only one.
 #[derive(Debug)]
 pub(crate) enum AddressClaims {
     One(AddressClaim),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Removes a claim. Returns whether none is left.
+    /// Removes a claim. Returns whether no claim is left, in which case the caller drops this value.
     pub fn remove(&mut self, claim: &AddressClaim) -> bool {
         match self {
             AddressClaims::One(known) => known == claim,
--- a/crates/membership/src/change.rs
+++ b/crates/membership/src/change.rs
@@ -1,18 +1,18 @@
-//! What a report, a timer or an operator has changed.
+//! The changes that result from a report, a timer or an operator's call.
 
 use marbledeck_dispatcher::{WorkerEntry, WorkerId};
 
-/// What has changed for the decision module and the connections to the workers.
+/// The changes for the decision module and for the connections to the workers.
 #[derive(Debug, Default)]
 pub struct MembershipChange {
-    /// The entries that are new or have changed.
+    /// The new and changed entries.
     pub entries: Vec<WorkerEntry>,
-    /// Workers whose connections are of no more use: removed, moved or restarted.
+    /// The workers whose open connections are stale, since the worker was removed, moved or restarted.
     pub stale_workers: Vec<WorkerId>,
 }
 
 impl MembershipChange {
-    /// Adds what came after.
+    /// Appends later changes.
     pub fn append(&mut self, later: MembershipChange) {
         self.entries.extend(later.entries);
         self.stale_workers.extend(later.stale_workers);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which workers there are: what sources and operators report of them, merged into the entries of the decision module.
-//! Self-preservation protects the fleet against a registry that suddenly names far fewer workers.
+//! Membership of the fleet: merges the reports of several sources and operators into the worker entries of the decision
+//! module. Self-preservation protects the fleet against a registry that suddenly lists far fewer workers.
 //!
-//! No input or output: reports and the time come in, changes go out. `docs/design/membership.md` states the precedence
-//! and the guarantee.
+//! The crate does no I/O: callers pass in reports and the time, and get changes back. `docs/design/membership.md`
+//! states the precedence rules and what self-preservation guarantees.
 //!
 //! ```
 //! use marbledeck_dispatcher::{Micros, WorkerState};
@@ -12,10 +12,10 @@
 //! let registry = membership.add_source("eureka", Some(SelfPreservation::default()));
 //! let report = |id: &str, status| SourceReport::new(id, "127.0.0.1:8000", status);
 //! membership.apply_full_list(Micros(0), registry, vec![report("w1", Status::Up)]);
-//! // The registry restarts empty: nobody is taken out for that.
+//! // The registry restarts with an empty list: no worker is removed for that.
 //! let change = membership.apply_full_list(Micros(1), registry, vec![]);
 //! assert!(change.entries.is_empty());
-//! // An explicit report is never held back.
+//! // An explicit report takes effect at once.
 //! let change = membership.apply_report(Micros(2), registry, report("w1", Status::OutOfService));
 //! assert_eq!(change.entries[0].state, WorkerState::Draining);
 //! ```
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The merged fleet: its state and its look-ups.
+//! The merged fleet: its state and the queries on it.
 
 use crate::address_claims::AddressClaims;
 use crate::self_preservation::{DueCheck, SelfPreservation};
@@ -10,7 +10,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Where a worker listens.
+/// The address at which a worker listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// The worker's id.
@@ -20,7 +20,7 @@
     pub(crate) started_at: Option<Micros>,
 }
 
-/// What was published of a worker last.
+/// The latest published state of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct PublishedWorker {
     /// The worker's id.
@@ -29,28 +29,28 @@
     pub endpoint: Option<Endpoint>,
 }
 
-/// The merged fleet.
+/// The fleet, merged from the reports of all sources and the settings of operators.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) zones: Vec<String>,
     pub(crate) kinds: Vec<String>,
     pub(crate) sources: Vec<Source>,
-    /// The workers that operators took out of service, whether any source names them or not: they may leave and come
-    /// back.
+    /// The workers that operators took out of service. They stay in this set while no source reports them, since they
+    /// may come back.
     pub(crate) out_of_service: BTreeSet<String>,
     pub(crate) published: HashMap<WorkerId, PublishedWorker, RandomState>,
-    /// Who reports which worker at each address, in the order of precedence: the first worker owns it.
+    /// The workers that are reported at each address. The one with the highest precedence owns it.
     pub(crate) claims_by_address: HashMap<SocketAddr, AddressClaims, RandomState>,
-    /// When suspected workers and sources are looked at.
+    /// The scheduled checks of suspected workers and of silent sources, in the order of their due times.
     pub(crate) due_checks: BTreeSet<DueCheck>,
-    /// Suspected workers that are to be probed.
+    /// The suspected workers to probe next.
     pub(crate) due_probes: Vec<WorkerId>,
-    /// When workers last answered, as long as any source has self-preservation.
-    pub(crate) alive_at: HashMap<WorkerId, Micros>,
+    /// When each worker last answered; filled only while some source has self-preservation.
+    pub(crate) last_alive_at: HashMap<WorkerId, Micros>,
 }
 
 impl Membership {
-    /// An empty fleet; entries name zones and kinds by their positions in these lists.
+    /// Creates an empty fleet. Worker entries refer to zones and kinds by their positions in these lists.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
         Membership {
             zones,
@@ -61,23 +61,23 @@
             claims_by_address: HashMap::default(),
             due_checks: BTreeSet::new(),
             due_probes: Vec::new(),
-            alive_at: HashMap::new(),
+            last_alive_at: HashMap::new(),
         }
     }
 
-    /// Adds a source. One with self-preservation is not believed where it only stops naming a worker.
+    /// Adds a source. With self-preservation, a worker that the source merely stops listing is not removed at once.
     pub fn add_source(&mut self, name: &str, policy: Option<SelfPreservation>) -> SourceId {
         self.sources.push(Source::new(name, policy));
         SourceId(self.sources.len() - 1)
     }
 
-    /// The source of this name.
+    /// The source with this name.
     pub fn source(&self, name: &str) -> Option<SourceId> {
         let position = self.sources.iter().position(|source| source.name == name);
         position.map(SourceId)
     }
 
-    /// The names of the sources, in their order.
+    /// The sources and their names, in the order of precedence.
     pub fn source_names(&self) -> Vec<(SourceId, &str)> {
         self.sources_by_id()
             .map(|(id, source)| (id, source.name.as_str()))
@@ -89,24 +89,24 @@
         sources.map(|(position, source)| (SourceId(position), source))
     }
 
-    /// Whether any source has self-preservation: only then is [evidence](Membership::record_evidence) of any use.
+    /// Whether any source has self-preservation. Only then does [evidence](Membership::record_evidence) have an effect.
     pub fn uses_evidence(&self) -> bool {
         let mut sources = self.sources.iter();
         sources.any(|source| source.self_preservation.is_some())
     }
 
-    /// Whether a source other than this one names any worker.
+    /// Whether a source other than this one reports any worker.
     pub fn others_name_any(&self, source: SourceId) -> bool {
         let mut others = self.sources_by_id().filter(|(id, _)| *id != source);
         others.any(|(_, other)| !other.records.is_empty())
     }
 
-    /// Where a worker listens, if it may be spoken to.
+    /// The endpoint of a worker, if it is published with an address.
     pub fn endpoint(&self, worker: WorkerId) -> Option<&Endpoint> {
         self.published_worker(worker)?.endpoint.as_ref()
     }
 
-    /// What was published of a worker last.
+    /// The entry of a worker as it was last published.
     pub fn published_entry(&self, worker: WorkerId) -> Option<&WorkerEntry> {
         Some(&self.published_worker(worker)?.entry)
     }
@@ -115,34 +115,34 @@
         self.published.get(&worker)
     }
 
-    /// Whether a worker of this id is named by a source, or out of service.
+    /// Whether a source reports a worker with this id, or an operator has taken it out of service.
     pub fn is_known(&self, id: &str) -> bool {
         let mut sources = self.sources.iter();
         self.out_of_service.contains(id) || sources.any(|source| source.records.contains(id))
     }
 
-    /// The workers that operators took out of service.
+    /// The ids of the workers that operators took out of service.
     pub fn out_of_service(&self) -> &BTreeSet<String> {
         &self.out_of_service
     }
 
-    /// Starts from the workers that operators had taken out of service at another process.
+    /// Takes over the workers that operators took out of service at a previous process.
     pub fn restore_out_of_service(&mut self, ids: BTreeSet<String>) {
         self.out_of_service = ids;
     }
 
-    /// The entry of a worker, as it was published last.
+    /// The entry of the worker with this id as it was last published.
     pub fn entry(&self, id: &str) -> Option<WorkerEntry> {
         let published = self.published.get(&worker_id(id));
         published.map(|worker| worker.entry.clone())
     }
 
-    /// How many workers a source names.
+    /// The number of workers that a source reports.
     pub fn named_by(&self, source: SourceId) -> usize {
         self.sources[source.0].records.len()
     }
 
-    /// The report on a worker of the first source that names it.
+    /// The report on a worker by the first source that has one.
     pub fn report(&self, id: &str) -> Option<&SourceReport> {
         let mut records = self.records(worker_id(id));
         records.next().map(|(_, record)| &record.report)
@@ -150,7 +150,7 @@
 
     /// The reports of a source, in the order of the workers' ids.
     pub fn reports(&self, source: SourceId) -> impl Iterator<Item = &SourceReport> {
-        let records = self.sources[source.0].records.after(None);
+        let records = self.sources[source.0].records.iter_after(None);
         records.map(|record| &record.report)
     }
 
@@ -164,21 +164,21 @@
         })
     }
 
-    /// How many workers are named by a source.
+    /// The number of workers that any source reports.
     pub fn len(&self) -> usize {
         self.published.len()
     }
 
-    /// Whether no worker is named by any source.
+    /// Whether no source reports any worker.
     pub fn is_empty(&self) -> bool {
         self.published.is_empty()
     }
 
-    /// The published workers in any order, with their ids and whether each is out of service.
+    /// The published workers in any order, each with its id and whether an operator has taken it out of service.
     pub fn workers(&self) -> impl Iterator<Item = (WorkerId, &str, bool)> {
         self.published.iter().map(|(worker, published)| {
-            let is_out = self.out_of_service.contains(&published.id);
-            (*worker, published.id.as_str(), is_out)
+            let is_out_of_service = self.out_of_service.contains(&published.id);
+            (*worker, published.id.as_str(), is_out_of_service)
         })
     }
 }
--- a/crates/membership/src/publish.rs
+++ b/crates/membership/src/publish.rs
@@ -1,4 +1,4 @@
-//! From the merged reports to what is published to the decision module.
+//! Publishes the merged reports to the decision module as worker entries.
 
 use crate::address_claims::{AddressClaim, AddressClaims};
 use crate::membership::PublishedWorker;
@@ -10,19 +10,19 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Computes a worker's entry anew, and tells it where it has changed.
+    /// Recomputes a worker's entry and publishes it if it has changed.
     pub(crate) fn recompute(&mut self, id: &str, change: &mut MembershipChange) {
         self.recompute_worker(worker_id(id), id, change);
     }
 
-    /// As [`Membership::recompute`], for a worker whose number is known.
+    /// As [`Membership::recompute`], for a worker whose [`WorkerId`] is known.
     pub(crate) fn recompute_worker(
         &mut self,
         worker: WorkerId,
         id: &str,
         change: &mut MembershipChange,
     ) {
-        let Some(merged) = self.merged(worker, id) else {
+        let Some(merged) = self.merge_reports(worker, id) else {
             return self.unpublish(worker, change);
         };
         let entry = self.merged_entry(worker, &merged);
@@ -66,12 +66,12 @@
         }
     }
 
-    /// No source names the worker any more.
+    /// Publishes that a worker is removed, since no source reports it any more.
     fn unpublish(&mut self, worker: WorkerId, change: &mut MembershipChange) {
         let Some(old) = self.published.remove(&worker) else {
             return;
         };
-        self.alive_at.remove(&worker);
+        self.last_alive_at.remove(&worker);
         change.stale_workers.push(worker);
         change.entries.push(WorkerEntry {
             state: WorkerState::Removed,
@@ -79,46 +79,54 @@
         });
     }
 
-    /// Enters that a source reports a worker at an address.
-    pub(crate) fn claim_address(&mut self, address: SocketAddr, claim: AddressClaim) -> Owners {
+    /// Records that a source reports a worker at an address.
+    pub(crate) fn claim_address(
+        &mut self,
+        address: SocketAddr,
+        claim: AddressClaim,
+    ) -> OwnerChange {
         match self.claims_by_address.entry(address) {
             Entry::Vacant(entry) => {
-                // Nobody claimed it before, and only the worker itself does now.
+                // No other worker owned the address before or owns it now.
                 entry.insert(AddressClaims::One(claim));
-                Owners::default()
+                OwnerChange::default()
             }
             Entry::Occupied(mut entry) => {
                 let before = entry.get().owner().map(str::to_owned);
                 entry.get_mut().insert(claim);
                 let after = entry.get().owner().map(str::to_owned);
-                Owners { before, after }
+                OwnerChange { before, after }
             }
         }
     }
 
-    /// A source no longer reports a worker at an address.
-    pub(crate) fn release_address(&mut self, address: SocketAddr, claim: &AddressClaim) -> Owners {
+    /// Records that a source no longer reports a worker at an address.
+    pub(crate) fn release_address(
+        &mut self,
+        address: SocketAddr,
+        claim: &AddressClaim,
+    ) -> OwnerChange {
         let Some(claims) = self.claims_by_address.get_mut(&address) else {
-            return Owners::default();
+            return OwnerChange::default();
         };
         let is_empty = claims.remove(claim);
         let after = claims.owner().filter(|_| !is_empty).map(str::to_owned);
         if is_empty {
             self.claims_by_address.remove(&address);
         }
-        // The worker itself owned it before, or the one that still does.
-        Owners {
+        // The previous owner was this worker, or the one that still owns the address.
+        OwnerChange {
             before: None,
             after,
         }
     }
 
-    /// Computes those anew that own an address now, or did, beside a worker whose report of it has changed. The others
-    /// there own it neither before nor after.
+    /// Recomputes the other workers that own an address now, or owned it before a report on the worker `id` changed.
+    /// All further workers at the address owned it neither before nor after, so their entries do not change.
     pub(crate) fn recompute_owners(
         &mut self,
         id: &str,
-        owners: Owners,
+        owners: OwnerChange,
         change: &mut MembershipChange,
     ) {
         for owner in [owners.before, owners.after].into_iter().flatten() {
@@ -129,9 +137,9 @@
     }
 }
 
-/// The other workers that owned an address before a claim has changed, and that do after.
+/// The owners of an address before and after a claim of it has changed.
 #[derive(Debug, Default)]
-pub(crate) struct Owners {
+pub(crate) struct OwnerChange {
     before: Option<String>,
     after: Option<String>,
 }
--- a/crates/membership/src/record_table.rs
+++ b/crates/membership/src/record_table.rs
@@ -1,4 +1,4 @@
-//! A source's records: found by a worker's id without a walk, and listed in the order of the ids.
+//! A source's records, with constant-time lookup by worker and iteration in the order of the ids.
 
 use crate::source::SourceRecord;
 use foldhash::fast::RandomState;
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct RecordTable {
     by_worker: HashMap<WorkerId, SourceRecord, RandomState>,
-    /// The workers' ids.
+    /// The ids of all workers in `by_worker`, in order.
     ids: BTreeSet<String>,
 }
 
@@ -44,7 +44,7 @@
         self.by_worker.get_mut(&worker)
     }
 
-    /// Enters the first record of a worker.
+    /// Inserts the record of a worker that has none.
     pub fn insert(&mut self, record: SourceRecord) {
         let id = record.report.id.clone();
         self.by_worker.insert(worker_id(&id), record);
@@ -66,10 +66,10 @@
         self.by_worker.values_mut()
     }
 
-    /// The records of the workers after this id, in the order of the ids; all where none is given.
-    pub fn after(&self, id: Option<&str>) -> impl Iterator<Item = &SourceRecord> {
-        let from = id.map_or(Unbounded, Excluded);
-        let ids = self.ids.range::<str, _>((from, Unbounded));
+    /// The records of the workers after this id, in the order of the ids; all records if no id is given.
+    pub fn iter_after(&self, id: Option<&str>) -> impl Iterator<Item = &SourceRecord> {
+        let lower_bound = id.map_or(Unbounded, Excluded);
+        let ids = self.ids.range::<str, _>((lower_bound, Unbounded));
         ids.filter_map(|id| self.get(id))
     }
 }
--- a/crates/membership/src/reports.rs
+++ b/crates/membership/src/reports.rs
@@ -1,23 +1,23 @@
-//! How the reports of sources are taken in: single ones, whole lists, and lists in parts.
+//! Applies the reports of sources: single reports, complete lists, and lists in parts.
 
 use crate::address_claims::AddressClaim;
-use crate::publish::Owners;
+use crate::publish::OwnerChange;
 use crate::source::SourceRecord;
 use crate::{EntryDigest, Membership, MembershipChange, SourceId, SourceReport, Status};
 use marbledeck_dispatcher::{Micros, WorkerId};
 use marbledeck_platform_settings::worker_id;
 
-/// A worker that a source names.
+/// The identity of a worker in a source's report.
 #[derive(Clone, Copy)]
-pub(crate) struct NamedWorker<'a> {
+pub(crate) struct ReportedWorker<'a> {
     pub worker: WorkerId,
     pub id: &'a str,
-    /// The digest of the text that names it, where the source gives one.
+    /// The digest of the list entry that the report was read from, if known.
     pub digest: Option<EntryDigest>,
 }
 
 impl Membership {
-    /// Takes a source's report on one worker: it is named, with this status.
+    /// Applies a source's report on one worker.
     pub fn apply_report(
         &mut self,
         now: Micros,
@@ -30,8 +30,8 @@
         change
     }
 
-    /// A source no longer names a worker. Where `explicit`, it says that the worker has left; else it may only have lost
-    /// it.
+    /// Records that a source no longer lists a worker. With `explicit`, the source has reported that the worker left;
+    /// otherwise it may only have lost the worker's entry.
     pub fn remove_worker(
         &mut self,
         now: Micros,
@@ -45,7 +45,7 @@
         change
     }
 
-    /// Takes a source's whole list. Tells only what has changed.
+    /// Applies a source's complete list. Returns only what has changed.
     pub fn apply_full_list(
         &mut self,
         now: Micros,
@@ -60,13 +60,13 @@
         change
     }
 
-    /// Begins to take a source's whole list in parts, of which [`Membership::apply_list_part`] takes each, and
-    /// [`Membership::sweep_missing`] ends it. Nobody is missing before that.
+    /// Begins a complete list of a source. Each part is applied by [`Membership::apply_list_part`], and
+    /// [`Membership::sweep_missing`] ends the list. No worker counts as missing before that.
     pub fn begin_full_list(&mut self, source: SourceId) {
         self.sources[source.0].list_number += 1;
     }
 
-    /// Takes some reports of a list that was begun.
+    /// Applies a part of the list that was begun last.
     pub fn apply_list_part(
         &mut self,
         now: Micros,
@@ -81,7 +81,7 @@
             let is_repeated = |record: &SourceRecord| {
                 record.list_number == list_number && record.report.status != Status::Up
             };
-            // Named twice: the report not to send there counts.
+            // If a list has a worker twice, the report that is not up takes precedence.
             if record.is_some_and(is_repeated) {
                 continue;
             }
@@ -90,12 +90,12 @@
         change
     }
 
-    /// Ends a whole list at once: looks for all that it did not name.
+    /// Ends a complete list in one step: handles all workers that it did not contain.
     pub fn sweep_all_missing(&mut self, now: Micros, source: SourceId) -> MembershipChange {
         let mut change = MembershipChange::default();
-        let sweeping = &self.sources[source.0];
-        let is_missing = |record: &&SourceRecord| record.list_number != sweeping.list_number;
-        let missing = sweeping.records.values().filter(is_missing);
+        let source_state = &self.sources[source.0];
+        let is_missing = |record: &&SourceRecord| record.list_number != source_state.list_number;
+        let missing = source_state.records.values().filter(is_missing);
         let mut missing: Vec<String> = missing.map(|record| record.report.id.clone()).collect();
         missing.sort_unstable();
         for id in &missing {
@@ -104,8 +104,8 @@
         change
     }
 
-    /// Looks for those that the list did not name, among the next `max` after this id. Tells where to go on; none where
-    /// all were looked at.
+    /// Handles the workers that the list did not contain, among the next `max` workers after this id. Also returns the
+    /// id to continue after, or none once all workers have been checked.
     pub fn sweep_missing(
         &mut self,
         now: Micros,
@@ -117,7 +117,7 @@
         let list_number = self.sources[source.0].list_number;
         let records = &self.sources[source.0].records;
         let (mut count, mut last, mut missing) = (0, None, Vec::new());
-        for record in records.after(after).take(max) {
+        for record in records.iter_after(after).take(max) {
             let id = &record.report.id;
             (count, last) = (count + 1, Some(id));
             if record.list_number != list_number {
@@ -131,7 +131,7 @@
         (change, next)
     }
 
-    /// Takes a worker out of service, or back, whatever any source has reported or will report of it meanwhile.
+    /// Takes a worker out of service or back, on behalf of an operator. This overrides the reports of all sources.
     pub fn set_out_of_service(&mut self, id: &str, out: bool) -> MembershipChange {
         let changed = if out {
             self.out_of_service.insert(id.to_owned())
@@ -158,55 +158,57 @@
             return self.add_report(now, source, report, None, change);
         }
         let id = report.id.clone();
-        let named = NamedWorker {
+        let reported = ReportedWorker {
             worker,
             id: &id,
             digest: None,
         };
-        self.update_report(now, source, named, change, |known| {
-            // One of an earlier answer is no news. The worker is named all the same.
-            let is_news = known.version <= report.version && *known != report;
-            if is_news {
+        self.update_report(now, source, reported, change, |known| {
+            // An older report changes nothing, but it still lists the worker.
+            let is_update = known.version <= report.version && *known != report;
+            if is_update {
                 *known = report;
             }
-            is_news
+            is_update
         });
     }
 
-    /// Takes a source's further report on a worker; `update` changes the earlier one, and tells whether it has.
+    /// Applies a report on a worker that the source already reports. `update` changes the stored report and returns
+    /// whether it did.
     pub(crate) fn update_report(
         &mut self,
         now: Micros,
         source: SourceId,
-        named: NamedWorker,
+        reported: ReportedWorker,
         change: &mut MembershipChange,
         update: impl FnOnce(&mut SourceReport) -> bool,
     ) {
-        let reporting = &mut self.sources[source.0];
-        let (list_number, trusted_from) = (reporting.list_number, reporting.trusted_from_list);
-        let NamedWorker { worker, id, digest } = named;
-        let Some(known) = reporting.records.get_worker_mut(worker) else {
+        let source_state = &mut self.sources[source.0];
+        let (list_number, trusted_from) =
+            (source_state.list_number, source_state.trusted_from_list);
+        let ReportedWorker { worker, id, digest } = reported;
+        let Some(known) = source_state.records.get_worker_mut(worker) else {
             return;
         };
-        let was_trusted = known.note_named(now, list_number, trusted_from);
+        let was_trusted = known.mark_listed(now, list_number, trusted_from);
         let old_digest = std::mem::replace(&mut known.digest, digest);
-        let had_address = known.report.address;
+        let old_address = known.report.address;
         let has_changed = update(&mut known.report);
-        let has_address = known.report.address;
-        reporting.replace_digest(worker, old_digest, digest);
+        let new_address = known.report.address;
+        source_state.replace_digest(worker, old_digest, digest);
         if !has_changed && was_trusted {
             return;
         }
-        let (mut old_owners, mut new_owners) = (Owners::default(), Owners::default());
-        if had_address != has_address {
+        let (mut old_owners, mut new_owners) = (OwnerChange::default(), OwnerChange::default());
+        if old_address != new_address {
             let claim = || AddressClaim {
                 source,
                 id: id.to_owned(),
             };
-            if let Some(address) = had_address {
+            if let Some(address) = old_address {
                 old_owners = self.release_address(address, &claim());
             }
-            if let Some(address) = has_address {
+            if let Some(address) = new_address {
                 new_owners = self.claim_address(address, claim());
             }
         }
@@ -215,7 +217,7 @@
         self.recompute_owners(id, new_owners, change);
     }
 
-    /// Takes a source's first report on a worker.
+    /// Adds a source's first report on a worker.
     pub(crate) fn add_report(
         &mut self,
         now: Micros,
@@ -225,26 +227,26 @@
         change: &mut MembershipChange,
     ) {
         let id = report.id.clone();
-        let mut owners = Owners::default();
+        let mut owners = OwnerChange::default();
         if let Some(address) = report.address {
             let id = id.clone();
             owners = self.claim_address(address, AddressClaim { source, id });
         }
-        let reporting = &mut self.sources[source.0];
-        reporting.replace_digest(worker_id(&id), None, digest);
+        let source_state = &mut self.sources[source.0];
+        source_state.replace_digest(worker_id(&id), None, digest);
         let record = SourceRecord {
             report,
             reported_at: now,
             suspicion: None,
-            list_number: reporting.list_number,
+            list_number: source_state.list_number,
             digest,
         };
-        reporting.records.insert(record);
+        source_state.records.insert(record);
         self.recompute(&id, change);
         self.recompute_owners(&id, owners, change);
     }
 
-    /// A source no longer names a worker.
+    /// Handles a worker that a source no longer lists: removes its report or suspects the worker.
     pub(crate) fn record_missing(
         &mut self,
         now: Micros,
@@ -253,30 +255,30 @@
         explicit: bool,
         change: &mut MembershipChange,
     ) {
-        let has_policy = self.sources[source.0].self_preservation.is_some();
+        let is_protected = self.sources[source.0].self_preservation.is_some();
         let Some(record) = self.sources[source.0].records.get(id) else {
             return;
         };
-        // One that is not to be sent to anyway needs no protection.
-        if explicit || !has_policy || record.report.status != Status::Up {
+        // A worker that gets no requests anyway needs no protection.
+        if explicit || !is_protected || record.report.status != Status::Up {
             return self.drop_report(source, id, change);
         }
         self.suspect_missing(now, source, id);
     }
 
-    /// Forgets a source's report on a worker.
+    /// Removes a source's report on a worker.
     pub(crate) fn drop_report(
         &mut self,
         source: SourceId,
         id: &str,
         change: &mut MembershipChange,
     ) {
-        let dropping = &mut self.sources[source.0];
-        let Some(record) = dropping.records.remove(id) else {
+        let source_state = &mut self.sources[source.0];
+        let Some(record) = source_state.records.remove(id) else {
             return;
         };
-        dropping.replace_digest(worker_id(id), record.digest, None);
-        let mut owners = Owners::default();
+        source_state.replace_digest(worker_id(id), record.digest, None);
+        let mut owners = OwnerChange::default();
         if let Some(address) = record.report.address {
             let id = id.to_owned();
             owners = self.release_address(address, &AddressClaim { source, id });
--- a/crates/membership/src/self_preservation.rs
+++ b/crates/membership/src/self_preservation.rs
@@ -1,24 +1,25 @@
-//! Self-preservation: a source that no longer names a worker, or says nothing at all, is not believed before the worker
-//! itself shows that it is gone, or a long time has passed.
+//! Self-preservation: a worker that its source no longer lists, or whose source is silent, is only suspected. It is
+//! removed once it fails to answer, or after a long time without being listed.
 
 use crate::{Membership, MembershipChange, SourceId};
 use marbledeck_dispatcher::{Micros, WorkerId};
 use marbledeck_platform_settings::worker_id;
 
-/// How far a source's silence on a worker is distrusted.
+/// The self-preservation settings of a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SelfPreservation {
-    /// How long a worker that still answers is kept after its source has stopped naming it.
+    /// How long a worker that still answers is kept after its source has stopped listing it.
     pub retention: Micros,
-    /// After how long without contact all of a source's workers are suspected.
+    /// The time without contact after which all workers of a source are suspected.
     pub silence_timeout: Micros,
     /// How often a suspected worker is probed.
     pub probe_interval: Micros,
-    /// Failures in a row, without an answer between, after which a suspected worker is removed.
+    /// The number of consecutive failures after which a suspected worker is removed.
     pub max_failures: u32,
-    /// Probes in any `probe_interval`: with more suspected workers than this, each is probed less often.
+    /// The maximum number of probes per `probe_interval`. With more suspected workers than this, each is probed less
+    /// often.
     pub probe_budget: usize,
-    /// Whether workers may be probed at all.
+    /// Whether workers may be probed.
     pub probes: bool,
 }
 
@@ -35,12 +36,12 @@
     }
 }
 
-/// Evidence of whether a worker is there.
+/// Evidence from a request, a probe or a connection attempt that a worker is alive or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthEvidence {
-    /// It has answered something.
+    /// It answered.
     Alive,
-    /// It has refused a connection, or not answered in time.
+    /// It refused a connection or did not answer in time.
     Unreachable,
 }
 
@@ -48,9 +49,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
     pub since: Micros,
-    /// Its source speaks and does not name it; else the source is silent.
+    /// Whether its source has contact and does not list it; otherwise the source is silent.
     pub is_missing: bool,
-    /// Failures since the last answer.
+    /// The number of failures since the last answer.
     pub failures: u32,
 }
 
@@ -64,37 +65,37 @@
     }
 }
 
-/// The probes of a source's workers within one probe interval.
+/// Counts the probes of a source's workers within one probe interval.
 #[derive(Debug, Default)]
 pub(crate) struct ProbeWindow {
-    began_at: Micros,
+    started_at: Micros,
     probes: usize,
 }
 
 impl ProbeWindow {
-    /// Takes a probe from the budget; tells whether there was one.
-    fn take(&mut self, budget: usize) -> bool {
+    /// Takes a probe from the budget. Returns whether one was left.
+    fn try_take(&mut self, budget: usize) -> bool {
         let has_budget = self.probes < budget;
         self.probes += usize::from(has_budget);
         has_budget
     }
 
     fn advance(&mut self, now: Micros, interval: Micros) {
-        if now >= self.began_at + interval {
-            self.began_at = now;
+        if now >= self.started_at + interval {
+            self.started_at = now;
             self.probes = 0;
         }
     }
 }
 
-/// When a suspected worker, or a source's silence, is looked at. Of those that are due together, the one that was probed
-/// longest ago comes first.
+/// A scheduled check of a suspected worker or of a source's silence. Of the checks that are due at the same time, the
+/// worker that was probed longest ago comes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DueCheck {
     due_at: Micros,
     last_probed_at: Micros,
     source: usize,
-    /// The worker; empty for the source itself.
+    /// The worker's id; empty for a check of the source itself.
     id: String,
 }
 
@@ -114,7 +115,7 @@
 }
 
 impl Membership {
-    /// A source has stopped naming a worker that it had reported as up.
+    /// Suspects a worker that its source had reported as up and no longer lists.
     pub(crate) fn suspect_missing(&mut self, now: Micros, source: SourceId, id: &str) {
         let Some(record) = self.sources[source.0].records.get_mut(id) else {
             return;
@@ -127,7 +128,7 @@
         self.due_checks.insert(DueCheck::of_worker(now, source, id));
     }
 
-    /// A source has said something.
+    /// Records that a source is in contact.
     pub(crate) fn record_contact(&mut self, now: Micros, source: SourceId) {
         if std::mem::take(&mut self.sources[source.0].is_silent) {
             self.clear_silence(source);
@@ -135,27 +136,27 @@
         self.schedule_silence_check(now, source);
     }
 
-    /// From when on a source is silent, should it say nothing more.
+    /// Schedules the check that marks a source as silent unless it is heard from before.
     fn schedule_silence_check(&mut self, now: Micros, source: SourceId) {
-        let contacted = &mut self.sources[source.0];
-        let Some(policy) = &contacted.self_preservation else {
+        let source_state = &mut self.sources[source.0];
+        let Some(policy) = &source_state.self_preservation else {
             return;
         };
         let due_at = now + policy.silence_timeout;
-        if let Some(old) = contacted.silent_at.replace(due_at) {
+        if let Some(old) = source_state.silent_at.replace(due_at) {
             self.due_checks.remove(&DueCheck::of_source(old, source));
         }
         self.due_checks.insert(DueCheck::of_source(due_at, source));
     }
 
-    /// A silent source speaks again: only what it does not name stays suspected.
+    /// Ends the silence of a source. Only workers that it does not list stay suspected.
     fn clear_silence(&mut self, source: SourceId) {
         for record in self.sources[source.0].records.values_mut() {
             record.suspicion.take_if(|suspicion| !suspicion.is_missing);
         }
     }
 
-    /// Takes what an attempt, a probe or a connect shows of a worker.
+    /// Records what an attempt, a probe or a connection attempt has shown about a worker.
     pub fn record_evidence(
         &mut self,
         now: Micros,
@@ -164,21 +165,21 @@
     ) -> MembershipChange {
         let mut change = MembershipChange::default();
         if evidence == HealthEvidence::Alive {
-            self.alive_at.insert(worker, now);
+            self.last_alive_at.insert(worker, now);
         }
         let Some(id) = self.published.get(&worker).map(|worker| worker.id.clone()) else {
             return change;
         };
         for position in 0..self.sources.len() {
-            if self.is_given_up(position, &id, evidence) {
+            if self.apply_evidence(position, &id, evidence) {
                 self.drop_report(SourceId(position), &id, &mut change);
             }
         }
         change
     }
 
-    /// Counts evidence for a source's suspicion; whether that shows the worker to be gone.
-    fn is_given_up(&mut self, source: usize, id: &str, evidence: HealthEvidence) -> bool {
+    /// Applies evidence to a source's suspicion of a worker. Returns whether the worker now counts as gone.
+    fn apply_evidence(&mut self, source: usize, id: &str, evidence: HealthEvidence) -> bool {
         let source = &mut self.sources[source];
         let Some(policy) = &source.self_preservation else {
             return false;
@@ -199,12 +200,12 @@
         }
     }
 
-    /// When [`Membership::wake`] is next wanted.
+    /// When [`Membership::wake`] has to be called next.
     pub fn next_wake(&self) -> Option<Micros> {
         self.due_checks.first().map(|check| check.due_at)
     }
 
-    /// Looks at the suspected workers that are due, at most so many as the budgets allow.
+    /// Runs the checks that are due. Probes are limited by each source's budget.
     pub fn wake(&mut self, now: Micros) -> MembershipChange {
         let mut change = MembershipChange::default();
         while self.next_wake().is_some_and(|due_at| due_at <= now) {
@@ -248,7 +249,7 @@
         });
     }
 
-    /// Has a suspected worker probed, unless it has answered lately or the budget is used up.
+    /// Schedules a probe of a suspected worker, unless it has answered recently or the budget is used up.
     fn probe_suspected(
         &mut self,
         now: Micros,
@@ -257,26 +258,26 @@
         id: &str,
     ) -> ProbeDecision {
         let worker = worker_id(id);
-        let alive_at = self.alive_at.get(&worker);
-        // Traffic that is answered makes a probe needless.
-        let answers = alive_at.is_some_and(|at| *at + policy.probe_interval > now);
+        let last_alive_at = self.last_alive_at.get(&worker);
+        // A worker that answers regular traffic needs no probe.
+        let answered_recently = last_alive_at.is_some_and(|at| *at + policy.probe_interval > now);
         let window = &mut self.sources[source.0].probe_window;
         window.advance(now, policy.probe_interval);
-        if !policy.probes || answers {
+        if !policy.probes || answered_recently {
             return ProbeDecision::NotNeeded;
         }
-        if !window.take(policy.probe_budget) {
+        if !window.try_take(policy.probe_budget) {
             return ProbeDecision::OverBudget;
         }
         self.due_probes.push(worker);
         ProbeDecision::Probed
     }
 
-    /// A source has said nothing for too long: its workers are suspected, and go by their own evidence only.
+    /// Marks a source as silent and suspects its workers, which are then removed only by evidence of their own.
     fn mark_silent(&mut self, now: Micros, source: SourceId) {
-        let silent = &mut self.sources[source.0];
-        silent.is_silent = true;
-        for record in silent.records.values_mut() {
+        let source_state = &mut self.sources[source.0];
+        source_state.is_silent = true;
+        for record in source_state.records.values_mut() {
             if record.suspicion.is_none() {
                 record.suspicion = Some(Suspicion::new(now, false));
                 self.due_checks
@@ -285,23 +286,24 @@
         }
     }
 
-    /// The suspected workers to probe now; the answers come as [evidence](Membership::record_evidence).
+    /// Takes the suspected workers to probe now. The caller reports the results as
+    /// [evidence](Membership::record_evidence).
     pub fn take_due_probes(&mut self) -> Vec<WorkerId> {
         std::mem::take(&mut self.due_probes)
     }
 
-    /// How many workers are suspected, each counted for each of its sources.
+    /// The number of suspected workers; a worker counts once for each source that suspects it.
     pub fn suspected(&self) -> usize {
         let mut sources = self.sources.iter();
-        let guarded = sources
+        let protected = sources
             .by_ref()
             .filter(|source| source.self_preservation.is_some());
-        let records = guarded.flat_map(|source| source.records.values());
+        let records = protected.flat_map(|source| source.records.values());
         records.filter(|record| record.suspicion.is_some()).count()
     }
 }
 
-/// What became of the wish to probe a suspected worker.
+/// The decision whether to probe a suspected worker.
 enum ProbeDecision {
     Probed,
     NotNeeded,
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,4 +1,4 @@
-//! The sources of workers, and what each has reported.
+//! The sources of workers and their reports.
 
 use crate::record_table::RecordTable;
 use crate::self_preservation::{ProbeWindow, SelfPreservation, Suspicion};
@@ -7,32 +7,32 @@
 use marbledeck_dispatcher::{Micros, WorkerId};
 use std::collections::HashMap;
 
-/// A source, in the order in which they were added: the earlier one takes precedence.
+/// The number of a source, in the order in which sources were added. Earlier sources take precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourceId(pub usize);
 
-/// A digest of the text of a list's entry: a source that names a worker by the same text again reports nothing new.
+/// A digest of the text of a list entry. An entry with the same text as before reports nothing new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EntryDigest(pub u64);
 
-/// A source's report on a worker, and how it stands.
+/// A source's report on a worker, with its state.
 #[derive(Clone, Debug)]
 pub(crate) struct SourceRecord {
     pub report: SourceReport,
-    /// When the source named the worker last.
+    /// When the source last listed the worker.
     pub reported_at: Micros,
-    /// The worker is missing at the source, or the source is silent.
+    /// Set while the worker is missing from the source's list, or the source is silent.
     pub suspicion: Option<Suspicion>,
-    /// The list that named it last.
+    /// The number of the list that last contained the worker.
     pub list_number: u64,
-    /// The digest of the text that the report was read from, where the source gives one.
+    /// The digest of the list entry that the report was read from, if known.
     pub digest: Option<EntryDigest>,
 }
 
 impl SourceRecord {
-    /// Notes that the list of this number names the worker. Returns whether the report was new enough to send by before,
-    /// where only those of some list and later ones are.
-    pub fn note_named(&mut self, now: Micros, list_number: u64, trusted_from_list: u64) -> bool {
+    /// Records that the list with this number contains the worker. Returns whether the report was trusted before, given
+    /// the number of the first trusted list.
+    pub fn mark_listed(&mut self, now: Micros, list_number: u64, trusted_from_list: u64) -> bool {
         let was_trusted = self.list_number >= trusted_from_list;
         self.list_number = list_number;
         self.reported_at = now;
@@ -41,24 +41,24 @@
     }
 }
 
-/// A source, and all that it reports.
+/// A source and its reports.
 #[derive(Debug)]
 pub(crate) struct Source {
     pub name: String,
     pub self_preservation: Option<SelfPreservation>,
     pub records: RecordTable,
-    /// It has said nothing for longer than its self-preservation allows.
+    /// Whether the time without contact exceeds the `silence_timeout` of its self-preservation.
     pub is_silent: bool,
-    /// When it counts as silent, should it say nothing more.
+    /// When it becomes silent without further contact.
     pub silent_at: Option<Micros>,
     pub probe_window: ProbeWindow,
-    /// The list that is being read: records of an earlier one are missing in it.
+    /// The number of its latest list. Once that list is complete, records with a lower number are missing from it.
     pub list_number: u64,
-    /// When its list was last known completely; none where it never was.
-    pub completed_at: Option<Micros>,
-    /// Reports of an earlier list are not new enough to send by.
+    /// When a list was last read completely; none if none ever was.
+    pub list_completed_at: Option<Micros>,
+    /// The number of the first list whose reports may be used to route requests.
     pub trusted_from_list: u64,
-    /// The workers, by the digests of the texts that their reports were read from.
+    /// The workers by the digests of the list entries that their reports were read from.
     pub workers_by_digest: HashMap<EntryDigest, WorkerId, RandomState>,
 }
 
@@ -72,18 +72,18 @@
             silent_at: None,
             probe_window: ProbeWindow::default(),
             list_number: 0,
-            completed_at: None,
+            list_completed_at: None,
             trusted_from_list: 0,
             workers_by_digest: HashMap::default(),
         }
     }
 
-    /// Whether a report is new enough to send by.
-    pub fn trusts(&self, record: &SourceRecord) -> bool {
+    /// Whether a report may be used to route requests.
+    pub fn is_trusted(&self, record: &SourceRecord) -> bool {
         record.list_number >= self.trusted_from_list
     }
 
-    /// Enters the digest of a worker's text, in the place of an earlier one.
+    /// Replaces the digest of a worker's list entry in the index.
     pub fn replace_digest(
         &mut self,
         worker: WorkerId,
--- a/crates/membership/src/source_report.rs
+++ b/crates/membership/src/source_report.rs
@@ -1,25 +1,25 @@
-//! What a source reports of a worker.
+//! A source's report on a worker.
 
 use marbledeck_dispatcher::{CellId, Micros};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A source's report on whether a worker takes new work.
+/// The reported status of a worker, which tells whether it takes new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Status {
-    /// It does.
+    /// It takes new requests.
     Up,
-    /// It finishes what it has.
+    /// It only finishes its current requests.
     Draining,
-    /// It was taken out of service.
+    /// It was taken out of service at the source.
     OutOfService,
-    /// Not yet.
+    /// It does not take requests yet.
     Starting,
-    /// No more.
+    /// It no longer takes requests.
     Down,
-    /// The source cannot tell: nothing is sent there.
+    /// The source does not know; the worker gets no requests.
     #[default]
     Unknown,
 }
@@ -37,31 +37,32 @@
     }
 }
 
-/// What a source reports of a worker.
+/// A source's report on a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SourceReport {
     /// The worker's id, the same at every source and every node.
     pub id: String,
-    /// None where the source gives none that can be used: the worker cannot be sent to.
+    /// Its address; none if the source gives no usable one, in which case the worker gets no requests.
     pub address: Option<SocketAddr>,
-    /// Whether it takes new work.
+    /// Whether it takes new requests.
     pub status: Status,
-    /// The name of its zone; empty where it is not reported.
+    /// The name of its zone; empty if it is not reported.
     pub zone: String,
-    /// The name of its kind of machine; empty where it is not reported.
+    /// The name of its kind of machine; empty if it is not reported.
     pub kind: String,
-    /// Its cell; none where there are none.
+    /// Its cell; none if it is not reported.
     pub cell: Option<CellId>,
     /// When its process last started; none if long ago.
     pub started_at: Option<Micros>,
-    /// When its process last started by the clock of a list, where that differs: the machines' clocks may be stepped.
+    /// When its process last started by the clock of the list's source; kept apart from `started_at`, since the clocks
+    /// of two machines may differ.
     pub listed_start: Option<Micros>,
-    /// Counts up with each change of what the source reports of it, in the source's own way; 0 where it does not count.
+    /// The source's version of the report, which grows with each change; 0 if the source has no versions.
     pub version: u64,
 }
 
 impl SourceReport {
-    /// A report without zone, kind or times. An address that cannot be parsed is left out.
+    /// Creates a report without zone, kind or start time. An address that cannot be parsed is left out.
     pub fn new(id: &str, address: &str, status: Status) -> Self {
         SourceReport {
             id: id.to_owned(),
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the workers.
+//! The view of the workers that is shown to operators.
 
 use crate::precedence::MergedReport;
 use crate::{Membership, Status};
@@ -7,49 +7,49 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What one source reports of a worker.
+/// The status of a worker as one source reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceStatus {
     /// The source's name.
     pub source: String,
-    /// Its report.
+    /// The reported status.
     pub status: Status,
     /// How old the report is.
     pub age: Micros,
 }
 
-/// What an operator is shown of a worker.
+/// A worker as it is shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerView {
-    /// Its id.
+    /// The worker's id.
     pub id: String,
-    /// What was published to the decision module.
+    /// The state that is published to the decision module.
     pub state: WorkerState,
-    /// Why it is in or out, in words.
+    /// Why it gets new requests or not, as text.
     pub reason: String,
-    /// Where it listens, if any source knows.
+    /// The address at which it listens, if a source gives one.
     pub address: Option<SocketAddr>,
-    /// Each source's report.
+    /// The status that each source reports.
     pub reports: Vec<SourceStatus>,
 }
 
 impl Membership {
-    /// What operators are shown: each worker, which source reports what, and why it is in or out.
+    /// The views of all workers, in the order of their ids.
     pub fn views(&self, now: Micros) -> Vec<WorkerView> {
         let ids = self.viewed_ids();
         ids.into_iter().map(|id| self.view(now, id)).collect()
     }
 
-    /// The ids of all workers that operators are shown, in order.
+    /// The ids of all workers that are published or out of service, in order.
     pub fn viewed_ids(&self) -> BTreeSet<&str> {
         let published = self.published.values().map(|worker| worker.id.as_str());
         let out_of_service = self.out_of_service.iter().map(String::as_str);
         published.chain(out_of_service).collect()
     }
 
-    /// What operators are shown of one worker.
+    /// The view of one worker.
     pub fn view(&self, now: Micros, id: &str) -> WorkerView {
-        let merged = self.merged(worker_id(id), id);
+        let merged = self.merge_reports(worker_id(id), id);
         let reports = self
             .records(worker_id(id))
             .map(|(source, record)| SourceStatus {
@@ -57,7 +57,7 @@
                 status: record.report.status,
                 age: now - record.reported_at,
             });
-        let in_service = || {
+        let in_service_reason = || {
             self.suspicion_text(now, id)
                 .unwrap_or_else(|| "in".to_owned())
         };
@@ -67,7 +67,7 @@
                 out_reason: Some(reason),
                 ..
             }) => (WorkerState::Draining, reason.to_string()),
-            Some(_) => (WorkerState::Ready, in_service()),
+            Some(_) => (WorkerState::Ready, in_service_reason()),
         };
         WorkerView {
             id: id.to_owned(),
@@ -86,7 +86,7 @@
             Some(if suspicion.is_missing {
                 format!("{name} has not named it for {seconds} s; kept while it answers")
             } else {
-                format!("{name} has said nothing for {seconds} s")
+                format!("no contact with {name} for {seconds} s")
             })
         })
     }
