--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/precedence_and_self_preservation.rs
@@ -1,4 +1,4 @@
-//! Precedence and self-preservation, case by case.
+//! Tests of the precedence rules and of self-preservation.
 
 use marbledeck_dispatcher::{Micros, WorkerEntry, WorkerState};
 use marbledeck_membership::{
@@ -29,14 +29,14 @@
     (members, registry)
 }
 
-/// A registry that restarts empty and fills in any order takes nobody out, and nothing is change twice.
+/// A registry that restarts with an empty list and fills up in any order removes no worker and changes no entry.
 #[test]
-fn an_empty_list_at_a_restart() {
+fn an_empty_list_after_a_restart_removes_no_worker() {
     let (mut members, registry) = with_self_preservation();
-    let all: Vec<SourceReport> = (0..100).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
+    let reports: Vec<SourceReport> = (0..100).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
     assert_eq!(
         members
-            .apply_full_list(secs(0), registry, all.clone())
+            .apply_full_list(secs(0), registry, reports.clone())
             .entries
             .len(),
         100
@@ -46,7 +46,7 @@
         .entries
         .is_empty());
     assert_eq!(members.suspected(), 100);
-    for (n, report) in all.into_iter().rev().enumerate() {
+    for (n, report) in reports.into_iter().rev().enumerate() {
         let change = members.apply_report(secs(11), registry, report);
         assert!(
             change.entries.is_empty() && change.stale_workers.is_empty(),
@@ -56,20 +56,20 @@
     assert_eq!(members.suspected(), 0);
 }
 
-/// Half of the fleet expires while it serves: those that answer stay for as long as the guarantee says, the dead go
-/// within it.
+/// Half of the fleet's leases expire at once. Workers that answer probes stay for the whole retention; dead ones are
+/// removed after `max_failures` probes.
 #[test]
-fn a_registry_cut_off() {
+fn workers_missing_from_a_list_are_removed_when_dead_or_after_the_retention() {
     let (mut members, registry) = with_self_preservation();
-    let all: Vec<SourceReport> = (0..10).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
-    members.apply_full_list(secs(0), registry, all.clone());
-    members.apply_full_list(secs(1), registry, all[..5].to_vec());
+    let reports: Vec<SourceReport> = (0..10).map(|n| up(&format!("w{n}"), 8000 + n)).collect();
+    members.apply_full_list(secs(0), registry, reports.clone());
+    members.apply_full_list(secs(1), registry, reports[..5].to_vec());
     let policy = SelfPreservation::default();
-    let mut gone = Vec::new();
+    let mut removals = Vec::new();
     for second in 1..400 {
         let now = secs(second);
         let mut change = members.wake(now);
-        // 5 to 7 answer their probes, 8 and 9 are dead.
+        // w5 to w7 answer their probes; w8 and w9 are dead.
         for worker in members.take_due_probes() {
             let dead = [worker_id("w8"), worker_id("w9")].contains(&worker);
             let evidence = if dead {
@@ -81,37 +81,39 @@
                 .entries
                 .extend(members.record_evidence(now, worker, evidence).entries);
         }
-        gone.extend(
+        removals.extend(
             change
                 .entries
                 .iter()
                 .map(|entry| (second, entry.worker, entry.state)),
         );
     }
-    let when = |id: &str| {
-        gone.iter()
+    let removed_at = |id: &str| {
+        removals
+            .iter()
             .find(|(_, worker, _)| *worker == worker_id(id))
             .map(|(at, ..)| *at)
     };
     for dead in ["w8", "w9"] {
-        let at = when(dead).expect("the dead go");
+        let at = removed_at(dead).expect("a dead worker is removed");
         assert!(
             at <= 1 + u64::from(policy.max_failures) * 2 + 1,
             "{dead} at {at}"
         );
     }
     for alive in ["w5", "w6", "w7"] {
-        assert_eq!(when(alive), Some(1 + 300), "{alive}");
+        assert_eq!(removed_at(alive), Some(1 + 300), "{alive}");
     }
-    assert_eq!(gone.len(), 5);
-    assert!(gone
+    assert_eq!(removals.len(), 5);
+    assert!(removals
         .iter()
         .all(|(.., state)| *state == WorkerState::Removed));
 }
 
-/// A budget of probes: with more suspected workers than it allows in a span, all have their turn.
+/// With more suspected workers than the probe budget, no interval has more probes than the budget, and every worker is
+/// probed.
 #[test]
-fn a_budget_of_probes() {
+fn probes_keep_to_their_budget_and_reach_every_suspected_worker() {
     let mut members = Membership::new(Vec::new(), Vec::new());
     let policy = SelfPreservation {
         probe_budget: 10,
@@ -124,35 +126,37 @@
         (0..35).map(|n| up(&format!("w{n}"), 8000 + n)).collect(),
     );
     members.apply_full_list(secs(0), registry, Vec::new());
-    let (mut probed, mut spans) = (std::collections::HashMap::new(), Vec::new());
+    let (mut probes_by_worker, mut probed_at) = (std::collections::HashMap::new(), Vec::new());
     let mut now = secs(0);
     while now < secs(16) {
         members.wake(now);
         for worker in members.take_due_probes() {
-            spans.push(now);
-            *probed.entry(worker).or_insert(0) += 1;
+            probed_at.push(now);
+            *probes_by_worker.entry(worker).or_insert(0) += 1;
             members.record_evidence(now, worker, HealthEvidence::Alive);
         }
         now = members
             .next_wake()
-            .expect("they are looked at")
+            .expect("a check is scheduled")
             .max(now + Micros(1));
     }
-    for (n, at) in spans.iter().enumerate() {
-        let within = spans[n..]
+    for (n, at) in probed_at.iter().enumerate() {
+        let within = probed_at[n..]
             .iter()
             .take_while(|later| **later < *at + secs(2) - Micros(8))
             .count();
-        assert!(within <= 10, "{within} probes in a span");
+        assert!(within <= 10, "{within} probes in one interval");
     }
-    assert_eq!(probed.len(), 35);
+    assert_eq!(probes_by_worker.len(), 35);
     assert!(
-        probed.values().all(|probes| (1..=4).contains(probes)),
-        "{probed:?}"
+        probes_by_worker
+            .values()
+            .all(|probes| (1..=4).contains(probes)),
+        "{probes_by_worker:?}"
     );
 }
 
-/// Explicit reports are never held back, whatever the policy thinks of the source.
+/// Self-preservation delays no explicit report.
 #[test]
 fn explicit_reports_are_applied_at_once() {
     let (mut members, registry) = with_self_preservation();
@@ -170,23 +174,23 @@
         state(&members.remove_worker(secs(1), registry, "w2", true), "w2"),
         Some(WorkerState::Removed)
     );
-    // One that was out of service and is missing goes at once.
+    // A worker that was out of service and is missing is removed at once.
     assert_eq!(
         state(&members.remove_worker(secs(2), registry, "w1", false), "w1"),
         Some(WorkerState::Removed)
     );
 }
 
-/// A silent registry changes nothing; its workers go by their own health evidence, and come back with its next report.
+/// While a registry is silent, its workers are removed only by health evidence, and the next list brings them back.
 #[test]
-fn a_silent_registry() {
+fn a_silent_registry_removes_only_unreachable_workers() {
     let (mut members, registry) = with_self_preservation();
     members.apply_full_list(secs(0), registry, vec![up("w1", 8001), up("w2", 8002)]);
     let mut now = secs(0);
     while now < secs(1000) {
         now = members
             .next_wake()
-            .expect("it is watched")
+            .expect("a check is scheduled")
             .max(now + Micros(1));
         assert!(members.wake(now).entries.is_empty());
         for worker in members.take_due_probes() {
@@ -214,9 +218,10 @@
     assert_eq!(members.suspected(), 0);
 }
 
-/// By hand over any source's drain, any source's drain over any source's up; the latest start; two addresses.
+/// An operator's call overrides a drain of any source, and a drain overrides up. The latest start counts, and decides
+/// between two addresses.
 #[test]
-fn precedence() {
+fn precedence_of_operators_drains_and_latest_starts() {
     let mut members = Membership::new(vec!["east".into()], Vec::new());
     let first = members.add_source("directory", None);
     let second = members.add_source("registry", None);
@@ -269,9 +274,10 @@
     );
 }
 
-/// One address under two ids: the earlier source's counts, and the other comes in when it leaves.
+/// If two workers have the same address, that of the earlier source gets the requests. The other takes over when it
+/// leaves.
 #[test]
-fn one_address_under_two_ids() {
+fn the_earlier_source_owns_an_address_of_two_workers() {
     let mut members = Membership::new(Vec::new(), Vec::new());
     let first = members.add_source("directory", None);
     let second = members.add_source("registry", None);
@@ -288,37 +294,39 @@
     );
 }
 
-/// A report of before is no news; an id twice in a list is out if either says so.
+/// A report with an older version is ignored. A worker that a list contains twice gets no requests unless both reports
+/// are up.
 #[test]
 fn outdated_and_duplicate_reports() {
     let (mut members, registry) = with_self_preservation();
-    let dirty = |dirty, status| SourceReport {
-        version: dirty,
+    let versioned = |version, status| SourceReport {
+        version,
         status,
         ..up("w1", 8001)
     };
-    members.apply_report(secs(0), registry, dirty(5, Status::OutOfService));
+    members.apply_report(secs(0), registry, versioned(5, Status::OutOfService));
     assert!(members
-        .apply_report(secs(1), registry, dirty(4, Status::Up))
+        .apply_report(secs(1), registry, versioned(4, Status::Up))
         .entries
         .is_empty());
     assert_eq!(
         state(
-            &members.apply_report(secs(1), registry, dirty(6, Status::Up)),
+            &members.apply_report(secs(1), registry, versioned(6, Status::Up)),
             "w1"
         ),
         Some(WorkerState::Ready)
     );
     for order in [[Status::Up, Status::Down], [Status::Down, Status::Up]] {
-        let list = order.map(|status| dirty(7, status)).into();
+        let list = order.map(|status| versioned(7, status)).into();
         members.apply_full_list(secs(2), registry, list);
         assert_eq!(members.entry("w1").unwrap().state, WorkerState::Draining);
     }
 }
 
-/// A list in parts misses nobody before its end, and looks at no more than it is asked to.
+/// No worker of a list in parts is suspected before the end of the list, and each sweep checks no more than its
+/// maximum.
 #[test]
-fn a_list_in_parts() {
+fn workers_are_missing_only_after_the_end_of_a_list_in_parts() {
     let (mut members, registry) = with_self_preservation();
     members.apply_full_list(
         secs(0),
--- a/crates/membership/tests/streamed_list.rs
+++ b/crates/membership/tests/streamed_list.rs
@@ -1,4 +1,4 @@
-//! Lists that are taken in entry by entry, and the trust in what lists before have said.
+//! Tests of lists that are applied entry by entry, and of which lists are trusted.
 
 use marbledeck_dispatcher::{Micros, WorkerState};
 use marbledeck_membership::{
@@ -30,7 +30,7 @@
     }
 }
 
-/// Takes a whole list or a part of one, each entry with its digest.
+/// Applies the entries of a list, each with the digest of its text.
 fn apply(
     members: &mut Membership,
     now: Micros,
@@ -52,9 +52,10 @@
     change.entries.iter().map(|entry| entry.state).collect()
 }
 
-/// A text that comes back after another one counts for what it says, not for what came in between.
+/// An entry with the same text as before changes nothing. An earlier text that returns after another one is applied
+/// again, not mistaken for the current one.
 #[test]
-fn an_entry_that_is_as_before_changes_nothing_and_an_older_text_counts_again() {
+fn an_unchanged_entry_changes_nothing_and_an_earlier_text_is_applied_again() {
     let (mut members, source) = discovery();
     let (w1, w2) = (up("w1", 8001), up("w2", 8002));
     let draining = ListedReport {
@@ -69,7 +70,7 @@
     assert_eq!(states(&change), [WorkerState::Draining]);
     let change = apply(&mut members, secs(4), source, &[(w1, 1)]);
     assert_eq!(states(&change), [WorkerState::Ready]);
-    // Gone and back by the same text.
+    // The worker is removed and listed again with the same text.
     let mut change = MembershipChange::default();
     members.apply_listed_removal(secs(5), source, "w1", &mut change);
     assert_eq!(states(&change), [WorkerState::Removed]);
@@ -77,9 +78,10 @@
     assert_eq!(states(&change), [WorkerState::Ready]);
 }
 
-/// Where only later lists are trusted, a worker is sent to again once such a list names it, by whatever text.
+/// If only later lists are trusted, a worker gets requests again once such a list contains it, with the same text or
+/// another one.
 #[test]
-fn only_what_a_trusted_list_names_is_sent_to() {
+fn only_workers_of_trusted_lists_get_requests() {
     let (mut members, source) = discovery();
     let all = [
         (up("w1", 8001), 1),
@@ -102,10 +104,10 @@
     assert_eq!(change.entries[0].worker, worker_id("w3"));
 }
 
-/// A worker's start by a clock that is an hour off: one that is news is not taken for an old one, nor for one that is
-/// still to come, and the same entry again is no restart.
+/// The list's clock is an hour off. A new start must count neither as an hour old nor as an hour in the future, and a
+/// further entry with the same start must not count as a restart.
 #[test]
-fn a_stepped_clock_makes_no_cold_worker_warm_and_none_cold_for_an_hour() {
+fn a_stepped_clock_dates_no_start_an_hour_off() {
     let (mut members, source) = discovery();
     let now = HOUR + secs(100);
     let start = |members: &Membership| members.entry("w1").expect("listed").started_at;
@@ -116,30 +118,31 @@
         ..up("w1", 8001)
     };
     // This machine's clock is an hour ahead.
-    let behind = restarted(secs(103));
-    apply(&mut members, now + secs(4), source, &[(behind, 2)]);
+    let start_behind = restarted(secs(103));
+    apply(&mut members, now + secs(4), source, &[(start_behind, 2)]);
     assert_eq!(start(&members), Some(now));
     let draining = ListedReport {
         status: Status::Draining,
-        ..behind
+        ..start_behind
     };
     let change = apply(&mut members, now + secs(20), source, &[(draining, 3)]);
     assert_eq!(
         (start(&members), change.stale_workers.len()),
         (Some(now), 0)
     );
-    // It is an hour behind.
-    let ahead = restarted(now + HOUR);
-    apply(&mut members, now + secs(30), source, &[(ahead, 4)]);
+    // This machine's clock is an hour behind.
+    let start_ahead = restarted(now + HOUR);
+    apply(&mut members, now + secs(30), source, &[(start_ahead, 4)]);
     assert_eq!(start(&members), Some(now + secs(30)));
-    // Clocks that agree, and an answer that comes a while after the start.
+    // The clocks agree, and the answer comes a few seconds after the start.
     members.note_list_complete(now + secs(39), source);
-    let right = restarted(now + secs(36));
-    apply(&mut members, now + secs(40), source, &[(right, 5)]);
+    let start_in_step = restarted(now + secs(36));
+    apply(&mut members, now + secs(40), source, &[(start_in_step, 5)]);
     assert_eq!(start(&members), Some(now + secs(36)));
 }
 
-/// Thousands of workers at one address: each report costs no walk over the others, and one of them is sent to.
+/// With thousands of workers at one address, a report recomputes only the previous and the new owner, and exactly one
+/// worker gets requests.
 #[test]
 fn many_workers_at_one_address_have_one_owner() {
     let (mut members, source) = discovery();
@@ -147,7 +150,7 @@
     let reports = ids.iter().enumerate();
     let reports: Vec<_> = reports.map(|(n, id)| (up(id, 8001), n as u64)).collect();
     let change = apply(&mut members, secs(1), source, &reports);
-    // Each that comes before the owner takes its place.
+    // The ids arrive in descending order, so each worker takes the address over from the one before.
     assert_eq!(change.entries.len(), 2 * ids.len() - 1);
     assert_eq!(
         members.entry("w00000").expect("listed").state,
