--- a/crates/json-splitter/src/byte_class.rs
+++ b/crates/json-splitter/src/byte_class.rs
@@ -1,9 +1,9 @@
-//! What each byte is outside of strings.
+//! Classifies bytes outside of strings.
 
-/// What a byte is outside of strings.
+/// The class of a byte outside of strings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ByteClass {
-    /// Has no meaning for the nesting. Whether it is JSON is for the reader of the element to say.
+    /// Irrelevant for the nesting. The parser of the element checks whether it is valid JSON.
     Plain,
     /// Begins or ends a string.
     Quote,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Whether a byte belongs to a number or word.
-pub(crate) const fn is_in_word(byte: u8) -> bool {
+/// Whether a byte may be part of a number, `true`, `false` or `null`.
+pub(crate) const fn is_in_literal(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'+' | b'-' | b'.')
 }
--- a/crates/json-splitter/src/element.rs
+++ b/crates/json-splitter/src/element.rs
@@ -1,33 +1,33 @@
-//! Finds the end of one element, however its bytes are cut.
+//! Finds the end of one element whose bytes may arrive in any number of pieces.
 
 use crate::byte_class::{ByteClass, CLASSES};
 use crate::SplitError;
 
-/// Reads one element. Where it lies in one piece, none of its bytes is copied.
+/// Scans one element. If the element lies in one piece, none of its bytes is copied.
 #[derive(Default)]
 pub(crate) struct ElementScanner {
     in_string: bool,
     escaped: bool,
-    /// How many braces and brackets are open.
+    /// The number of open braces and brackets.
     depth: usize,
-    /// Which of them are braces: the innermost has the lowest bit.
+    /// A bit for each of them, set for a brace; the innermost has the lowest bit.
     braces: u64,
     /// The bytes of earlier pieces.
-    kept: Vec<u8>,
-    /// How many bytes were scanned.
+    buffered: Vec<u8>,
+    /// The number of bytes scanned so far.
     scanned: usize,
 }
 
 impl ElementScanner {
-    /// How many bytes of it have come.
+    /// The length of the part of the element that has been scanned.
     pub fn length(&self) -> usize {
         self.scanned
     }
 
-    /// Scans the next piece. Returns where the element ends in it, if it does.
+    /// Scans the next piece. Returns the end of the element in this piece, if it ends there.
     pub fn scan(&mut self, bytes: &[u8], max_depth: usize) -> Result<Option<usize>, SplitError> {
-        let is_begun = self.depth > 0;
-        if let Some(end) = flat_object_end(bytes).filter(|_| !is_begun && max_depth > 0) {
+        let has_begun = self.depth > 0;
+        if let Some(end) = flat_object_end(bytes).filter(|_| !has_begun && max_depth > 0) {
             self.scanned = end;
             return Ok(Some(end));
         }
@@ -43,11 +43,11 @@
             }
             let is_plain = |byte: &u8| CLASSES[usize::from(*byte)] == ByteClass::Plain;
             let rest = &bytes[at..];
-            let Some(plain) = rest.iter().position(|byte| !is_plain(byte)) else {
+            let Some(special) = rest.iter().position(|byte| !is_plain(byte)) else {
                 break;
             };
-            at += plain + 1;
-            match CLASSES[usize::from(rest[plain])] {
+            at += special + 1;
+            match CLASSES[usize::from(rest[special])] {
                 ByteClass::Plain => {}
                 ByteClass::Quote => self.in_string = true,
                 ByteClass::OpenBrace => self.open(true, max_depth)?,
@@ -64,7 +64,7 @@
         Ok(None)
     }
 
-    /// Scans on to the end of the string, or of the piece. Returns how many bytes that are.
+    /// Scans to the end of the string or of the piece. Returns the number of bytes scanned.
     fn scan_in_string(&mut self, bytes: &[u8]) -> usize {
         let mut at = 0;
         while at < bytes.len() {
@@ -74,11 +74,11 @@
             }
             let rest = &bytes[at..];
             let is_special = |byte: &u8| matches!(byte, b'"' | b'\\');
-            let Some(plain) = rest.iter().position(is_special) else {
+            let Some(special) = rest.iter().position(is_special) else {
                 break;
             };
-            at += plain + 1;
-            if rest[plain] == b'"' {
+            at += special + 1;
+            if rest[special] == b'"' {
                 self.in_string = false;
                 return at;
             }
@@ -105,23 +105,23 @@
         Ok(())
     }
 
-    /// Keeps a piece in which the element does not end.
-    pub fn keep(&mut self, bytes: &[u8]) {
-        self.kept.extend_from_slice(bytes);
+    /// Buffers a piece in which the element does not end.
+    pub fn buffer(&mut self, bytes: &[u8]) {
+        self.buffered.extend_from_slice(bytes);
     }
 
-    /// All bytes of the element, of which these are the last.
+    /// Returns all bytes of the element, given its last piece.
     pub fn complete<'a>(&'a mut self, last: &'a [u8]) -> &'a [u8] {
-        if self.kept.is_empty() {
+        if self.buffered.is_empty() {
             return last;
         }
-        self.kept.extend_from_slice(last);
-        &self.kept
+        self.buffered.extend_from_slice(last);
+        &self.buffered
     }
 }
 
-/// Where an object ends that lies in this piece, has no other in it and no escape, as most elements of long lists are:
-/// found by looking for a few bytes only, at many places at once.
+/// Returns the end of an object that lies in this piece and has no nested value and no escape. This is the fast path
+/// for most elements of long lists, since it only searches for a few bytes with vector instructions.
 fn flat_object_end(bytes: &[u8]) -> Option<usize> {
     let end = memchr::memchr(b'}', bytes)? + 1;
     let inside = &bytes[1..end];
--- a/crates/json-splitter/src/lib.rs
+++ b/crates/json-splitter/src/lib.rs
@@ -1,7 +1,7 @@
-//! Finds the objects of one array in JSON as its bytes come, without holding more than one of them.
+//! Extracts the objects of one JSON array while its bytes arrive, with no more than one of them in memory.
 //!
-//! A list of thousands of entries need not be complete before its first entries are used, and takes no memory but that
-//! of one entry. The splitter finds where an element begins and ends; whoever reads the element checks what is inside.
+//! A list of thousands of entries can be used before it is complete, and needs only the memory of one entry. The
+//! splitter finds the beginning and the end of each element; the parser of the element checks its content.
 //!
 //! ```
 //! use marbledeck_json_splitter::{Part, SplitError, Splitter};
@@ -27,46 +27,46 @@
 use std::fmt;
 use thiserror::Error;
 
-/// How deep a value may be nested.
+/// The maximum nesting depth.
 pub const MAX_DEPTH: usize = 64;
-/// The longest key, and the longest scalar that is reported.
+/// The maximum length of a key or scalar; further bytes are cut off.
 const MAX_TEXT: usize = 4096;
 
-/// What is wrong with the bytes.
+/// Why the bytes were rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SplitError {
     /// The value is nested deeper than [`MAX_DEPTH`].
     #[error("nested too deep")]
     TooDeep,
-    /// An element is longer than it may be.
+    /// An element exceeds the maximum length.
     #[error("an element is too long")]
     ElementTooLong,
-    /// A byte outside of elements that JSON does not have there.
+    /// A byte outside of elements is not valid JSON there, or the top-level value is a scalar.
     #[error("no JSON")]
     NotJson,
-    /// A second value follows the first.
-    #[error("more than one value")]
+    /// A second top-level value follows the first.
+    #[error("more than one top-level value")]
     SeveralValues,
     /// Brackets do not match.
     #[error("brackets do not match")]
     UnmatchedBrackets,
 }
 
-/// A part that was found.
+/// A part of the JSON value that the splitter reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part<'a> {
-    /// An object of the array: all of its bytes, braces included.
+    /// The bytes of an object of the array, braces included.
     Element(&'a [u8]),
-    /// The value of a key that was asked for, where it is no object or array.
+    /// The value of one of the requested keys, if it is not an object or array.
     Scalar {
         /// The key.
         key: &'static str,
-        /// Whether it is a string; else it is a number or a word.
+        /// Whether it is a string; otherwise it is a number, `true`, `false` or `null`.
         is_string: bool,
-        /// Its text; that of a string without quotes and with its escapes as they came.
+        /// The text of the value; that of a string is without quotes, with its escapes unchanged.
         text: &'a [u8],
     },
-    /// A string, number or word where elements are expected.
+    /// A scalar where an element is expected.
     UnexpectedScalar,
 }
 
@@ -77,7 +77,7 @@
             Part::Scalar { key, text, .. } => {
                 write!(f, "{key} = {}", String::from_utf8_lossy(text))
             }
-            Part::UnexpectedScalar => f.write_str("no element"),
+            Part::UnexpectedScalar => f.write_str("unexpected scalar"),
         }
     }
 }
@@ -88,32 +88,34 @@
     Array,
 }
 
-/// What a key is to the splitter.
+/// The role of a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Key {
-    /// Elements are its value, or in the array that is.
+    /// Its value is an element or an array of elements.
     Elements,
-    /// Its value is reported.
+    /// Its value is reported if it is a scalar.
     Scalar(&'static str),
+    /// Its value is skipped.
     #[default]
     Other,
 }
 
+/// An open object or array.
 struct Level {
     container: Container,
-    /// The key whose value this is, or that the array has in which it is.
+    /// The key whose value this is, directly or through enclosing arrays.
     key: Key,
 }
 
-/// A string, number or word outside of elements that has not ended.
+/// The scalar or key outside of elements that is being read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Token {
     None,
     String { is_key: bool, escaped: bool },
-    Word,
+    Literal,
 }
 
-/// The splitter. What [`Splitter::push`] has refused is not to be followed by more.
+/// The incremental splitter. It must not be used any more after [`Splitter::push`] has returned an error.
 pub struct Splitter {
     element_key: &'static str,
     scalar_keys: &'static [&'static str],
@@ -121,23 +123,23 @@
     token: Token,
     /// The text of the token that is being read.
     text: Vec<u8>,
-    /// A key is expected next.
-    wants_key: bool,
+    /// Whether a key is expected next.
+    expects_key: bool,
     /// The last key of the innermost object.
     key: Key,
     /// The element that is being read.
     element: Option<ElementScanner>,
-    max_element: usize,
-    has_begun: bool,
+    max_element_bytes: usize,
+    has_started: bool,
 }
 
 impl Splitter {
-    /// Finds the objects in the array that `element_key` has, or the one object that it has, of `max_element` bytes
-    /// each, and the values of the other keys. Nothing is looked for inside an element.
+    /// Creates a splitter that reports the objects in the array under `element_key`, or the one object there, of at
+    /// most `max_element_bytes` each, and the scalars under `scalar_keys`. Keys inside an element are ignored.
     pub fn new(
         element_key: &'static str,
         scalar_keys: &'static [&'static str],
-        max_element: usize,
+        max_element_bytes: usize,
     ) -> Self {
         Splitter {
             element_key,
@@ -145,61 +147,61 @@
             levels: Vec::new(),
             token: Token::None,
             text: Vec::new(),
-            wants_key: false,
+            expects_key: false,
             key: Key::Other,
             element: None,
-            max_element,
-            has_begun: false,
+            max_element_bytes,
+            has_started: false,
         }
     }
 
     /// Whether a complete value has been read.
     pub fn is_complete(&self) -> bool {
-        self.has_begun && self.levels.is_empty() && self.token == Token::None
+        self.has_started && self.levels.is_empty() && self.token == Token::None
     }
 
-    /// Takes the bytes that have come, and hands out the parts that end in them.
+    /// Reads the next bytes and calls `on_part` with each part that ends in them.
     ///
     /// # Errors
-    /// The bytes are no JSON, nested too deep, or hold an element that is too long; or `found` has failed.
+    /// The bytes are not JSON, nested too deep, or hold an element that is too long; or `on_part` has failed.
     pub fn push<E: From<SplitError>>(
         &mut self,
         bytes: &[u8],
-        found: &mut impl FnMut(Part) -> Result<(), E>,
+        on_part: &mut impl FnMut(Part) -> Result<(), E>,
     ) -> Result<(), E> {
         let mut at = 0;
         while at < bytes.len() {
             if self.element.is_some() {
-                at += self.push_in_element(&bytes[at..], found)?;
+                at += self.push_in_element(&bytes[at..], on_part)?;
             } else {
-                self.push_byte(bytes[at], found)?;
-                // An element begins with its brace.
+                self.push_byte(bytes[at], on_part)?;
+                // The opening brace of an element is scanned again as a part of the element.
                 at += usize::from(self.element.is_none());
             }
         }
         Ok(())
     }
 
-    /// Reads on in an element. Returns how many bytes it has read.
+    /// Scans the current element. Returns the number of bytes read.
     fn push_in_element<E: From<SplitError>>(
         &mut self,
         bytes: &[u8],
-        found: &mut impl FnMut(Part) -> Result<(), E>,
+        on_part: &mut impl FnMut(Part) -> Result<(), E>,
     ) -> Result<usize, E> {
         let Some(element) = &mut self.element else {
             return Ok(0);
         };
         let max_depth = MAX_DEPTH - self.levels.len();
         let end = element.scan(bytes, max_depth)?;
-        let (used, is_over) = end.map_or((bytes.len(), false), |end| (end, true));
-        if element.length() > self.max_element {
+        let (used, is_complete) = end.map_or((bytes.len(), false), |end| (end, true));
+        if element.length() > self.max_element_bytes {
             return Err(SplitError::ElementTooLong.into());
         }
-        if !is_over {
-            element.keep(bytes);
+        if !is_complete {
+            element.buffer(bytes);
             return Ok(used);
         }
-        found(Part::Element(element.complete(&bytes[..used])))?;
+        on_part(Part::Element(element.complete(&bytes[..used])))?;
         self.element = None;
         self.end_value();
         Ok(used)
@@ -208,39 +210,39 @@
     fn push_byte<E: From<SplitError>>(
         &mut self,
         byte: u8,
-        found: &mut impl FnMut(Part) -> Result<(), E>,
+        on_part: &mut impl FnMut(Part) -> Result<(), E>,
     ) -> Result<(), E> {
         match self.token {
             Token::String { is_key, escaped } => {
-                return self.push_in_string(byte, is_key, escaped, found);
+                return self.push_in_string(byte, is_key, escaped, on_part);
             }
-            Token::Word if byte_class::is_in_word(byte) => {
+            Token::Literal if byte_class::is_in_literal(byte) => {
                 self.push_text(byte);
                 return Ok(());
             }
-            Token::Word => {
+            Token::Literal => {
                 self.token = Token::None;
-                self.report_scalar(false, found)?;
+                self.report_scalar(false, on_part)?;
             }
             Token::None => {}
         }
         match byte {
             b'"' => {
-                let is_key = self.wants_key && self.is_in(Container::Object);
+                let is_key = self.expects_key && self.is_inside(Container::Object);
                 self.begin_token(Token::String {
                     is_key,
                     escaped: false,
                 })?;
             }
-            b'{' => self.open(Container::Object)?,
-            b'[' => self.open(Container::Array)?,
-            b'}' => self.close(Container::Object)?,
-            b']' => self.close(Container::Array)?,
-            b':' if self.is_in(Container::Object) => self.wants_key = false,
-            b',' => self.wants_key = self.is_in(Container::Object),
+            b'{' => self.open_container(Container::Object)?,
+            b'[' => self.open_container(Container::Array)?,
+            b'}' => self.close_container(Container::Object)?,
+            b']' => self.close_container(Container::Array)?,
+            b':' if self.is_inside(Container::Object) => self.expects_key = false,
+            b',' => self.expects_key = self.is_inside(Container::Object),
             b' ' | b'\t' | b'\r' | b'\n' => {}
-            _ if byte_class::is_in_word(byte) => {
-                self.begin_token(Token::Word)?;
+            _ if byte_class::is_in_literal(byte) => {
+                self.begin_token(Token::Literal)?;
                 self.push_text(byte);
             }
             _ => return Err(SplitError::NotJson.into()),
@@ -248,7 +250,7 @@
         Ok(())
     }
 
-    fn is_in(&self, container: Container) -> bool {
+    fn is_inside(&self, container: Container) -> bool {
         let innermost = self.levels.last();
         innermost.is_some_and(|level| level.container == container)
     }
@@ -273,7 +275,7 @@
         byte: u8,
         is_key: bool,
         escaped: bool,
-        found: &mut impl FnMut(Part) -> Result<(), E>,
+        on_part: &mut impl FnMut(Part) -> Result<(), E>,
     ) -> Result<(), E> {
         if byte != b'"' || escaped {
             let escaped = byte == b'\\' && !escaped;
@@ -283,7 +285,7 @@
         }
         self.token = Token::None;
         if !is_key {
-            return self.report_scalar(true, found);
+            return self.report_scalar(true, on_part);
         }
         self.key = self.key_of(&self.text);
         Ok(())
@@ -298,7 +300,7 @@
         known.map_or(Key::Other, |key| Key::Scalar(key))
     }
 
-    /// The key of the value that is here: that of the array, where it is in one.
+    /// The key of the value at this position; inside an array, that of the array.
     fn value_key(&self) -> Key {
         match self.levels.last() {
             Some(level) if level.container == Container::Array => level.key,
@@ -307,18 +309,18 @@
         }
     }
 
-    /// A string, number or word has ended.
+    /// Reports a scalar that has ended, if its key is requested or an element is expected.
     fn report_scalar<E>(
         &mut self,
         is_string: bool,
-        found: &mut impl FnMut(Part) -> Result<(), E>,
+        on_part: &mut impl FnMut(Part) -> Result<(), E>,
     ) -> Result<(), E> {
         let key = self.value_key();
-        let is_in_array = self.is_in(Container::Array);
+        let is_in_array = self.is_inside(Container::Array);
         let text = self.text.as_slice();
         match key {
-            Key::Elements => found(Part::UnexpectedScalar)?,
-            Key::Scalar(key) if !is_in_array => found(Part::Scalar {
+            Key::Elements => on_part(Part::UnexpectedScalar)?,
+            Key::Scalar(key) if !is_in_array => on_part(Part::Scalar {
                 key,
                 is_string,
                 text,
@@ -330,15 +332,15 @@
     }
 
     fn end_value(&mut self) {
-        self.wants_key = false;
+        self.expects_key = false;
         self.key = Key::Other;
     }
 
-    fn open(&mut self, container: Container) -> Result<(), SplitError> {
+    fn open_container(&mut self, container: Container) -> Result<(), SplitError> {
         if self.levels.len() >= MAX_DEPTH {
             return Err(SplitError::TooDeep);
         }
-        if self.levels.is_empty() && self.has_begun {
+        if self.levels.is_empty() && self.has_started {
             return Err(SplitError::SeveralValues);
         }
         let key = self.value_key();
@@ -346,15 +348,15 @@
             self.element = Some(ElementScanner::default());
             return Ok(());
         }
-        self.has_begun = true;
+        self.has_started = true;
         self.levels.push(Level { container, key });
-        self.wants_key = container == Container::Object;
+        self.expects_key = container == Container::Object;
         self.key = Key::Other;
         Ok(())
     }
 
-    fn close(&mut self, container: Container) -> Result<(), SplitError> {
-        if !self.is_in(container) {
+    fn close_container(&mut self, container: Container) -> Result<(), SplitError> {
+        if !self.is_inside(container) {
             return Err(SplitError::UnmatchedBrackets);
         }
         self.levels.pop();
--- a/crates/json-splitter/tests/splitter.rs
+++ b/crates/json-splitter/tests/splitter.rs
@@ -1,26 +1,27 @@
-//! The parts of a value are the same however its bytes are cut, and what is no JSON is refused.
+//! Tests that a value is split into the same parts however its bytes are cut into pieces, and that invalid JSON is
+//! rejected.
 
 use marbledeck_json_splitter::{Part, SplitError, Splitter, MAX_DEPTH};
 
 const MAX_ELEMENT: usize = 128;
 
-/// The parts that are found in these pieces, and whether the value is complete.
+/// Splits these pieces. Returns the parts, and whether the value is complete.
 fn split<'a>(
     pieces: impl IntoIterator<Item = &'a [u8]>,
 ) -> Result<(Vec<String>, bool), SplitError> {
     let mut splitter = Splitter::new("members", &["revision", "complete"], MAX_ELEMENT);
-    let mut found = Vec::new();
+    let mut parts = Vec::new();
     for piece in pieces {
         splitter.push(piece, &mut |part: Part| -> Result<(), SplitError> {
-            found.push(part.to_string());
+            parts.push(part.to_string());
             Ok(())
         })?;
     }
-    Ok((found, splitter.is_complete()))
+    Ok((parts, splitter.is_complete()))
 }
 
 #[test]
-fn the_parts_are_the_same_however_the_bytes_are_cut() {
+fn the_parts_do_not_depend_on_how_the_bytes_are_cut() {
     let texts = [
         r#"{"revision":41,"complete":true,"members":[{"id":"a"},{"id":"b","n":[1,{"x":"}"}]}]}"#,
         r#"{"members":[{"id":"a\"}\\"}],"complete" : false , "revision" : 7 }"#,
@@ -30,42 +31,42 @@
         r#"{"members":[1,"a",null,{"id":"a"}]}"#,
         r#"{"members":[{'a':1},{nonsense}]}"#,
     ];
-    let found: Vec<String> = texts
+    let parts: Vec<String> = texts
         .iter()
         .map(|text| {
-            let whole = split([text.as_bytes()]).expect("it is JSON");
+            let whole = split([text.as_bytes()]).expect("valid JSON");
             for size in 1..text.len() {
                 let pieces = text.as_bytes().chunks(size);
                 assert_eq!(split(pieces), Ok(whole.clone()), "pieces of {size}: {text}");
             }
-            assert!(whole.1, "complete: {text}");
+            assert!(whole.1, "not complete: {text}");
             whole.0.join(" | ")
         })
         .collect();
-    let wanted = [
+    let expected = [
         r#"revision = 41 | complete = true | {"id":"a"} | {"id":"b","n":[1,{"x":"}"}]}"#,
         r#"{"id":"a\"}\\"} | complete = false | revision = 7"#,
         "{\n      \"id\": \"a\"\n    } | revision = 41",
-        "no element | revision = x",
+        "unexpected scalar | revision = x",
         r#"{"id":"one"}"#,
-        r#"no element | no element | no element | {"id":"a"}"#,
-        // What is inside an element is for its reader to check.
+        r#"unexpected scalar | unexpected scalar | unexpected scalar | {"id":"a"}"#,
+        // The content of an element is checked by its parser.
         "{'a':1} | {nonsense}",
     ];
-    assert_eq!(found, wanted);
+    assert_eq!(parts, expected);
 }
 
 #[test]
-fn a_value_that_is_cut_off_is_not_complete() {
+fn a_truncated_value_is_not_complete() {
     let text = br#"{"revision":41,"members":[{"id":"a"},{"id":"b"}]}"#;
     for length in 0..text.len() {
-        let (_, is_complete) = split([&text[..length]]).expect("so far it is JSON");
+        let (_, is_complete) = split([&text[..length]]).expect("the beginning of valid JSON");
         assert!(!is_complete, "{length} bytes");
     }
 }
 
 #[test]
-fn what_is_no_json_around_the_elements_is_refused() {
+fn invalid_json_around_the_elements_is_rejected() {
     let deep = "[".repeat(MAX_DEPTH + 1);
     let deep_element = format!(r#"{{"members":[{{"a":{deep}"#);
     let long = format!(r#"{{"members":[{{"id":"{}"}}]}}"#, "x".repeat(MAX_ELEMENT));
