--- a/crates/node/src/gossip/config.rs
+++ b/crates/node/src/gossip/config.rs
@@ -1,4 +1,4 @@
-//! The settings of gossip: where this node and its peers take datagrams.
+//! The gossip settings: the addresses of this node and its peers.
 
 use crate::config_error::{ConfigError, ConfigProblem};
 use crate::config_file::parse_address;
@@ -7,20 +7,20 @@
 /// The nodes that gossip with each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeersConfig {
-    /// Where this node takes datagrams.
+    /// The address at which this node receives datagrams.
     pub listen: SocketAddr,
-    /// Where each node sends from and takes datagrams, by its number; this one included.
+    /// The address of each node, by its number, including this one. A node sends from its address and receives there.
     pub nodes: Vec<SocketAddr>,
     /// The number of this node.
     pub index: usize,
 }
 
 impl PeersConfig {
-    /// Reads the keys `peer_listen` and `peers` of the node's file. None where there is no other node, or the platform
-    /// does not let nodes send to each other.
+    /// Parses the keys `peer_listen` and `peers` of the node's file. Returns none if there is no other node, or the
+    /// platform does not allow gossip between nodes.
     ///
     /// # Errors
-    /// An address cannot be read, or the list has none for this node.
+    /// An address cannot be parsed, or the list has none for this node.
     pub fn parse(
         listen: &str,
         peers: &[String],
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! The link to the other nodes: a service that carries the datagrams of `marbledeck-gossip`.
+//! The gossip service: exchanges the datagrams of `marbledeck-gossip` with the other nodes.
 
 pub(crate) mod config;
 
@@ -12,38 +12,38 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long a probe's result waits for the answer of the worker's owner: twice what datagrams take on the platform, and
-/// a little.
+/// How long a probe's result waits for the answer of the worker's owner: a little more than twice the time that
+/// datagrams take on the platform.
 const ANSWER_TIMEOUT: Micros = millis(30);
-/// Datagrams read in one turn.
+/// The maximum number of datagrams read in one turn of the event loop.
 const DATAGRAMS_PER_TURN: usize = 64;
-/// How often an address that another process of this node still has is tried again.
+/// The interval between attempts to bind an address that another process of this node still holds.
 const BIND_RETRY_INTERVAL: Micros = millis(1000);
 
-/// The service for gossip.
+/// The gossip service.
 pub struct Gossip {
     config: PeersConfig,
-    /// The numbers of the nodes, by their addresses: what comes from elsewhere is dropped.
+    /// The numbers of the nodes by address. Datagrams from other addresses are dropped.
     node_numbers: HashMap<SocketAddr, usize>,
-    peers: InFlightGossip,
-    /// For whom events of the socket are.
+    in_flight: InFlightGossip,
+    /// The owner under which the socket's events are registered.
     peer: Peer,
     socket: Option<Token>,
-    /// When binding the socket is next tried.
+    /// When the next attempt to bind the socket is due.
     bind_at: Micros,
-    /// The queries to owners that are not answered yet.
+    /// The queries to the owners of workers that have not been answered yet.
     queries: PendingQueries,
 }
 
 impl Gossip {
-    /// Binds the socket; where that fails, it is tried again.
+    /// Binds the socket. If that fails, it is retried until it succeeds.
     pub fn new(config: PeersConfig, peer: Peer, now: Micros, net: &mut Net) -> Self {
         let numbers = config.nodes.iter().enumerate();
         let mut gossip = Gossip {
             node_numbers: numbers
                 .map(|(number, address)| (*address, number))
                 .collect(),
-            peers: InFlightGossip::new(config.index, config.nodes.len(), now),
+            in_flight: InFlightGossip::new(config.index, config.nodes.len(), now),
             peer,
             socket: None,
             bind_at: now,
@@ -58,12 +58,15 @@
         self.bind_at = now + BIND_RETRY_INTERVAL;
         match net.datagrams(self.config.listen, self.peer) {
             Ok(token) => self.socket = Some(token),
-            Err(e) => log::warn!("peers: {}: {e}; tried again", self.config.listen),
+            Err(e) => log::warn!(
+                "peers: cannot bind {}: {e}; binding is retried",
+                self.config.listen
+            ),
         }
     }
 
-    fn flush(&mut self, net: &mut Net) {
-        while let Some((to, bytes)) = self.peers.next_datagram() {
+    fn send_pending(&mut self, net: &mut Net) {
+        while let Some((to, bytes)) = self.in_flight.next_datagram() {
             if let (Some(socket), Some(address)) = (self.socket, self.config.nodes.get(to)) {
                 net.send_to(socket, &bytes, *address);
             }
@@ -85,7 +88,7 @@
             let Some(&node) = self.node_numbers.get(&sender) else {
                 continue;
             };
-            let Some(answer) = self.peers.receive(now, node, &bytes[..length]) else {
+            let Some(answer) = self.in_flight.receive(now, node, &bytes[..length]) else {
                 continue;
             };
             if let Some(worker) = self.queries.take_answered(answer.worker) {
@@ -101,7 +104,7 @@
         [
             self.queries.next_deadline(),
             bind_at,
-            self.peers.next_wake(),
+            self.in_flight.next_wake(),
         ]
         .into_iter()
         .flatten()
@@ -113,18 +116,18 @@
             self.bind(now, &mut context.net);
         }
         while let Some(worker) = self.queries.take_overdue(now) {
-            self.peers.mark_owner_silent(worker);
+            self.in_flight.mark_owner_silent(worker);
             context.core.set_fleet_in_flight(now, worker, None);
         }
-        self.peers.wake(now);
+        self.in_flight.wake(now);
     }
 
     fn finish_turn(&mut self, _now: Micros, context: &mut Context) {
-        self.flush(&mut context.net);
+        self.send_pending(&mut context.net);
     }
 
     fn handle_probe(&mut self, now: Micros, worker: WorkerId, context: &mut Context) {
-        match self.peers.query(now, worker) {
+        match self.in_flight.query(now, worker) {
             QueryOutcome::Known(attempts) => {
                 context.core.await_fleet_in_flight(worker);
                 context
@@ -143,10 +146,10 @@
     }
 
     fn handle_attempt_start(&mut self, now: Micros, worker: WorkerId) {
-        self.peers.record_send(now, worker);
+        self.in_flight.record_send(now, worker);
     }
 
     fn handle_attempt_end(&mut self, now: Micros, worker: WorkerId) {
-        self.peers.record_end(now, worker);
+        self.in_flight.record_end(now, worker);
     }
 }
