--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -134,13 +134,13 @@
     }
 
     /// Takes over the staleness of the process that this one replaces.
-    pub fn inherit_doubt(&mut self, now: Micros, notified_in_us: Option<u64>) {
+    pub fn inherit_staleness(&mut self, now: Micros, notified_in_us: Option<u64>) {
         match notified_in_us {
             None => {}
             // It is unknown since when changes have counted as notified, so the list is unusable before the first
             // answer.
-            Some(0) => self.staleness.inherit_doubt(Micros(0)),
-            Some(notified_in) => self.staleness.inherit_doubt(now + Micros(notified_in)),
+            Some(0) => self.staleness.inherit_staleness(Micros(0)),
+            Some(notified_in) => self.staleness.inherit_staleness(now + Micros(notified_in)),
         }
     }
 
--- a/crates/node/src/discovery/staleness.rs
+++ b/crates/node/src/discovery/staleness.rs
@@ -328,14 +328,14 @@
     }
 
     /// Takes over the staleness of the process that this one replaces.
-    pub fn inherit_doubt(&mut self, notified_at: Micros) {
+    pub fn inherit_staleness(&mut self, notified_at: Micros) {
         self.limit_notified_at(notified_at);
         self.failure_evidence = FailureEvidence::MayHaveMissed;
     }
 
     /// Records that the node moves to another discovery service.
     pub fn handle_move(&mut self, now: Micros) {
-        self.inherit_doubt(now + MOVE_DELAY);
+        self.inherit_staleness(now + MOVE_DELAY);
         if let Some(notified_at) = self.list.notified_at() {
             self.list = ListState::Moving { notified_at };
         }
--- a/crates/node/src/node/builder.rs
+++ b/crates/node/src/node/builder.rs
@@ -200,7 +200,7 @@
             discovery, fleet, ..
         } = &mut self.context;
         fleet.members.restore_out_of_service(state.out_of_service);
-        discovery.inherit_doubt(self.now, state.notified_in_us);
+        discovery.inherit_staleness(self.now, state.notified_in_us);
         state.list
     }
 
