--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -53,11 +53,11 @@
 
 /// What a wait for events has shown about the connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WaitFinding {
+pub enum WaitOutcome {
     /// No input has arrived there.
-    Nothing,
+    NoInput,
     /// Input has or may have arrived: the wait was interrupted, or there were more events than one wait reports.
-    Something,
+    PossibleInput,
 }
 
 /// The client of discovery.
@@ -168,7 +168,7 @@
     }
 
     /// The connection of the open call.
-    pub fn awaited(&self) -> Option<Token> {
+    pub fn awaited_connection(&self) -> Option<Token> {
         self.call.as_ref().map(|call| call.token)
     }
 
@@ -191,10 +191,10 @@
 
     /// Records that the event loop waited for events between two moments, and whether the connection of the open call
     /// had input.
-    pub fn note_wait(&mut self, from: Micros, to: Micros, found: WaitFinding) {
+    pub fn record_wait(&mut self, from: Micros, to: Micros, outcome: WaitOutcome) {
         // Input that ended a blocking wait arrived just now. Input that was already there when the wait began may have
         // arrived at any time since the previous check.
-        if found == WaitFinding::Nothing || to - from > MIN_BLOCKING_WAIT {
+        if outcome == WaitOutcome::NoInput || to - from > MIN_BLOCKING_WAIT {
             self.input_empty_at = to;
         }
     }
@@ -323,7 +323,7 @@
         net: &mut Net,
         core: &mut Core,
     ) {
-        if self.awaited() != Some(token) {
+        if self.awaited_connection() != Some(token) {
             self.idle = self.idle.filter(|idle| *idle != token);
             return net.close(token);
         }
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -27,7 +27,7 @@
         context.now = now;
         let (fleet, net, core) = (&mut context.fleet, &mut context.net, &mut context.core);
         context.discovery.wake(now, fleet, net, core);
-        let awaited = context.discovery.awaited();
+        let awaited = context.discovery.awaited_connection();
         if let Some(ready) = awaited.and_then(|token| net.poll_connection(token)) {
             context
                 .discovery
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -21,7 +21,7 @@
 use crate::clock::{millis, Clock};
 use crate::config::{ConfigError, NodeConfig};
 use crate::context::Context;
-use crate::discovery::WaitFinding;
+use crate::discovery::WaitOutcome;
 use crate::handover::Handover;
 use crate::net::{Peer, Ready, SocketEvent, Token};
 use crate::placement::ForwardedJobs;
@@ -93,14 +93,14 @@
         let next_wake = self.next_wake();
         let Context { net, discovery, .. } = &mut self.context;
         let are_all = net.wait(from, next_wake, events);
-        let awaited = discovery.awaited();
+        let awaited = discovery.awaited_connection();
         let is_awaited = |event: &SocketEvent| Some(event.token()) == awaited;
-        let found = if are_all && !events.iter().any(is_awaited) {
-            WaitFinding::Nothing
+        let outcome = if are_all && !events.iter().any(is_awaited) {
+            WaitOutcome::NoInput
         } else {
-            WaitFinding::Something
+            WaitOutcome::PossibleInput
         };
-        discovery.note_wait(from, self.clock.now(), found);
+        discovery.record_wait(from, self.clock.now(), outcome);
     }
 
     fn next_wake(&self) -> Option<Micros> {
