--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -96,7 +96,7 @@
     }
 
     /// Whether a source other than this one reports any worker.
-    pub fn others_name_any(&self, source: SourceId) -> bool {
+    pub fn other_sources_report_any(&self, source: SourceId) -> bool {
         let mut others = self.sources_by_id().filter(|(id, _)| *id != source);
         others.any(|(_, other)| !other.records.is_empty())
     }
@@ -138,7 +138,7 @@
     }
 
     /// The number of workers that a source reports.
-    pub fn named_by(&self, source: SourceId) -> usize {
+    pub fn worker_count(&self, source: SourceId) -> usize {
         self.sources[source.0].records.len()
     }
 
--- a/crates/membership/src/streamed_list.rs
+++ b/crates/membership/src/streamed_list.rs
@@ -100,7 +100,7 @@
     /// Handles a list entry whose text has this digest. If a worker's current report was read from the same text, it
     /// is confirmed and the result is true. Otherwise the caller has to parse the text and call
     /// [`Membership::apply_listed_report`].
-    pub fn confirm_listed(
+    pub fn confirm_unchanged(
         &mut self,
         now: Micros,
         source: SourceId,
@@ -151,7 +151,7 @@
     }
 
     /// Records that the latest list was read to its end, so that everything the source had until now is known.
-    pub fn note_list_complete(&mut self, now: Micros, source: SourceId) {
+    pub fn record_list_complete(&mut self, now: Micros, source: SourceId) {
         self.sources[source.0].list_completed_at = Some(now);
     }
 
--- a/crates/membership/tests/streamed_list.rs
+++ b/crates/membership/tests/streamed_list.rs
@@ -41,7 +41,7 @@
     members.begin_full_list(source);
     for (report, digest) in reports {
         let digest = EntryDigest(*digest);
-        if !members.confirm_listed(now, source, digest, &mut change) {
+        if !members.confirm_unchanged(now, source, digest, &mut change) {
             members.apply_listed_report(now, source, report, Some(digest), &mut change);
         }
     }
@@ -112,7 +112,7 @@
     let now = HOUR + secs(100);
     let start = |members: &Membership| members.entry("w1").expect("listed").started_at;
     apply(&mut members, now, source, &[(up("w1", 8001), 1)]);
-    members.note_list_complete(now, source);
+    members.record_list_complete(now, source);
     let restarted = |at| ListedReport {
         started_at: Some(at),
         ..up("w1", 8001)
@@ -135,7 +135,7 @@
     apply(&mut members, now + secs(30), source, &[(start_ahead, 4)]);
     assert_eq!(start(&members), Some(now + secs(30)));
     // The clocks agree, and the answer comes a few seconds after the start.
-    members.note_list_complete(now + secs(39), source);
+    members.record_list_complete(now + secs(39), source);
     let start_in_step = restarted(now + secs(36));
     apply(&mut members, now + secs(40), source, &[(start_in_step, 5)]);
     assert_eq!(start(&members), Some(now + secs(36)));
--- a/crates/node/src/discovery/answer.rs
+++ b/crates/node/src/discovery/answer.rs
@@ -200,7 +200,7 @@
         );
         self.revision = revision;
         self.staleness.handle_complete_answer(now, began_at);
-        fleet.members.note_list_complete(now, self.source);
+        fleet.members.record_list_complete(now, self.source);
         let mut change = MembershipChange::default();
         if header.is_complete {
             change.append(fleet.members.sweep_all_missing(now, self.source));
--- a/crates/node/src/discovery/list_update.rs
+++ b/crates/node/src/discovery/list_update.rs
@@ -34,7 +34,7 @@
         let digest = EntryDigest(self.digest_key.hash_one(text));
         let (now, source) = (self.now, self.source);
         let members = &mut *self.members;
-        if members.confirm_listed(now, source, digest, &mut self.change) {
+        if members.confirm_unchanged(now, source, digest, &mut self.change) {
             return Ok(());
         }
         let text = std::str::from_utf8(text)?;
@@ -45,7 +45,7 @@
             let entry: EndpointEntry = serde_json::from_str(text)?;
             self.apply_entry(&entry, Some(digest));
         }
-        if self.members.named_by(self.source) > MAX_WORKERS {
+        if self.members.worker_count(self.source) > MAX_WORKERS {
             return Err(ListError::TooManyWorkers(MAX_WORKERS));
         }
         Ok(())
