--- a/crates/node/src/discovery/answer.rs
+++ b/crates/node/src/discovery/answer.rs
@@ -217,7 +217,7 @@
         if self.distrusted_at().is_some_and(|due| due <= now) {
             self.is_distrusted = true;
             let next_list = fleet.members.list_number(self.source) + 1;
-            self.trust.limit(next_list);
+            self.trust.distrust_before(next_list);
             return fleet.members.set_trusted_from_list(self.source, next_list);
         }
         if was_distrusted {
--- a/crates/node/src/discovery/list_trust.rs
+++ b/crates/node/src/discovery/list_trust.rs
@@ -78,14 +78,14 @@
     pub fn expire(&mut self, now: Micros) -> Option<Micros> {
         let mut began_at = None;
         while let Some(answer) = self.unread.pop_front_if(|answer| answer.expires_at <= now) {
-            self.limit(answer.list_number);
+            self.distrust_before(answer.list_number);
             began_at = Some(answer.began_at);
         }
         began_at.map(|began_at| now - began_at)
     }
 
     /// Stops trusting the lists before this one.
-    pub fn limit(&mut self, list_number: u64) {
+    pub fn distrust_before(&mut self, list_number: u64) {
         self.trusted_from = self.trusted_from.max(list_number);
     }
 
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -235,7 +235,7 @@
             let is_answering = self.call.as_ref().is_some_and(|call| call.answer.is_some());
             let is_reading_current_list = is_answering && !self.staleness.lists_are_pushed();
             self.trust
-                .limit(list_number + u64::from(!is_reading_current_list));
+                .distrust_before(list_number + u64::from(!is_reading_current_list));
         }
         let trusted_from = self.trust.trusted_from();
         if trusted_from > fleet.members.trusted_from_list(self.source) {
