--- a/crates/membership/src/source_report.rs
+++ b/crates/membership/src/source_report.rs
@@ -42,7 +42,8 @@
 pub struct SourceReport {
     /// The worker's id, the same at every source and every node.
     pub id: String,
-    /// Its address; none if the source gives no usable one, in which case the worker gets no requests.
+    /// Its address; none if the source gives no usable one. A worker that has an address from no source gets no
+    /// requests.
     pub address: Option<SocketAddr>,
     /// Whether it takes new requests.
     pub status: Status,
