--- a/crates/submission-client/src/client/mod.rs
+++ b/crates/submission-client/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The client: keeps a connection, and reopens its session on a new one.
+//! The client, which maintains one connection to the node and reopens its session after each reconnect.
 
 mod queries;
 mod request;
@@ -19,10 +19,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The maximum time for making a connection.
+/// Maximum connect timeout.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A client of one node. It can be used from many threads at once.
+/// A client of one node. Several threads can share it.
 pub struct Client {
     settings: Settings,
     connection: Mutex<Option<Arc<Connection>>>,
@@ -32,7 +32,7 @@
 }
 
 impl Client {
-    /// A client that connects with its first request.
+    /// Creates a client, which connects when the first request is sent.
     pub fn new(settings: Settings) -> Self {
         Client {
             settings,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// A client that passes the events of its open session to `on_event`, which is called on the connection's thread
-    /// and must not use this client.
+    /// Creates a client that passes the events of its open session to `on_event`. The handler runs on the reader thread
+    /// of the connection and must not use this client, since no answer is read until it returns.
     pub fn with_events(settings: Settings, on_event: EventHandler) -> Self {
         Client {
             on_event: Some(Arc::from(on_event)),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The address of the node.
+    /// Submission address of the node.
     pub fn contact(&self) -> &str {
         &self.settings.contact
     }
@@ -73,11 +73,14 @@
         }
     }
 
-    /// The connection, or a new one on which the session is reopened.
+    /// Returns the current connection. If there is none or it is lost, connects and reopens the session.
     fn connection(&self) -> io::Result<Arc<Connection>> {
         let mut current = lock(&self.connection);
         if self.is_closed() {
-            return Err(io::Error::new(io::ErrorKind::NotConnected, "closed"));
+            return Err(io::Error::new(
+                io::ErrorKind::NotConnected,
+                "the client is closed",
+            ));
         }
         if let Some(connection) = current.as_ref().filter(|current| !current.is_lost()) {
             return Ok(connection.clone());
@@ -97,7 +100,7 @@
         Ok(connection)
     }
 
-    /// The handler of a connection's events; it keeps the number of the session's last event.
+    /// Creates the event handler of a connection, which also stores the number of the last event in `last_event`.
     fn event_handler(&self, last_event: Option<Arc<AtomicU64>>) -> EventHandler {
         let on_event = self.on_event.clone();
         Box::new(move |event: Event| {
@@ -109,7 +112,8 @@
                 (Some(number), Some(last_event)) => {
                     last_event.fetch_max(number, Ordering::SeqCst);
                 }
-                // The session was opened on this connection; the connection that replaces it sends the event again.
+                // The session was opened on this connection, which is about to be replaced; the node sends the event
+                // again on the new connection.
                 (Some(_), None) => return,
                 (None, _) => {}
             }
--- a/crates/submission-client/src/client/queries.rs
+++ b/crates/submission-client/src/client/queries.rs
@@ -1,4 +1,4 @@
-//! Information about jobs, queues and machines, and control operations.
+//! Queries of jobs, queues and machines, and control operations.
 
 use super::request::decode;
 use super::Client;
@@ -8,19 +8,19 @@
 };
 use serde::Deserialize;
 
-/// The maximum number of jobs of a page.
+/// Number of jobs requested per page.
 const PAGE_JOBS: usize = 256;
 
 /// The result of a control operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlSummary {
-    /// The number of jobs that were changed.
+    /// Number of jobs whose state was changed.
     pub changed: usize,
-    /// The number of jobs whose state does not allow the operation.
+    /// Number of jobs whose state does not allow the operation.
     pub rejected: usize,
 }
 
-/// The answer to a control operation; without numbers if it was on a single job.
+/// The answer to a control operation; the counts are absent if the operation was on a single job.
 #[derive(Deserialize)]
 #[serde(rename = "Many")]
 struct ControlAnswer {
@@ -49,7 +49,7 @@
 }
 
 impl Client {
-    /// The information of a job.
+    /// Returns the information of a job.
     ///
     /// # Errors
     /// `INVALID_ARGUMENT` if there is no such job.
@@ -59,20 +59,20 @@
         Ok(answer.job_info)
     }
 
-    /// The information of an array.
+    /// Returns the information of a job array.
     ///
     /// # Errors
-    /// `INVALID_ARGUMENT` if there is no such array.
+    /// `INVALID_ARGUMENT` if there is no such job array.
     pub fn job_array(&self, job_array_id: &str) -> Result<ArrayInfo, Error> {
         let job_array_id = job_array_id.to_owned();
         let answer: ArrayAnswer = self.call(Operation::GetJobArray { job_array_id })?;
         Ok(answer.job_array)
     }
 
-    /// Passes all jobs that a filter selects to `handle_job`.
+    /// Passes each job that matches the filter to `handle_job`; `None` lists the jobs of all sessions.
     ///
     /// # Errors
-    /// If the request fails, or there is no such session.
+    /// If the request fails or there is no such session.
     pub fn list_jobs(
         &self,
         session: Option<&str>,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Carries out a control operation: terminate, hold, release, suspend, resume or reap.
+    /// Sends a control operation: terminate, hold, release, suspend, resume or reap.
     ///
     /// # Errors
     /// The node's problem if no job was changed.
@@ -107,7 +107,7 @@
         })
     }
 
-    /// The queues.
+    /// Returns all queues.
     ///
     /// # Errors
     /// If the request fails.
@@ -116,7 +116,7 @@
         Ok(answer.queues)
     }
 
-    /// The machines.
+    /// Returns all machines.
     ///
     /// # Errors
     /// If the request fails.
--- a/crates/submission-client/src/client/request.rs
+++ b/crates/submission-client/src/client/request.rs
@@ -1,4 +1,4 @@
-//! Sending requests, with retries on new connections.
+//! Sends requests, and repeats them on a new connection when the connection is lost.
 
 use super::Client;
 use crate::connection::{has_more, Connection};
@@ -10,41 +10,42 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// The bounds of the pause before a new connection.
+/// Initial bound of the backoff between connection attempts.
 const INITIAL_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum bound of the backoff between connection attempts.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// How long an answer is awaited.
+/// Time limit for an answer.
 #[derive(Clone, Copy)]
 pub(super) enum AnswerDeadline {
-    /// As long as the settings say.
+    /// [`Settings::answer_timeout`](crate::Settings::answer_timeout).
     FromSettings,
-    /// Until the node reports the timeout of a wait at this time.
+    /// For a wait that ends at this time: the answer timeout starts then, since the node reports the timeout itself.
     WaitUntil(Instant),
-    /// As long as the connection lasts.
+    /// None; only the loss of the connection ends the request.
     Unlimited,
 }
 
-/// Decides how long a request is retried whose connections are lost.
-pub(super) struct Reconnects {
+/// Backoff between attempts of a request whose connection was lost, with a time limit.
+pub(super) struct ReconnectBackoff {
     timeout: Duration,
-    /// Since when no connection has lasted.
+    /// Start of the current series of failed attempts.
     failing_since: Instant,
     backoff: Backoff,
 }
 
-impl Reconnects {
+impl ReconnectBackoff {
     pub(super) fn new(timeout: Duration) -> Self {
-        Reconnects {
+        ReconnectBackoff {
             timeout,
             failing_since: Instant::now(),
             backoff: Backoff::new(INITIAL_PAUSE, MAX_PAUSE),
         }
     }
 
-    /// The pause before the next attempt; `None` if the timeout would be exceeded.
+    /// Returns the pause before the next attempt, or `None` if it would exceed the timeout.
     pub(super) fn next_pause(&mut self, attempt_started: Instant) -> Option<Duration> {
-        // A connection that has lasted for a while starts the timeout anew.
+        // An attempt that lasted longer than the timeout is assumed to have been connected, so a new series starts.
         if attempt_started.elapsed() > self.timeout {
             self.failing_since = Instant::now();
             self.backoff.reset();
@@ -58,24 +59,26 @@
     /// Sends a request and returns the node's answer.
     ///
     /// # Errors
-    /// The node's problem, or that no answer came.
+    /// The node's problem, the loss of the connection, or an invalid answer.
     pub fn request(&self, operation: Operation) -> Result<Value, Error> {
         self.call(operation)
     }
 
-    /// Sends a request on as many connections as it takes until there is an answer. Repeating the request must be
-    /// harmless.
+    /// Sends a request and decodes its answer of one line. The request is repeated on a new connection if the
+    /// connection is lost, so it must be idempotent.
     pub(super) fn call<T: DeserializeOwned>(&self, operation: Operation) -> Result<T, Error> {
         let mut lines = self.call_lines(operation)?;
         match lines.pop() {
             Some(line) if lines.is_empty() => decode(line),
-            _ => Err(Error::InvalidAnswer("more than one line".to_owned())),
+            _ => Err(Error::InvalidAnswer(
+                "expected one line, received several".to_owned(),
+            )),
         }
     }
 
-    /// Like [`Client::call`], for an answer of several lines.
+    /// Like [`Client::call`], for an answer of one or more lines, which are not decoded.
     pub(super) fn call_lines(&self, operation: Operation) -> Result<Vec<Value>, Error> {
-        let mut reconnects = Reconnects::new(self.settings.retry_timeout);
+        let mut reconnect_backoff = ReconnectBackoff::new(self.settings.retry_timeout);
         loop {
             let attempt_started = Instant::now();
             let attempt = self.try_call_lines(operation.clone(), AnswerDeadline::FromSettings);
@@ -86,14 +89,14 @@
             if self.is_closed() {
                 return Err(Error::Connection(failure));
             }
-            let Some(pause) = reconnects.next_pause(attempt_started) else {
+            let Some(pause) = reconnect_backoff.next_pause(attempt_started) else {
                 return Err(Error::Connection(failure));
             };
             std::thread::sleep(pause);
         }
     }
 
-    /// Sends a request once.
+    /// Sends a request once, without a retry.
     pub(super) fn try_call_lines(
         &self,
         operation: Operation,
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Sends a request once, on this connection, and returns its answer of one line.
+    /// Sends a request once on this connection and decodes its answer of one line.
     pub(super) fn call_on<T: DeserializeOwned>(
         &self,
         connection: &Connection,
@@ -133,9 +136,9 @@
         let received = match deadline {
             AnswerDeadline::FromSettings => answer.recv_timeout(answer_timeout),
             AnswerDeadline::WaitUntil(time) => {
-                // The node reports the timeout; its answer may take a little longer.
-                let left = time.saturating_duration_since(Instant::now());
-                answer.recv_timeout(left + answer_timeout)
+                // The node reports the timeout; allow the usual time for its answer.
+                let remaining = time.saturating_duration_since(Instant::now());
+                answer.recv_timeout(remaining + answer_timeout)
             }
             AnswerDeadline::Unlimited => answer.recv().map_err(|_| RecvTimeoutError::Disconnected),
         };
@@ -143,7 +146,7 @@
             Ok(line) => Ok(line),
             Err(RecvTimeoutError::Disconnected) => Err(Error::connection_reset()),
             Err(RecvTimeoutError::Timeout) => {
-                // A node that does not answer for so long is treated as lost.
+                // The connection is considered lost if the node does not answer in time.
                 connection.close();
                 Err(Error::Connection(io::ErrorKind::TimedOut.into()))
             }
@@ -151,9 +154,9 @@
     }
 }
 
-/// Decodes an answer, or the problem in its place.
+/// Decodes a line of an answer; a problem becomes an error.
 pub(super) fn decode<T: DeserializeOwned>(line: Value) -> Result<T, Error> {
-    // A job's own problem is within its jobInfo; at the top level it is the answer's.
+    // The problem of a failed job is nested in `jobInfo`; a problem at the top level means that the request failed.
     if line.get("error").is_some() {
         return match serde_json::from_value(line) {
             Ok(problem) => Err(Error::Problem(problem)),
--- a/crates/submission-client/src/client/sessions.rs
+++ b/crates/submission-client/src/client/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions, which stay open when a connection is lost.
+//! Sessions, which the client reopens when a connection is lost.
 
 use super::Client;
 use crate::connection::{lock, Connection};
@@ -9,11 +9,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// The session that a client has open.
+/// The open session of a client.
 #[derive(Clone)]
 pub(super) struct OpenSession {
     name: String,
-    /// The number of the last event that has arrived.
+    /// Number of the last event that was received.
     pub(super) last_event: Arc<AtomicU64>,
 }
 
@@ -33,37 +33,38 @@
 }
 
 impl Client {
-    /// Opens a session and keeps it open when connections are lost. Its events arrive after number `since`, or from
-    /// now on. Returns the number of the last event.
+    /// Opens a session and reopens it after each reconnect. The client receives the events after number `since`, or
+    /// only future ones if it is `None`. Returns the number of the session's last event.
     ///
     /// # Errors
-    /// [`ErrorId::InvalidSession`] if there is no such session, [`ErrorId::InvalidArgument`] if `since` is beyond the
-    /// last event.
+    /// [`ErrorId::InvalidSession`] if there is no such session, [`ErrorId::InvalidArgument`] if `since` is greater than
+    /// the number of the last event.
     pub fn open_session(&self, name: &str, since: Option<u64>) -> Result<u64, Error> {
         let opened = self.call(Operation::OpenSession {
             name: name.to_owned(),
             since,
         })?;
-        self.keep_open(name, since, &opened)
+        self.set_open_session(name, since, &opened)
     }
 
-    /// Like [`Client::open_session`], but creates the session if there is none.
+    /// Like [`Client::open_session`], but creates the session if it does not exist.
     ///
     /// # Errors
-    /// [`ErrorId::InvalidArgument`] if the name is malformed or `since` is beyond the last event.
+    /// [`ErrorId::InvalidArgument`] if the name is malformed or `since` is greater than the number of the last event.
     pub fn create_or_open_session(&self, name: &str, since: Option<u64>) -> Result<u64, Error> {
         let created = self.call(Operation::CreateSession {
             name: name.to_owned(),
         });
         match created {
-            // It exists, perhaps because the answer to an earlier attempt was lost.
+            // The session exists, perhaps because the answer to an earlier attempt was lost.
             Err(error) if error.is(ErrorId::InvalidArgument) => self.open_session(name, since),
             Err(error) => Err(error),
-            Ok(opened) => self.keep_open(name, since, &opened),
+            Ok(opened) => self.set_open_session(name, since, &opened),
         }
     }
 
-    fn keep_open(
+    /// Stores the session, so that it is reopened after each reconnect.
+    fn set_open_session(
         &self,
         name: &str,
         since: Option<u64>,
@@ -75,14 +76,15 @@
             last_event: Arc::new(AtomicU64::new(last_event)),
         });
         if self.on_event.is_some() {
-            // The current connection does not keep the number of the session's last event; a new one does.
+            // The event handler of the current connection does not store the number of the last event; that of a new
+            // connection does.
             self.drop_connection();
             self.call::<Value>(Operation::ListSessions)?;
         }
         Ok(opened.last_event)
     }
 
-    /// Reopens the session on a new connection, after the last event that has arrived.
+    /// Reopens the session on a new connection and requests the events after the last one that was received.
     pub(super) fn reopen_session(&self, connection: &Connection, session: OpenSession) {
         let OpenSession { name, last_event } = session;
         let reopened = self.call_on::<SessionOpened>(
@@ -95,7 +97,7 @@
         let Err(Error::Problem(_)) = reopened else {
             return;
         };
-        // The node was restarted: the session is created again, and its events are numbered anew.
+        // The node lost the session in a restart: create it again. Its event numbers restart as well.
         last_event.store(0, Ordering::SeqCst);
         let create = Operation::CreateSession { name: name.clone() };
         if self.call_on::<Value>(connection, create).is_err() {
@@ -103,12 +105,12 @@
                 name,
                 since: Some(0),
             };
-            // If this fails as well, the connection is used without the session.
+            // If this fails as well, the connection is used without a session.
             let _ = self.call_on::<Value>(connection, open);
         }
     }
 
-    /// Closes the open session.
+    /// Closes the open session, if there is one.
     ///
     /// # Errors
     /// If the request fails.
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Removes a session. Its jobs go on.
+    /// Destroys a session. Its jobs continue.
     ///
     /// # Errors
     /// [`ErrorId::InvalidSession`] if there is no such session.
@@ -138,12 +140,12 @@
             .map(drop)
     }
 
-    /// The names of all sessions.
+    /// Returns the names of all sessions.
     ///
     /// # Errors
     /// If the request fails.
     pub fn sessions(&self) -> Result<Vec<String>, Error> {
-        let names: SessionNames = self.call(Operation::ListSessions)?;
-        Ok(names.sessions)
+        let answer: SessionNames = self.call(Operation::ListSessions)?;
+        Ok(answer.sessions)
     }
 }
--- a/crates/submission-client/src/client/submission.rs
+++ b/crates/submission-client/src/client/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of jobs, with resubmission of those that the node rejects for now.
+//! Submission of jobs, and resubmission of those that the node rejects with `TRY_LATER`.
 
 #[cfg(test)]
 mod tests;
@@ -14,61 +14,62 @@
 use rand::Rng;
 use std::time::{Duration, Instant};
 
-/// The bounds of the pause before a resubmission.
+/// Initial bound of the backoff between resubmissions.
 const INITIAL_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum bound of the backoff between resubmissions.
 const MAX_PAUSE: Duration = Duration::from_secs(5);
 
-/// The indices of a bulk: from `begin` to `end`, if a whole number of steps leads to it.
+/// The indices of a bulk job: `begin`, `begin + step`, and so on, up to and including `end` if it is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndexRange {
     /// The first index.
     pub begin: i64,
     /// The last index.
     pub end: i64,
-    /// The distance between two indices; may be negative.
+    /// Difference between two successive indices; may be negative.
     pub step: i64,
 }
 
 impl IndexRange {
-    /// The indices from `begin` to `end` at this distance.
+    /// The indices from `begin` to `end` in increments of `step`.
     pub fn new(begin: i64, end: i64, step: i64) -> Self {
         IndexRange { begin, end, step }
     }
 }
 
-/// Jobs that were submitted together.
+/// The jobs of a bulk submission.
 #[derive(Clone, Debug, Default)]
 pub struct Bulk {
-    /// The arrays that the jobs are members of: several if some jobs were resubmitted.
+    /// Ids of the job arrays that the jobs belong to; more than one if jobs were resubmitted.
     pub arrays: Vec<String>,
-    /// The jobs, in the order of their indices.
+    /// The jobs, in the order of the index range.
     pub jobs: Vec<BulkJob>,
 }
 
 /// One job of a [`Bulk`].
 #[derive(Clone, Debug)]
 pub struct BulkJob {
-    /// The job's index.
+    /// Index of the job.
     pub index: i64,
-    /// The accepted job, or why it was rejected.
+    /// The accepted job, or the reason why the node rejected it.
     pub result: Result<Accepted, Problem>,
 }
 
-/// Limits how long jobs are resubmitted.
-struct Resubmissions {
+/// Backoff between resubmissions, with a time limit.
+struct ResubmitBackoff {
     deadline: Instant,
     backoff: Backoff,
 }
 
-impl Resubmissions {
+impl ResubmitBackoff {
     fn new(timeout: Duration) -> Self {
-        Resubmissions {
+        ResubmitBackoff {
             deadline: Instant::now() + timeout,
             backoff: Backoff::new(INITIAL_PAUSE, MAX_PAUSE),
         }
     }
 
-    /// The pause before the next attempt; `None` if it would end after the deadline.
+    /// Returns the pause before the next attempt, or `None` if it would end after the deadline.
     fn next_pause(&mut self, retry_after: Option<Duration>) -> Option<Duration> {
         let pause = self.backoff.next_pause(retry_after);
         (Instant::now() + pause <= self.deadline).then_some(pause)
@@ -76,36 +77,38 @@
 }
 
 impl Client {
-    /// Submits a job. If the template has no submission key, it gets one, so that the job runs once although the
-    /// request may be repeated.
+    /// Submits a job. A template without a submission key gets a random one, so that the node recognises a repeated
+    /// request as a duplicate and the job runs once.
     ///
     /// # Errors
-    /// If the job was rejected until the resubmit timeout, or for good, or the request has failed.
+    /// If the node rejects the job, with `TRY_LATER` until the resubmit timeout or with another problem, or the request
+    /// fails.
     pub fn run_job(&self, template: Template, session: Option<&str>) -> Result<Accepted, Error> {
         let operation = Operation::RunJob {
             template: with_key(template, ""),
             notify: false,
             session: session.map(str::to_owned),
         };
-        let mut resubmissions = Resubmissions::new(self.settings.resubmit_timeout);
+        let mut resubmit_backoff = ResubmitBackoff::new(self.settings.resubmit_timeout);
         loop {
             let problem = match self.call(operation.clone()) {
                 Err(Error::Problem(problem)) if problem.error == ErrorId::TryLater => problem,
                 answer => return answer,
             };
             let retry_after = problem.retry_after_ms.map(Duration::from_millis);
-            let Some(pause) = resubmissions.next_pause(retry_after) else {
+            let Some(pause) = resubmit_backoff.next_pause(retry_after) else {
                 return Err(Error::Problem(problem));
             };
             std::thread::sleep(pause);
         }
     }
 
-    /// Submits a job for each index. `${PARAMETRIC_INDEX}` in the template is replaced by the index. Jobs that the
-    /// node rejects for now are resubmitted until the resubmit timeout; the rejections that remain are in the result.
+    /// Submits a job for each index. `${PARAMETRIC_INDEX}` in the template is replaced by the index. Jobs that the node
+    /// rejects with `TRY_LATER` are resubmitted until the resubmit timeout; the result contains the jobs that are still
+    /// rejected then.
     ///
     /// # Errors
-    /// If the request has failed, or the template or the indices are invalid.
+    /// If the request fails, or the template or the index range is invalid.
     pub fn run_bulk(
         &self,
         template: Template,
@@ -114,7 +117,7 @@
         session: Option<&str>,
     ) -> Result<Bulk, Error> {
         let template = with_key(template, &format!("-{PARAMETRIC_INDEX}"));
-        let mut resubmissions = Resubmissions::new(self.settings.resubmit_timeout);
+        let mut resubmit_backoff = ResubmitBackoff::new(self.settings.resubmit_timeout);
         let mut bulk = Bulk::default();
         let mut ranges = vec![indices];
         loop {
@@ -136,7 +139,7 @@
             if rejected.is_empty() {
                 break;
             }
-            let Some(pause) = resubmissions.next_pause(Some(max_retry_after(&rejected))) else {
+            let Some(pause) = resubmit_backoff.next_pause(Some(max_retry_after(&rejected))) else {
                 bulk.add_rejected(rejected);
                 break;
             };
@@ -148,20 +151,20 @@
     }
 }
 
-/// A job of a bulk that is rejected for now.
+/// A job of a bulk that the node rejected with `TRY_LATER`.
 struct RejectedJob {
     index: i64,
     problem: Problem,
 }
 
-/// The longest pause that the node has asked for.
+/// The longest delay that the node asked for; zero if it asked for none.
 fn max_retry_after(rejected: &[RejectedJob]) -> Duration {
-    let hints = rejected.iter().map(|job| job.problem.retry_after_ms);
-    Duration::from_millis(hints.flatten().max().unwrap_or(0))
+    let delays_ms = rejected.iter().map(|job| job.problem.retry_after_ms);
+    Duration::from_millis(delays_ms.flatten().max().unwrap_or(0))
 }
 
 impl Bulk {
-    /// Adds a line of an answer; the jobs that are rejected for now are added to `rejected`.
+    /// Adds the jobs of one line of an answer; those rejected with `TRY_LATER` go to `rejected` instead.
     fn add_answer(&mut self, answer: BulkAnswer, rejected: &mut Vec<RejectedJob>) {
         if self.arrays.last() != Some(&answer.job_array_id) {
             self.arrays.push(answer.job_array_id);
@@ -186,7 +189,7 @@
         }));
     }
 
-    /// Sorts the jobs in the order of their submission.
+    /// Sorts the jobs by index, in the direction of `step`.
     fn sort(&mut self, step: i64) {
         self.jobs.sort_by_key(|job| job.index);
         if step < 0 {
@@ -195,14 +198,14 @@
     }
 }
 
-/// The template with a random submission key that ends with `suffix`, unless it has a key.
+/// Sets a random submission key that ends with `suffix`, unless the template has a key.
 fn with_key(mut template: Template, suffix: &str) -> Template {
     let random_key = || format!("{:032x}{suffix}", rand::rng().random::<u128>());
     template.submission_key.get_or_insert_with(random_key);
     template
 }
 
-/// Groups indices, which are in order, into as few ranges of this step as possible.
+/// Groups indices in the order of `step` into as few ranges as possible.
 fn group_indices(indices: impl Iterator<Item = i64>, step: i64) -> Vec<IndexRange> {
     let mut ranges: Vec<IndexRange> = Vec::new();
     for index in indices {
--- a/crates/submission-client/src/client/submission/tests.rs
+++ b/crates/submission-client/src/client/submission/tests.rs
@@ -1,3 +1,5 @@
+//! Unit tests of bulk submission and submission keys.
+
 use super::*;
 
 #[test]
@@ -26,9 +28,9 @@
     let first = random_key();
     assert!(first.ends_with(PARAMETRIC_INDEX));
     assert_ne!(first, random_key());
-    let own = Template {
+    let keyed = Template {
         submission_key: Some("mine".to_owned()),
         ..Template::default()
     };
-    assert_eq!(with_key(own, "").submission_key.as_deref(), Some("mine"));
+    assert_eq!(with_key(keyed, "").submission_key.as_deref(), Some("mine"));
 }
--- a/crates/submission-client/src/client/waits.rs
+++ b/crates/submission-client/src/client/waits.rs
@@ -1,6 +1,6 @@
-//! Waits for the start or the end of jobs.
+//! Waits until jobs start or terminate.
 
-use super::request::{decode, AnswerDeadline, Reconnects};
+use super::request::{decode, AnswerDeadline, ReconnectBackoff};
 use super::Client;
 use crate::Error;
 use marbledeck_submission::message::{
@@ -9,20 +9,20 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// What a wait is for.
+/// The state that a job must reach for a wait to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitGoal {
-    /// A job runs or has ended.
+    /// The job runs or has terminated.
     Started,
-    /// A job has ended.
+    /// The job has terminated.
     Terminated,
 }
 
 impl Client {
-    /// Waits until a job has ended.
+    /// Waits until a job has terminated.
     ///
     /// # Errors
-    /// [`ErrorId::Timeout`] if that takes longer; the job goes on.
+    /// [`ErrorId::Timeout`] if that takes longer than `timeout`; the job continues.
     pub fn wait_terminated(
         &self,
         job_id: &str,
@@ -34,10 +34,10 @@
         })
     }
 
-    /// Waits until a job runs or has ended.
+    /// Waits until a job runs or has terminated.
     ///
     /// # Errors
-    /// [`ErrorId::Timeout`] if that takes longer; the job goes on.
+    /// [`ErrorId::Timeout`] if that takes longer than `timeout`; the job continues.
     pub fn wait_started(&self, job_id: &str, timeout: Option<Duration>) -> Result<JobInfo, Error> {
         self.wait(timeout, |timeout_ms| Operation::WaitStarted {
             job_id: job_id.to_owned(),
@@ -45,10 +45,10 @@
         })
     }
 
-    /// Waits until any of these jobs meets the goal.
+    /// Waits until any of these jobs reaches the goal.
     ///
     /// # Errors
-    /// [`ErrorId::Timeout`] if that takes longer; the jobs go on.
+    /// [`ErrorId::Timeout`] if that takes longer than `timeout`; the jobs continue.
     pub fn wait_any(
         &self,
         targets: &Targets,
@@ -70,7 +70,8 @@
         })
     }
 
-    /// Waits on as many connections as it takes; `operation` makes the request for the time that is left.
+    /// Waits, and repeats the wait if the connection is lost. `operation` creates the request for the remaining time in
+    /// milliseconds.
     fn wait(
         &self,
         timeout: Option<Duration>,
@@ -78,21 +79,21 @@
     ) -> Result<JobInfo, Error> {
         let wait_end = timeout.map(|timeout| Instant::now() + timeout);
         let deadline = wait_end.map_or(AnswerDeadline::Unlimited, AnswerDeadline::WaitUntil);
-        let mut reconnects = Reconnects::new(self.settings.retry_timeout);
+        let mut reconnect_backoff = ReconnectBackoff::new(self.settings.retry_timeout);
         loop {
             let attempt_started = Instant::now();
-            let time_left = wait_end.map(|end| end.saturating_duration_since(attempt_started));
-            let timeout_ms = time_left.map(|left| left.as_millis() as u64);
+            let remaining = wait_end.map(|end| end.saturating_duration_since(attempt_started));
+            let timeout_ms = remaining.map(|remaining| remaining.as_millis() as u64);
             let failure = match self.try_wait(operation(timeout_ms), deadline) {
                 Err(Error::Connection(failure)) => failure,
-                // There are too many waits: retried.
+                // The node has too many pending waits; retried like a lost connection.
                 Err(error) if error.is(ErrorId::TryLater) => io::ErrorKind::WouldBlock.into(),
                 answer => return answer,
             };
             if self.is_closed() {
                 return Err(Error::Connection(failure));
             }
-            let pause = reconnects.next_pause(attempt_started);
+            let pause = reconnect_backoff.next_pause(attempt_started);
             if wait_end.is_some_and(|end| Instant::now() >= end) {
                 let problem = Problem::new(ErrorId::Timeout, "the job goes on");
                 return Err(Error::Problem(problem));
--- a/crates/submission-client/src/connection.rs
+++ b/crates/submission-client/src/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a node: requests are sent from any thread, a thread of its own reads the lines that arrive, and
-//! each answer is passed to the request that it belongs to.
+//! A connection to a node, shared by several threads. Any thread can send requests; a reader thread passes each answer
+//! to the request with the same `seq`, and each event to the event handler.
 
 use marbledeck_submission::frame;
 use marbledeck_submission::message::{Event, Operation, Problem, Request};
@@ -12,20 +12,20 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The maximum length of a line that a node sends, in bytes: a result with its escapes.
+/// Maximum length of a line from the node, in bytes; it covers the result of a job with its JSON escapes.
 const MAX_LINE_BYTES: u64 = 1024 * 1024;
-/// How long sending a request may take.
+/// Timeout of each write to the socket.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A connect timeout must not be zero.
+/// Minimum connect timeout: `TcpStream::connect_timeout` rejects zero.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Receives the events of open sessions and of jobs that were submitted with `notify`.
 pub type EventHandler = Box<dyn Fn(Event) + Send + Sync>;
 
-/// The requests that await an answer, by `seq`.
+/// Channels of the requests that wait for an answer, by `seq`.
 type PendingRequests = Mutex<HashMap<u64, Sender<Value>>>;
 
-/// A connection, shared by all threads that use it.
+/// A connection to a node and its reader thread.
 pub(crate) struct Connection {
     socket: TcpStream,
     writer: Mutex<TcpStream>,
@@ -34,12 +34,12 @@
     is_lost: Arc<AtomicBool>,
 }
 
-/// Locks a mutex, also after another thread has panicked while it held it.
+/// Locks a mutex even if it is poisoned.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Whether another line of the same answer follows.
+/// Whether the answer continues on another line.
 pub(crate) fn has_more(line: &Value) -> bool {
     line.get("more").and_then(Value::as_bool) == Some(true)
 }
@@ -48,14 +48,16 @@
     /// Connects to the first address of `contact` that accepts a connection.
     ///
     /// # Errors
-    /// The error of the last address.
+    /// If the name cannot be resolved, or with the error of the last address if none accepts.
     pub(crate) fn connect(
         contact: &str,
         timeout: Duration,
         on_event: Option<EventHandler>,
     ) -> io::Result<Self> {
-        let mut last_error =
-            io::Error::new(io::ErrorKind::NotFound, "the name stands for no address");
+        let mut last_error = io::Error::new(
+            io::ErrorKind::NotFound,
+            "the host name resolves to no address",
+        );
         for address in contact.to_socket_addrs()? {
             match Self::connect_to(address, timeout) {
                 Ok(socket) => return Self::start(socket, on_event),
@@ -82,7 +84,7 @@
             .spawn(move || {
                 read_lines(reader, &reader_pending, on_event);
                 reader_lost.store(true, Ordering::SeqCst);
-                // Dropping the senders ends the waits for answers.
+                // Dropping the senders makes the pending requests fail.
                 lock(&reader_pending).clear();
             })?;
         Ok(Connection {
@@ -94,15 +96,16 @@
         })
     }
 
-    /// Whether no more requests can be sent.
+    /// Whether the reader thread has ended, so that no more answers can arrive.
     pub(crate) fn is_lost(&self) -> bool {
         self.is_lost.load(Ordering::SeqCst)
     }
 
-    /// Sends a request. Its answer arrives as one or several lines; the channel ends early if the connection is lost.
+    /// Sends a request. The lines of its answer arrive on the returned channel, which disconnects if the connection is
+    /// lost.
     ///
     /// # Errors
-    /// If the connection is lost; the request may or may not have arrived.
+    /// If the connection is lost; the node may have received the request nevertheless.
     pub(crate) fn send(&self, operation: Operation) -> io::Result<Receiver<Value>> {
         let seq = self.next_seq.fetch_add(1, Ordering::SeqCst);
         let (sender, receiver) = channel();
@@ -112,7 +115,7 @@
             op: operation,
         });
         let written = lock(&self.writer).write_all(&line);
-        // The reader may have ended before this request was added, and would not clear it.
+        // If the reader ended before this request was added, it did not remove the request.
         let lost = self
             .is_lost()
             .then(|| io::ErrorKind::ConnectionReset.into());
@@ -124,9 +127,9 @@
         Ok(receiver)
     }
 
-    /// Closes the connection; all pending requests end.
+    /// Closes the connection; all pending requests fail.
     pub(crate) fn close(&self) {
-        // An error means that the connection is closed already.
+        // An error means that the connection is already closed.
         let _ = self.socket.shutdown(Shutdown::Both);
     }
 }
@@ -137,7 +140,7 @@
     }
 }
 
-/// Reads lines until the connection ends or a line is invalid.
+/// Reads lines until the connection ends, a line is invalid, or the node reports a problem of the connection.
 fn read_lines(
     mut reader: BufReader<TcpStream>,
     pending: &PendingRequests,
@@ -161,7 +164,7 @@
             continue;
         }
         let Some(seq) = value.get("seq").and_then(Value::as_u64) else {
-            // The node accepts no more clients, or could not read a line.
+            // A problem without `seq`: the node accepts no more clients, or could not parse a request.
             if serde_json::from_value::<Problem>(value).is_ok() {
                 return;
             }
@@ -171,7 +174,7 @@
     }
 }
 
-/// Passes a line to the request that it belongs to, if that still waits.
+/// Passes a line to the request with this `seq`, if it is still pending.
 fn deliver(pending: &PendingRequests, seq: u64, line: Value) {
     let sender = if has_more(&line) {
         lock(pending).get(&seq).cloned()
@@ -179,7 +182,7 @@
         lock(pending).remove(&seq)
     };
     if let Some(sender) = sender {
-        // An error means that the request no longer waits.
+        // An error means that the request is no longer pending.
         let _ = sender.send(line);
     }
 }
--- a/crates/submission-client/src/error.rs
+++ b/crates/submission-client/src/error.rs
@@ -1,24 +1,24 @@
-//! The errors of the client.
+//! Errors returned by the client.
 
 use marbledeck_submission::message::{ErrorId, Problem};
 use std::io;
 
-/// Why a request has failed.
+/// Reason why a request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The node has answered with a problem.
+    /// The node answered with a problem.
     #[error("{}", describe(.0))]
     Problem(Problem),
-    /// No connection could be made, or every one was lost, until the retry timeout.
+    /// Connecting failed or the connection was lost until the retry timeout ended, or the client was closed.
     #[error("no connection to the node: {0}")]
     Connection(#[source] io::Error),
-    /// The node's answer does not fit the request.
-    #[error("the node's answer makes no sense: {0}")]
+    /// The answer could not be decoded as an answer to the request.
+    #[error("invalid answer from the node: {0}")]
     InvalidAnswer(String),
 }
 
 impl Error {
-    /// The node's problem, if it has answered with one.
+    /// The problem that the node answered with, if any.
     pub fn problem(&self) -> Option<&Problem> {
         match self {
             Error::Problem(problem) => Some(problem),
@@ -26,19 +26,22 @@
         }
     }
 
-    /// Whether the node has answered with this problem.
+    /// Whether the node answered with a problem of this identifier.
     pub fn is(&self, id: ErrorId) -> bool {
         self.problem().is_some_and(|problem| problem.error == id)
     }
 
-    /// The error of a connection that broke while an answer was awaited.
+    /// The error for a connection that closed before the answer arrived.
     pub(crate) fn connection_reset() -> Self {
-        let error = io::Error::new(io::ErrorKind::ConnectionReset, "the connection broke");
+        let error = io::Error::new(
+            io::ErrorKind::ConnectionReset,
+            "connection closed before the answer arrived",
+        );
         Error::Connection(error)
     }
 }
 
-/// The problem's message, or the identifier of one without a message.
+/// The message of a problem, or its identifier if the message is empty.
 fn describe(problem: &Problem) -> String {
     if problem.message.is_empty() {
         return format!("{:?}", problem.error);
--- a/crates/submission-client/src/lib.rs
+++ b/crates/submission-client/src/lib.rs
@@ -1,6 +1,6 @@
-//! A client of marbledeck's batch submission (`docs/submission.md`), for programs that submit jobs. It keeps a
-//! connection and replaces it when it is lost, gives every job a submission key so that a resubmission after a lost
-//! answer joins the first job, and retries with jitter when the node asks for it.
+//! Client library for marbledeck's batch submission protocol (`docs/submission.md`). It reconnects when the connection
+//! is lost, assigns every job a submission key so that the node recognises a resubmission after a lost answer as a
+//! duplicate, and retries rejected submissions with jitter after the delay that the node asks for.
 //!
 //! ```no_run
 //! use marbledeck_submission_client::{Client, Settings, Template};
--- a/crates/submission-client/src/settings.rs
+++ b/crates/submission-client/src/settings.rs
@@ -1,22 +1,22 @@
-//! The settings of a client.
+//! Client settings: the node's address and the timeouts.
 
 use std::time::Duration;
 
-/// The settings of a client.
+/// Address and timeouts of a [`Client`](crate::Client).
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where the node accepts submissions: a host name or address, and a port.
+    /// Submission address of the node, `host:port`; the host is a name or an IP address.
     pub contact: String,
-    /// For how long a request is retried if no connection can be made or every one is lost.
+    /// How long a request is retried while connecting fails or connections are lost.
     pub retry_timeout: Duration,
-    /// For how long a job is resubmitted that the node rejects for now.
+    /// How long a job is resubmitted while the node rejects it with `TRY_LATER`.
     pub resubmit_timeout: Duration,
-    /// How long an answer may take, except to a wait.
+    /// Time limit for an answer. For a wait with a timeout it is added to that timeout; other waits have none.
     pub answer_timeout: Duration,
 }
 
 impl Settings {
-    /// The default settings for a node at this address.
+    /// Default settings for the node at this address.
     pub fn new(contact: impl Into<String>) -> Self {
         Settings {
             contact: contact.into(),
--- a/crates/submission-client/tests/backoff.rs
+++ b/crates/submission-client/tests/backoff.rs
@@ -1,10 +1,10 @@
-//! The bounds of the pauses before retries.
+//! Bounds of the pauses before retries.
 
 use marbledeck_submission_client::Backoff;
 use std::time::Duration;
 
 #[test]
-fn pauses_stay_within_doubling_bounds_and_after_the_nodes_hint() {
+fn pauses_respect_the_doubling_bound_and_the_delay_asked_for_by_the_node() {
     let ms = Duration::from_millis;
     let mut backoff = Backoff::new(ms(10), ms(65));
     let bounds: Vec<Duration> = (0..5)
--- a/crates/submission-client/tests/losses.rs
+++ b/crates/submission-client/tests/fault_tolerance.rs
@@ -1,4 +1,5 @@
-//! The client against a node between stand-ins, while answers are lost, nodes die and others take over.
+//! The client against a node with a stub registry and stub workers, while answers are lost, the node crashes or is
+//! replaced, and workers are drained.
 
 use marbledeck_submission_client::{
     Client, ControlSummary, ErrorId, Event, Filter, IndexRange, JobState, Operation, Settings,
@@ -13,9 +14,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PATIENCE: Option<Duration> = Some(Duration::from_secs(30));
+/// Timeout of each wait, far longer than any job takes.
+const WAIT_TIMEOUT: Option<Duration> = Some(Duration::from_secs(30));
 
-fn sheet(target: &str) -> Template {
+fn sheet_template(target: &str) -> Template {
     Template {
         remote_command: target.to_owned(),
         job_category: "sheet-publish".to_owned(),
@@ -24,29 +26,35 @@
     }
 }
 
-/// How often each target was run, by all workers together.
-fn runs(lab: &TestEnvironment) -> HashMap<String, usize> {
+/// How often each target was started, over all workers.
+fn run_counts(environment: &TestEnvironment) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
-    for job in lab.workers.iter().flat_map(WorkerStub::started_jobs) {
+    for job in environment
+        .workers
+        .iter()
+        .flat_map(WorkerStub::started_jobs)
+    {
         *runs.entry(job.target).or_default() += 1;
     }
     runs
 }
 
-/// Any one answer in the life of a job is lost: the client reconnects, and the job has run once.
+/// Answers are lost at each step of a job in turn: the client reconnects and the job runs once.
 #[test]
 fn a_job_runs_once_although_any_answer_is_lost() {
-    let lab = TestEnvironment::start(EnvironmentOptions::default());
-    let proxy = LossyProxy::start(&lab.submission_address);
-    let mut lost = 0;
+    let environment = TestEnvironment::start(EnvironmentOptions::default());
+    let proxy = LossyProxy::start(&environment.submission_address);
+    let mut broken_count = 0;
     for lines in 0..8 {
         let client = Client::new(Settings::new(proxy.address.to_string()));
         let name = format!("s{lines}");
         proxy.lose_after(lines);
         client.create_or_open_session(&name, None).unwrap();
         let target = format!("/job/{lines}");
-        let job = client.run_job(sheet(&target), Some(&name)).unwrap();
-        let info = client.wait_terminated(&job.job_id, PATIENCE).unwrap();
+        let job = client
+            .run_job(sheet_template(&target), Some(&name))
+            .unwrap();
+        let info = client.wait_terminated(&job.job_id, WAIT_TIMEOUT).unwrap();
         assert_eq!(info.job_state, JobState::Done, "line {lines}: {info:?}");
         assert_eq!(
             info.result.as_deref(),
@@ -57,24 +65,31 @@
                 targets: Targets::job(&job.job_id),
             })
             .ok();
-        assert_eq!(runs(&lab).get(&target), Some(&1), "line {lines}");
-        lost += usize::from(proxy.broken_connections() > lost);
+        assert_eq!(
+            run_counts(&environment).get(&target),
+            Some(&1),
+            "line {lines}"
+        );
+        broken_count += usize::from(proxy.broken_connections() > broken_count);
     }
-    assert!(lost >= 5, "{lost} answers were lost");
+    assert!(
+        broken_count >= 5,
+        "only {broken_count} connections were broken"
+    );
 }
 
-/// Each index runs once, and each job is known to the client.
+/// The resubmission of a bulk after a lost answer returns the jobs of the first submission: each index runs once.
 #[test]
 fn a_bulk_runs_each_index_once_although_its_answer_is_lost() {
-    let lab = TestEnvironment::start(EnvironmentOptions {
+    let environment = TestEnvironment::start(EnvironmentOptions {
         submission_keys: "max_jobs = 4096".to_owned(),
         ..EnvironmentOptions::default()
     });
-    let proxy = LossyProxy::start(&lab.submission_address);
+    let proxy = LossyProxy::start(&environment.submission_address);
     for lines in 0..3 {
         let client = Client::new(Settings::new(proxy.address.to_string()));
         proxy.lose_after(lines);
-        let template = sheet(&format!("/bulk/{lines}/${{PARAMETRIC_INDEX}}"));
+        let template = sheet_template(&format!("/bulk/{lines}/${{PARAMETRIC_INDEX}}"));
         let bulk = client
             .run_bulk(template, IndexRange::new(1, 600, 1), Some(16), None)
             .unwrap();
@@ -85,13 +100,13 @@
             .collect();
         assert_eq!(jobs.len(), 600);
         for job in &jobs {
-            let info = client.wait_terminated(job, PATIENCE).unwrap();
+            let info = client.wait_terminated(job, WAIT_TIMEOUT).unwrap();
             assert_eq!(info.job_state, JobState::Done, "{info:?}");
         }
-        let runs = runs(&lab);
+        let run_counts = run_counts(&environment);
         for index in 1..=600 {
             assert_eq!(
-                runs.get(&format!("/bulk/{lines}/{index}")),
+                run_counts.get(&format!("/bulk/{lines}/{index}")),
                 Some(&1),
                 "index {index}"
             );
@@ -100,30 +115,35 @@
     assert_eq!(proxy.broken_connections(), 3);
 }
 
-/// Whenever the connection is lost.
+/// The connection is lost every few jobs; the reopened session must neither repeat nor skip an event.
 #[test]
 fn events_arrive_once_and_complete_over_lost_connections() {
-    let lab = TestEnvironment::start(EnvironmentOptions::default());
-    let proxy = LossyProxy::start(&lab.submission_address);
+    let environment = TestEnvironment::start(EnvironmentOptions::default());
+    let proxy = LossyProxy::start(&environment.submission_address);
     let (sender, events) = channel();
-    let tell = move |event: Event| drop(sender.send(event));
-    let watcher = Client::with_events(Settings::new(proxy.address.to_string()), Box::new(tell));
+    let forward_event = move |event: Event| drop(sender.send(event));
+    let watcher = Client::with_events(
+        Settings::new(proxy.address.to_string()),
+        Box::new(forward_event),
+    );
     watcher.create_or_open_session("s", None).unwrap();
-    let client = Client::new(Settings::new(lab.submission_address.clone()));
+    let client = Client::new(Settings::new(environment.submission_address.clone()));
     for n in 0..20 {
         if n % 4 == 0 {
             proxy.lose_after(2);
         }
-        let job = client.run_job(sheet(&format!("/{n}")), Some("s")).unwrap();
-        client.wait_terminated(&job.job_id, PATIENCE).unwrap();
-        // Whoever watches notices a lost connection when it next asks.
+        let job = client
+            .run_job(sheet_template(&format!("/{n}")), Some("s"))
+            .unwrap();
+        client.wait_terminated(&job.job_id, WAIT_TIMEOUT).unwrap();
+        // The watcher detects a lost connection only with its next request.
         watcher.sessions().unwrap();
     }
     let (mut ended, mut last) = (0, 0);
     while ended < 20 {
         let event = events
             .recv_timeout(Duration::from_secs(20))
-            .expect("20 ends");
+            .expect("the events of 20 jobs");
         let Event::NewState {
             number, job_state, ..
         } = event
@@ -137,55 +157,63 @@
     assert!(proxy.broken_connections() >= 3);
 }
 
-/// Each job ends once, none runs twice, and clients notice no more than a new connection.
+/// The node is replaced twice while a bulk runs: each job ends once, none runs twice, and the client only reconnects.
 #[test]
 fn a_bulk_survives_two_upgrades_without_repeats() {
-    let mut lab = TestEnvironment::start(EnvironmentOptions {
+    let mut environment = TestEnvironment::start(EnvironmentOptions {
         submission_keys: "max_jobs = 4096".to_owned(),
         ..EnvironmentOptions::default()
     });
-    for worker in &lab.workers {
+    for worker in &environment.workers {
         worker.set_behaviour(|job| {
             JobBehaviour::Serve(Duration::from_millis(15), format!("made {}", job.target))
         });
     }
-    let client = Arc::new(Client::new(Settings::new(lab.submission_address.clone())));
+    let client = Arc::new(Client::new(Settings::new(
+        environment.submission_address.clone(),
+    )));
     client.create_or_open_session("s", None).unwrap();
     let done = Arc::new(AtomicUsize::new(0));
-    let (own, count) = (client.clone(), done.clone());
+    let (submitting_client, done_count) = (client.clone(), done.clone());
     let submitter = std::thread::spawn(move || {
-        let template = sheet("/film/${PARAMETRIC_INDEX}");
-        let bulk = own
+        let template = sheet_template("/film/${PARAMETRIC_INDEX}");
+        let bulk = submitting_client
             .run_bulk(template, IndexRange::new(1, 400, 1), Some(12), Some("s"))
             .unwrap();
         for job in bulk.jobs {
             let index = job.index;
-            let info = own
-                .wait_terminated(&job.result.unwrap().job_id, PATIENCE)
+            let info = submitting_client
+                .wait_terminated(&job.result.unwrap().job_id, WAIT_TIMEOUT)
                 .unwrap();
             assert_eq!(info.job_state, JobState::Done, "{index}: {info:?}");
-            count.fetch_add(1, Ordering::SeqCst);
+            done_count.fetch_add(1, Ordering::SeqCst);
         }
     });
     for upgrade in 0..2 {
         while done.load(Ordering::SeqCst) < 60 + 120 * upgrade && !submitter.is_finished() {
             std::thread::sleep(Duration::from_millis(2));
         }
-        lab.start_successor();
-        lab.signal(upgrade, "-TERM");
-        assert!(lab.exits_cleanly(upgrade), "the old process ends by itself");
+        environment.start_successor();
+        environment.signal(upgrade, "-TERM");
+        assert!(
+            environment.exits_cleanly(upgrade),
+            "the old process exits cleanly after its successor has taken over"
+        );
     }
     submitter.join().unwrap();
-    let runs = runs(&lab);
-    assert_eq!(runs.len(), 400);
-    assert!(runs.values().all(|runs| *runs == 1), "{runs:?}");
-    let most: usize = lab
+    let run_counts = run_counts(&environment);
+    assert_eq!(run_counts.len(), 400);
+    assert!(
+        run_counts.values().all(|count| *count == 1),
+        "{run_counts:?}"
+    );
+    let max_running: usize = environment
         .workers
         .iter()
         .map(WorkerStub::max_running)
         .max()
         .unwrap();
-    assert!(most <= 12);
+    assert!(max_running <= 12);
     let mut listed = 0;
     client
         .list_jobs(Some("s"), &Filter::default(), |_| listed += 1)
@@ -193,54 +221,55 @@
     assert_eq!(listed, 400);
 }
 
-/// The state of the node is lost; workers drop the repeat of a key.
+/// A crashed node restarts without its jobs and sessions. The client creates its session again and can submit jobs.
 #[test]
 fn a_client_recreates_its_session_after_a_node_crash() {
-    let mut lab = TestEnvironment::start(EnvironmentOptions::default());
-    let client = Client::new(Settings::new(lab.submission_address.clone()));
+    let mut environment = TestEnvironment::start(EnvironmentOptions::default());
+    let client = Client::new(Settings::new(environment.submission_address.clone()));
     client.create_or_open_session("s", None).unwrap();
-    let job = client.run_job(sheet("/x"), Some("s")).unwrap();
-    client.wait_terminated(&job.job_id, PATIENCE).unwrap();
-    lab.crash_and_restart();
+    let job = client.run_job(sheet_template("/x"), Some("s")).unwrap();
+    client.wait_terminated(&job.job_id, WAIT_TIMEOUT).unwrap();
+    environment.crash_and_restart();
     let unknown = client.job_info(&job.job_id).unwrap_err();
     assert!(unknown.is(ErrorId::InvalidArgument), "{unknown}");
     assert_eq!(client.sessions().unwrap(), ["s"]);
-    let job = client.run_job(sheet("/y"), Some("s")).unwrap();
+    let job = client.run_job(sheet_template("/y"), Some("s")).unwrap();
     assert_eq!(
         client
-            .wait_terminated(&job.job_id, PATIENCE)
+            .wait_terminated(&job.job_id, WAIT_TIMEOUT)
             .unwrap()
             .job_state,
         JobState::Done
     );
 }
 
-/// Jobs were held while a worker was drained.
+/// Held jobs are not assigned to a worker that was drained before their release.
 #[test]
 fn released_jobs_avoid_a_drained_worker() {
-    let lab = TestEnvironment::start(EnvironmentOptions {
+    let environment = TestEnvironment::start(EnvironmentOptions {
         workers: 2,
         ..EnvironmentOptions::default()
     });
-    let client = Client::new(Settings::new(lab.submission_address.clone()));
-    let mut held = sheet("/held/${PARAMETRIC_INDEX}");
+    let client = Client::new(Settings::new(environment.submission_address.clone()));
+    let mut held = sheet_template("/held/${PARAMETRIC_INDEX}");
     held.submit_as_hold = true;
     let bulk = client
         .run_bulk(held, IndexRange::new(1, 30, 1), None, None)
         .unwrap();
-    let first = &lab.workers[0];
-    lab.discovery
-        .set_worker(&first.id, first.address, "draining");
-    let until = std::time::Instant::now() + Duration::from_secs(20);
+    let drained = &environment.workers[0];
+    environment
+        .discovery
+        .set_worker(&drained.id, drained.address, "draining");
+    let deadline = std::time::Instant::now() + Duration::from_secs(20);
     while client
         .machines()
         .unwrap()
         .iter()
-        .any(|m| m.name == first.id && m.available)
+        .any(|m| m.name == drained.id && m.available)
     {
         assert!(
-            std::time::Instant::now() < until,
-            "the node does not learn of the drain"
+            std::time::Instant::now() < deadline,
+            "the node did not learn in time that the worker is draining"
         );
         std::thread::sleep(Duration::from_millis(2));
     }
@@ -254,10 +283,10 @@
     );
     for job in &bulk.jobs {
         let info = client
-            .wait_terminated(&job.result.as_ref().unwrap().job_id, PATIENCE)
+            .wait_terminated(&job.result.as_ref().unwrap().job_id, WAIT_TIMEOUT)
             .unwrap();
         assert!(info.job_state.is_final());
-        assert_ne!(info.machine.as_deref(), Some(first.id.as_str()));
+        assert_ne!(info.machine.as_deref(), Some(drained.id.as_str()));
     }
-    assert!(first.started_jobs().is_empty());
+    assert!(drained.started_jobs().is_empty());
 }
--- a/crates/submission-client/tests/golden.rs
+++ b/crates/submission-client/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The client's requests, line by line, and its results, as golden files. The node is a listener that answers by a
-//! script.
+//! Golden files of the lines that the client sends and of the results that it returns. The node is a stub server with
+//! scripted answers.
 
 use insta::assert_snapshot;
 use marbledeck_submission_client::{
@@ -13,19 +13,19 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// Far longer than any step takes.
+/// Timeout of each step, far longer than any step takes.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A scripted node, which keeps the lines that it receives.
-struct Node {
+/// A stub of a node that records the lines it receives and sends scripted answers.
+struct NodeStub {
     contact: String,
     lines: Receiver<String>,
     answers: Sender<Vec<String>>,
 }
 
-impl Node {
+impl NodeStub {
     fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let contact = listener.local_addr().expect("an address").to_string();
         let (line_sender, lines) = channel();
         let (answers, scripted) = channel();
@@ -34,17 +34,17 @@
                 serve(stream, &line_sender, &scripted);
             }
         });
-        Node {
+        NodeStub {
             contact,
             lines,
             answers,
         }
     }
 
-    /// The answers to the next line.
-    fn will_answer(&self, lines: &[&str]) {
+    /// Adds the answer to the next request that has none yet.
+    fn add_answer(&self, lines: &[&str]) {
         let lines = lines.iter().map(ToString::to_string).collect();
-        self.answers.send(lines).expect("the node runs");
+        self.answers.send(lines).expect("the stub node runs");
     }
 
     fn next_line(&self) -> String {
@@ -54,11 +54,11 @@
     }
 }
 
-/// Answers each line with the next script; `SEQ` in it stands for the mark of the request.
+/// Answers each request with the next scripted lines; `SEQ` in them is replaced by the request's `seq`.
 fn serve(mut stream: TcpStream, line_sender: &Sender<String>, scripted: &Receiver<Vec<String>>) {
-    let reader = BufReader::new(stream.try_clone().expect("a socket"));
+    let reader = BufReader::new(stream.try_clone().expect("a second handle of the socket"));
     for line in reader.lines().map_while(Result::ok) {
-        let request: Value = serde_json::from_str(&line).expect("a line is JSON");
+        let request: Value = serde_json::from_str(&line).expect("the line is JSON");
         let seq = request["seq"].to_string();
         if line_sender.send(line).is_err() {
             return;
@@ -67,24 +67,24 @@
             return;
         };
         for answer in answers {
-            let said = writeln!(stream, "{}", answer.replace("SEQ", &seq));
-            if said.is_err() {
+            let written = writeln!(stream, "{}", answer.replace("SEQ", &seq));
+            if written.is_err() {
                 return;
             }
         }
     }
 }
 
-/// A client of a scripted node, and what both have said.
+/// A client of a stub node, and a transcript of the requests, answers and results.
 struct Transcript {
-    node: Node,
+    node: NodeStub,
     client: Client,
     text: String,
 }
 
 impl Transcript {
     fn new() -> Self {
-        let node = Node::start();
+        let node = NodeStub::start();
         let mut settings = Settings::new(node.contact.clone());
         settings.resubmit_timeout = Duration::ZERO;
         Transcript {
@@ -94,37 +94,37 @@
         }
     }
 
-    /// Asks the client for something that takes one request, to which the node says these lines.
-    fn ask<T>(
+    /// Makes a call that sends one request, to which the node answers with these lines, and records the exchange.
+    fn exchange<T>(
         &mut self,
         answers: &[&str],
-        asked: impl FnOnce(&Client) -> Result<T, Error>,
-        shown: impl FnOnce(T) -> String,
+        call: impl FnOnce(&Client) -> Result<T, Error>,
+        format: impl FnOnce(T) -> String,
     ) {
-        self.node.will_answer(answers);
-        let result = asked(&self.client);
+        self.node.add_answer(answers);
+        let result = call(&self.client);
         let _ = writeln!(self.text, "> {}", self.node.next_line());
         for answer in answers {
             let _ = writeln!(self.text, "< {answer}");
         }
         let result = match result {
-            Ok(value) => shown(value),
-            Err(error) => shown_error(&error),
+            Ok(value) => format(value),
+            Err(error) => format_error(&error),
         };
         let _ = writeln!(self.text, "= {result}");
     }
 }
 
-fn shown_error(error: &Error) -> String {
+fn format_error(error: &Error) -> String {
     let kind = match error {
         Error::Problem(_) => "problem",
-        Error::Connection(_) => "lost",
-        Error::InvalidAnswer(_) => "garbled",
+        Error::Connection(_) => "connection",
+        Error::InvalidAnswer(_) => "invalid answer",
     };
     format!("{kind}: {error}")
 }
 
-fn shown_info(info: JobInfo) -> String {
+fn format_info(info: JobInfo) -> String {
     let result = info.result_bytes().map(|b| b.escape_ascii().to_string());
     let problem = info.problem.as_ref().map(|p| p.message.clone());
     format!(
@@ -157,7 +157,7 @@
 
 #[test]
 fn jobs() {
-    let mut t = Transcript::new();
+    let mut transcript = Transcript::new();
     let accepted = r#"{"seq":SEQ,"jobId":"n0-1-0","jobState":"QUEUED","duplicate":true}"#;
     for (session, answer) in [
         (None, accepted),
@@ -167,7 +167,7 @@
         (None, r#"{"seq":SEQ,"error":"NONE_OF_THESE"}"#),
         (None, r#"{"seq":SEQ,"jobId":"n0-1-0"}"#),
     ] {
-        t.ask(
+        transcript.exchange(
             &[answer],
             |client| client.run_job(template(), session),
             |job| {
@@ -178,10 +178,10 @@
             },
         );
     }
-    t.ask(&[DONE], |client| client.job_info("n0-1-0"), shown_info);
-    t.ask(&[FAILED], |client| client.job_info("n0-1-0"), shown_info);
+    transcript.exchange(&[DONE], |client| client.job_info("n0-1-0"), format_info);
+    transcript.exchange(&[FAILED], |client| client.job_info("n0-1-0"), format_info);
     let array = r#"{"seq":SEQ,"jobArray":{"jobArrayId":"n0-1-1","session":"film","maxParallel":2,"jobs":9,"active":2,"waiting":3,"ended":4}}"#;
-    t.ask(
+    transcript.exchange(
         &[array],
         |client| client.job_array("n0-1-1"),
         |array| {
@@ -192,21 +192,21 @@
             )
         },
     );
-    assert_snapshot!("jobs", t.text);
+    assert_snapshot!("jobs", transcript.text);
 }
 
 #[test]
 fn bulks() {
-    let mut t = Transcript::new();
+    let mut transcript = Transcript::new();
     let first = r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[{"index":1,"jobId":"n0-1-1","jobState":"QUEUED","duplicate":false}],"more":true}"#;
     let last = r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[{"index":2,"error":"INVALID_ARGUMENT","message":"no"},{"index":3,"error":"TRY_LATER","message":"full"}]}"#;
-    for (range, most, session) in [
+    for (range, max_parallel, session) in [
         (IndexRange::new(1, 3, 1), None, None),
         (IndexRange::new(3, 1, -1), Some(2), Some("film")),
     ] {
-        t.ask(
+        transcript.exchange(
             &[first, last],
-            |client| client.run_bulk(template(), range, most, session),
+            |client| client.run_bulk(template(), range, max_parallel, session),
             |bulk| {
                 let job = |job: BulkJob| {
                     let result = job.result.map_or_else(|p| p.message, |job| job.job_id);
@@ -217,16 +217,16 @@
             },
         );
     }
-    assert_snapshot!("bulks", t.text);
+    assert_snapshot!("bulks", transcript.text);
 }
 
 #[test]
 fn waits() {
-    let mut t = Transcript::new();
-    let none = |info| shown_info(info);
-    t.ask(&[DONE], |c| c.wait_terminated("n0-1-0", None), none);
-    t.ask(&[DONE], |c| c.wait_started("n0-1-0", None), none);
-    for of in [
+    let mut transcript = Transcript::new();
+    let show = |info| format_info(info);
+    transcript.exchange(&[DONE], |c| c.wait_terminated("n0-1-0", None), show);
+    transcript.exchange(&[DONE], |c| c.wait_started("n0-1-0", None), show);
+    for targets in [
         Targets::job("n0-1-0"),
         Targets::array("n0-1-1"),
         Targets {
@@ -234,22 +234,26 @@
             ..Targets::default()
         },
     ] {
-        t.ask(&[DONE], |c| c.wait_any(&of, WaitGoal::Started, None), none);
-        t.ask(
+        transcript.exchange(
+            &[DONE],
+            |c| c.wait_any(&targets, WaitGoal::Started, None),
+            show,
+        );
+        transcript.exchange(
             &[FAILED],
-            |c| c.wait_any(&of, WaitGoal::Terminated, None),
-            none,
+            |c| c.wait_any(&targets, WaitGoal::Terminated, None),
+            show,
         );
     }
     let timeout = r#"{"seq":SEQ,"error":"TIMEOUT","message":"the job goes on"}"#;
-    t.ask(&[timeout], |c| c.wait_terminated("n0-1-0", None), none);
-    assert_snapshot!("waits", t.text);
+    transcript.exchange(&[timeout], |c| c.wait_terminated("n0-1-0", None), show);
+    assert_snapshot!("waits", transcript.text);
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "a list of requests")]
+#[expect(clippy::too_many_lines, reason = "a flat list of requests and answers")]
 fn controls_and_lists() {
-    let mut t = Transcript::new();
+    let mut transcript = Transcript::new();
     let targets = || Targets::array("n0-1-1");
     let many = r#"{"seq":SEQ,"changed":3,"refused":1}"#;
     let one = r#"{"seq":SEQ,"jobId":"n0-1-0","jobState":"QUEUED_HELD"}"#;
@@ -266,7 +270,7 @@
         (Operation::Resume { targets: targets() }, many),
         (Operation::Reap { targets: targets() }, many),
     ] {
-        t.ask(
+        transcript.exchange(
             &[answer],
             |client| client.control(op),
             |summary| format!("{} changed, {} refused", summary.changed, summary.rejected),
@@ -280,12 +284,12 @@
     let page = r#"{"seq":SEQ,"jobs":[{"jobId":"n0-1-0","jobState":"DONE","submissionTimeMs":1}]}"#;
     let list = |client: &Client| {
         let mut jobs = Vec::new();
-        let listed = client.list_jobs(Some("film"), &filter, |job| jobs.push(shown_info(job)));
+        let listed = client.list_jobs(Some("film"), &filter, |job| jobs.push(format_info(job)));
         listed.map(|()| jobs.join("; "))
     };
-    t.ask(&[page], list, |jobs| jobs);
+    transcript.exchange(&[page], list, |jobs| jobs);
     let queues = r#"{"seq":SEQ,"queues":[{"name":"sheet","deadlineMs":25000,"dedupWindowMs":40000,"keyed":true}]}"#;
-    t.ask(&[queues], Client::queues, |queues| {
+    transcript.exchange(&[queues], Client::queues, |queues| {
         let queue = &queues[0];
         let (deadline, window) = (queue.deadline_ms, queue.dedup_window_ms);
         format!(
@@ -299,7 +303,7 @@
         )
     };
     let (first, last) = (machine("w1", r#","more":true"#), machine("w2", ""));
-    t.ask(&[&first, &last], Client::machines, |machines| {
+    transcript.exchange(&[&first, &last], Client::machines, |machines| {
         let machine = |m: &marbledeck_submission_client::Machine| {
             format!("{} {} {}", m.name, m.zone, m.calls)
         };
@@ -319,37 +323,37 @@
             r#"{"seq":SEQ,"error":"UNSUPPORTED_OPERATION","message":""}"#,
         ),
     ] {
-        t.ask(
+        transcript.exchange(
             &[answer],
             |client| client.request(op),
             |value| value.to_string(),
         );
     }
-    assert_snapshot!("controls_and_lists", t.text);
+    assert_snapshot!("controls_and_lists", transcript.text);
 }
 
 #[test]
 fn sessions() {
-    let mut t = Transcript::new();
+    let mut transcript = Transcript::new();
     let opened = r#"{"seq":SEQ,"session":"film","lastEvent":7}"#;
     let shown = |last: u64| format!("last event {last}");
-    t.ask(&[opened], |c| c.create_or_open_session("film", None), shown);
-    t.ask(&[opened], |c| c.open_session("film", Some(3)), shown);
+    transcript.exchange(&[opened], |c| c.create_or_open_session("film", None), shown);
+    transcript.exchange(&[opened], |c| c.open_session("film", Some(3)), shown);
     let names = r#"{"seq":SEQ,"sessions":["film","other"]}"#;
-    t.ask(&[names], Client::sessions, |names| names.join(" "));
+    transcript.exchange(&[names], Client::sessions, |names| names.join(" "));
     let closed = r#"{"seq":SEQ,"session":"film"}"#;
-    let nothing = |()| "done".to_owned();
-    t.ask(&[closed], Client::close_session, nothing);
-    t.ask(&[closed], |c| c.destroy_session("film"), nothing);
+    let show_done = |()| "done".to_owned();
+    transcript.exchange(&[closed], Client::close_session, show_done);
+    transcript.exchange(&[closed], |c| c.destroy_session("film"), show_done);
     let unknown = r#"{"seq":SEQ,"error":"INVALID_SESSION","message":"no such session: `film`"}"#;
-    t.ask(&[unknown], |c| c.destroy_session("film"), nothing);
-    assert_snapshot!("sessions", t.text);
+    transcript.exchange(&[unknown], |c| c.destroy_session("film"), show_done);
+    assert_snapshot!("sessions", transcript.text);
 }
 
-/// The events of a session, and how it is opened anew over the connection that tells them.
+/// The events of a session, and the request that reopens the session on the connection that receives them.
 #[test]
 fn events() {
-    let node = Node::start();
+    let node = NodeStub::start();
     let (sender, received_events) = channel();
     let on_event = move |event: Event| drop(sender.send(event));
     let client = Client::with_events(Settings::new(node.contact.clone()), Box::new(on_event));
@@ -359,18 +363,18 @@
         r#"{"event":"NEW_STATE","jobId":"n0-1-1","jobState":"RUNNING","queueName":"preview","submissionTimeMs":1,"duplicates":0}"#,
         r#"{"event":"OTHER"}"#,
     ];
-    node.will_answer(&[r#"{"seq":SEQ,"session":"film","lastEvent":2}"#]);
-    node.will_answer(
+    node.add_answer(&[r#"{"seq":SEQ,"session":"film","lastEvent":2}"#]);
+    node.add_answer(
         &[
             &[r#"{"seq":SEQ,"session":"film","lastEvent":6}"#],
             &events[..],
         ]
         .concat(),
     );
-    node.will_answer(&[r#"{"seq":SEQ,"sessions":["film"]}"#]);
+    node.add_answer(&[r#"{"seq":SEQ,"sessions":["film"]}"#]);
     let last = client
         .create_or_open_session("film", None)
-        .expect("it opens");
+        .expect("the session opens");
     let mut text = format!("last event {last}\n");
     for _ in 0..3 {
         let _ = writeln!(text, "> {}", node.next_line());
@@ -399,16 +403,16 @@
     assert_snapshot!("events", text);
 }
 
-/// The words of errors, as programs print them.
+/// The messages of errors, as programs print them.
 #[test]
 fn errors() {
     let errors = [
         Error::Problem(Problem::invalid_argument("no such job")),
-        Error::Connection(std::io::Error::other("the connection broke")),
-        Error::InvalidAnswer("more than one line".to_owned()),
+        Error::Connection(std::io::Error::other("connection reset")),
+        Error::InvalidAnswer("expected one line, received several".to_owned()),
     ];
     let mut text: String = errors.iter().map(|e| format!("{e}\n")).collect();
-    // A problem without a message shows its identifier.
+    // A problem without a message is shown by its identifier.
     for id in [
         ErrorId::DeniedByDrms,
         ErrorId::DrmCommunication,
@@ -429,23 +433,23 @@
     assert_snapshot!("errors", text);
 }
 
-/// A template without a key gets one of 32 hexadecimal digits, and of a bulk the index with it.
+/// The client generates a key of 32 hexadecimal digits for a template without one; for a bulk, the index is appended.
 #[test]
-fn keys_of_the_clients_own() {
-    let node = Node::start();
+fn generated_keys() {
+    let node = NodeStub::start();
     let client = Client::new(Settings::new(node.contact.clone()));
     let mut unkeyed = template();
     unkeyed.submission_key = None;
-    node.will_answer(&[r#"{"seq":SEQ,"jobId":"n0-1-0","jobState":"QUEUED","duplicate":false}"#]);
+    node.add_answer(&[r#"{"seq":SEQ,"jobId":"n0-1-0","jobState":"QUEUED","duplicate":false}"#]);
     client.run_job(unkeyed.clone(), None).expect("accepted");
-    node.will_answer(&[r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[]}"#]);
+    node.add_answer(&[r#"{"seq":SEQ,"jobArrayId":"n0-1-0","jobs":[]}"#]);
     client
         .run_bulk(unkeyed, IndexRange::new(1, 1, 1), None, None)
         .expect("accepted");
-    for end in ["", "-${PARAMETRIC_INDEX}"] {
-        let line: Value = serde_json::from_str(&node.next_line()).expect("a line is JSON");
+    for suffix in ["", "-${PARAMETRIC_INDEX}"] {
+        let line: Value = serde_json::from_str(&node.next_line()).expect("the line is JSON");
         let key = line["template"]["submissionKey"].as_str().expect("a key");
-        let digits = key.strip_suffix(end).expect("it ends so");
+        let digits = key.strip_suffix(suffix).expect("a key with the suffix");
         assert_eq!(digits.len(), 32);
         assert!(digits
             .bytes()
