--- a/crates/drmaa/src/c_interface/information.rs
+++ b/crates/drmaa/src/c_interface/information.rs
@@ -1,24 +1,24 @@
-//! Routines that describe the library: error codes, contact, version and names.
+//! Functions that return information about the library: error texts, contact string, version and names.
 
 use super::memory::{copy_whole_text, report_result, write_output};
 use super::session::{active_session, default_contact};
 use crate::errno::Errno;
 use std::ffi::{c_char, c_int, c_uint};
 
-/// The name that `drmaa_get_DRMAA_implementation` returns.
+/// Result of `drmaa_get_DRMAA_implementation`.
 const IMPLEMENTATION: &str = concat!("marbledeck libdrmaa ", env!("CARGO_PKG_VERSION"));
 
-/// What an error code means (GFD.133, `drmaa_strerror`). The text is never freed.
+/// Returns the text of an error code (GFD.133, `drmaa_strerror`). The text is static.
 #[no_mangle]
 pub extern "C" fn drmaa_strerror(code: c_int) -> *const c_char {
     let message = Errno::from_code(code).map_or(c"There is no such error code.", Errno::message);
     message.as_ptr()
 }
 
-/// Writes a text about this library.
+/// Writes an information text to the caller's buffer.
 ///
 /// # Safety
-/// The buffers are null, or may be written to as far as their lengths say.
+/// Each buffer is null or writable for its length.
 unsafe fn write_information(
     value: impl FnOnce() -> String,
     to: *mut c_char,
@@ -26,13 +26,13 @@
     diagnosis: *mut c_char,
     diagnosis_len: usize,
 ) -> c_int {
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     let body = || unsafe { copy_whole_text(&value(), to, to_len) };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// The contact of the session, or the default one (GFD.133, `drmaa_get_contact`).
+/// Returns the contact string of the session, or the default one without a session (GFD.133, `drmaa_get_contact`).
 ///
 /// # Safety
 /// As for [`write_information`].
@@ -47,14 +47,14 @@
         Ok(session) => session.contact().to_owned(),
         Err(_) => default_contact().unwrap_or_default(),
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { write_information(value, contact, contact_len, diagnosis, diagnosis_len) }
 }
 
-/// The version of DRMAA (GFD.133, `drmaa_version`).
+/// Returns the version of the DRMAA specification (GFD.133, `drmaa_version`).
 ///
 /// # Safety
-/// `major` and `minor` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+/// `major` and `minor` are null or writable; `diagnosis` is null or writable for `diagnosis_len` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_version(
     major: *mut c_uint,
@@ -62,15 +62,15 @@
     diagnosis: *mut c_char,
     diagnosis_len: usize,
 ) -> c_int {
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     let body = || unsafe {
         write_output(major, 1, "major").and_then(|()| write_output(minor, 0, "minor"))
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// The name of the system that runs the jobs (GFD.133, `drmaa_get_DRM_system`).
+/// Returns the name of the DRM system (GFD.133, `drmaa_get_DRM_system`).
 ///
 /// # Safety
 /// As for [`write_information`].
@@ -81,7 +81,7 @@
     diagnosis: *mut c_char,
     diagnosis_len: usize,
 ) -> c_int {
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe {
         write_information(
             || "marbledeck".to_owned(),
@@ -93,7 +93,7 @@
     }
 }
 
-/// The name of this library (GFD.133, `drmaa_get_DRMAA_implementation`).
+/// Returns the name and version of this library (GFD.133, `drmaa_get_DRMAA_implementation`).
 ///
 /// # Safety
 /// As for [`write_information`].
@@ -104,7 +104,7 @@
     diagnosis: *mut c_char,
     diagnosis_len: usize,
 ) -> c_int {
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe {
         write_information(
             || IMPLEMENTATION.to_owned(),
--- a/crates/drmaa/src/c_interface/memory.rs
+++ b/crates/drmaa/src/c_interface/memory.rs
@@ -1,14 +1,14 @@
-//! The memory of the caller: reading C strings and handles, writing results and error messages.
+//! Access to the caller's memory: reads C strings and handles, writes results and error messages.
 
 use crate::errno::{Errno, Failure, Result};
 use std::ffi::{c_char, c_int, CStr};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// Runs the body of an exported function and returns its error code. The message of a failure is written to the
-/// caller's buffer; a panic becomes an internal error.
+/// caller's diagnosis buffer; a panic is reported as an internal error.
 ///
 /// # Safety
-/// `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+/// `diagnosis` is null or writable for `diagnosis_len` bytes.
 pub(super) unsafe fn report_result(
     diagnosis: *mut c_char,
     diagnosis_len: usize,
@@ -20,15 +20,16 @@
         Ok(Err(failure)) => failure,
         Err(_) => Errno::Internal.into(),
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { copy_text(&failure.message, diagnosis, diagnosis_len) };
     failure.errno as c_int
 }
 
-/// Writes as much of a text as the buffer holds, and a terminating zero byte. Returns whether the whole text fitted.
+/// Copies a text and a terminating zero byte to a buffer, truncating the text if necessary. Returns whether the whole
+/// text was copied.
 ///
 /// # Safety
-/// `to` is null, or `len` bytes may be written there.
+/// `to` is null or writable for `len` bytes.
 pub(super) unsafe fn copy_text(text: &str, to: *mut c_char, len: usize) -> bool {
     if to.is_null() || len == 0 {
         return false;
@@ -45,21 +46,21 @@
     copied_len == text.len()
 }
 
-/// Writes a text that is of no use when truncated.
+/// Copies a text that must not be truncated.
 ///
 /// # Errors
-/// `InvalidArgument` where the buffer is too small.
+/// `InvalidArgument` if the buffer is null or too small.
 ///
 /// # Safety
 /// As for [`copy_text`].
 pub(super) unsafe fn copy_whole_text(text: &str, to: *mut c_char, len: usize) -> Result<()> {
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     if unsafe { copy_text(text, to, len) } {
         Ok(())
     } else {
         Err(Failure::new(
             Errno::InvalidArgument,
-            "the buffer is too small",
+            "the output buffer is null or too small",
         ))
     }
 }
@@ -67,63 +68,71 @@
 /// Reads a C string of the caller.
 ///
 /// # Errors
-/// `InvalidArgument` for a null pointer, or text that is not UTF-8.
+/// `InvalidArgument` if the pointer is null or the string is not valid UTF-8.
 ///
 /// # Safety
-/// `text` is null, or a C string that stays as it is during the call.
-pub(super) unsafe fn read_text<'a>(text: *const c_char, what: &str) -> Result<&'a str> {
+/// `text` is null or a C string that does not change during the call.
+pub(super) unsafe fn read_text<'a>(text: *const c_char, parameter: &str) -> Result<&'a str> {
     if text.is_null() {
         return Err(Failure::new(
             Errno::InvalidArgument,
-            format!("{what} is null"),
+            format!("{parameter} is null"),
         ));
     }
-    // SAFETY: not null, and as the caller promises.
-    let read = unsafe { CStr::from_ptr(text) }.to_str();
-    read.map_err(|_| Failure::new(Errno::InvalidArgument, format!("{what} is no UTF-8")))
+    // SAFETY: not null, and guaranteed by the caller.
+    let text = unsafe { CStr::from_ptr(text) }.to_str();
+    text.map_err(|_| {
+        Failure::new(
+            Errno::InvalidArgument,
+            format!("{parameter} is not valid UTF-8"),
+        )
+    })
 }
 
-/// Reads a list of C strings that a null pointer ends.
+/// Reads a null-terminated array of C strings.
 ///
 /// # Errors
-/// `InvalidArgument` for a null pointer, or text that is not UTF-8.
+/// `InvalidArgument` if the pointer is null or a string is not valid UTF-8.
 ///
 /// # Safety
-/// `list` is null, or points to C strings and a null pointer after them.
-pub(super) unsafe fn read_texts(list: *const *const c_char, what: &str) -> Result<Vec<String>> {
-    let mut read = Vec::new();
+/// `list` is null or a null-terminated array of C strings.
+pub(super) unsafe fn read_texts(
+    list: *const *const c_char,
+    parameter: &str,
+) -> Result<Vec<String>> {
+    let mut texts = Vec::new();
     if list.is_null() {
         return Err(Failure::new(
             Errno::InvalidArgument,
-            format!("{what} is null"),
+            format!("{parameter} is null"),
         ));
     }
     loop {
-        // SAFETY: no element after the null pointer is looked at.
-        let item = unsafe { *list.add(read.len()) };
+        // SAFETY: within the array, since the loop ends at the terminating null pointer.
+        let item = unsafe { *list.add(texts.len()) };
         if item.is_null() {
-            return Ok(read);
+            return Ok(texts);
         }
-        // SAFETY: an element of the list, which the caller promises to be a C string.
-        read.push(unsafe { read_text(item, what) }?.to_owned());
+        // SAFETY: an element of the array, which the caller guarantees to be a C string.
+        texts.push(unsafe { read_text(item, parameter) }?.to_owned());
     }
 }
 
 /// Writes a value to an output parameter.
 ///
 /// # Errors
-/// `InvalidArgument` for a null pointer.
+/// `InvalidArgument` if the pointer is null.
 ///
 /// # Safety
-/// `to` is null, or may be written to.
-pub(super) unsafe fn write_output<T>(to: *mut T, value: T, what: &str) -> Result<()> {
+/// `to` is null or writable.
+pub(super) unsafe fn write_output<T>(to: *mut T, value: T, parameter: &str) -> Result<()> {
     if to.is_null() {
         return Err(Failure::new(
             Errno::InvalidArgument,
-            format!("{what} is null"),
+            format!("{parameter} is null"),
         ));
     }
-    // SAFETY: not null, and as the caller promises.
+    // SAFETY: not null, and guaranteed by the caller.
     unsafe { to.write(value) };
     Ok(())
 }
@@ -131,12 +140,12 @@
 /// Dereferences a handle that this library returned.
 ///
 /// # Errors
-/// `InvalidArgument` for a null pointer.
+/// `InvalidArgument` if the pointer is null.
 ///
 /// # Safety
-/// `handle` is null, or was returned as this type and not released.
-pub(super) unsafe fn handle_reference<'a, T>(handle: *const T, what: &str) -> Result<&'a T> {
-    // SAFETY: as the caller promises; handles are only ever shared, what changes in them is behind locks.
-    let found = unsafe { handle.as_ref() };
-    found.ok_or_else(|| Failure::new(Errno::InvalidArgument, format!("{what} is null")))
+/// `handle` is null, or was returned as this type and has not been released.
+pub(super) unsafe fn handle_reference<'a, T>(handle: *const T, parameter: &str) -> Result<&'a T> {
+    // SAFETY: guaranteed by the caller. Only shared references are created; mutable state in handles is synchronized.
+    let reference = unsafe { handle.as_ref() };
+    reference.ok_or_else(|| Failure::new(Errno::InvalidArgument, format!("{parameter} is null")))
 }
--- a/crates/drmaa/src/c_interface/mod.rs
+++ b/crates/drmaa/src/c_interface/mod.rs
@@ -1,5 +1,5 @@
-//! The exported functions of the C binding (GFD.133). Only these modules contain unsafe code: they read and write the
-//! memory of the caller as the C binding defines it, and make handles of boxes. No panic leaves an exported function.
+//! The exported functions of the C binding (GFD.133). Only these modules contain unsafe code: they access the caller's
+//! memory as the C binding defines it and convert boxes to opaque handles. Panics do not unwind into the caller.
 
 mod control;
 mod information;
--- a/crates/drmaa/src/c_interface/session.rs
+++ b/crates/drmaa/src/c_interface/session.rs
@@ -1,4 +1,4 @@
-//! Routines that begin and end the session of the process (GFD.133, `drmaa_init` and `drmaa_exit`).
+//! Functions that begin and end the session of the process (GFD.133, `drmaa_init` and `drmaa_exit`).
 
 use super::memory::{read_text, report_result};
 use crate::errno::{Errno, Result};
@@ -6,13 +6,13 @@
 use std::ffi::{c_char, c_int};
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// The session of this process.
+/// The active session of this process, if there is one.
 static SESSION: RwLock<Option<Arc<Session>>> = RwLock::new(None);
 
-/// The environment variable with the default contact string.
+/// Environment variable with the default contact string.
 const CONTACT_VARIABLE: &str = "DRMAA_CONTACT";
 
-/// The active session.
+/// Returns the active session.
 ///
 /// # Errors
 /// `NoActiveSession` before `drmaa_init` and after `drmaa_exit`.
@@ -21,10 +21,11 @@
     session.clone().ok_or_else(|| Errno::NoActiveSession.into())
 }
 
-/// Begins the session of this process (GFD.133, `drmaa_init`). Where `contact` is null, `DRMAA_CONTACT` counts.
+/// Begins the session of this process (GFD.133, `drmaa_init`). If `contact` is null, the contact string is read from
+/// the environment variable `DRMAA_CONTACT`.
 ///
 /// # Safety
-/// `contact` is null or a C string; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+/// `contact` is null or a C string; `diagnosis` is null or writable for `diagnosis_len` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_init(
     contact: *const c_char,
@@ -35,7 +36,7 @@
         let contact = if contact.is_null() {
             default_contact().ok_or(Errno::NoDefaultContactStringSelected)?
         } else {
-            // SAFETY: as the caller promises.
+            // SAFETY: guaranteed by the caller.
             unsafe { read_text(contact, "contact") }?.to_owned()
         };
         let mut session = SESSION.write().unwrap_or_else(PoisonError::into_inner);
@@ -45,21 +46,21 @@
         *session = Some(Arc::new(Session::begin(&contact)?));
         Ok(())
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// The default contact string, where the environment names one.
+/// Returns the default contact string; `None` if the environment variable is unset or empty.
 pub(super) fn default_contact() -> Option<String> {
     std::env::var(CONTACT_VARIABLE)
         .ok()
         .filter(|contact| !contact.is_empty())
 }
 
-/// Ends the session (GFD.133, `drmaa_exit`). Its jobs go on.
+/// Ends the session (GFD.133, `drmaa_exit`). Its jobs continue.
 ///
 /// # Safety
-/// `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+/// `diagnosis` is null or writable for `diagnosis_len` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_exit(diagnosis: *mut c_char, diagnosis_len: usize) -> c_int {
     let body = || {
@@ -70,6 +71,6 @@
         session.ok_or(Errno::NoActiveSession)?.end();
         Ok(())
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
--- a/crates/drmaa/src/c_interface/submission.rs
+++ b/crates/drmaa/src/c_interface/submission.rs
@@ -1,4 +1,4 @@
-//! Routines that submit jobs.
+//! Functions that submit jobs.
 
 use super::memory::{copy_whole_text, handle_reference, report_result, write_output};
 use super::session::active_session;
@@ -12,7 +12,7 @@
 /// Submits a job (GFD.133, `drmaa_run_job`).
 ///
 /// # Safety
-/// `template` is a handle; the buffers are null, or may be written to as far as their lengths say.
+/// `template` is a handle; each buffer is null or writable for its length.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_run_job(
     job_id: *mut c_char,
@@ -23,7 +23,7 @@
 ) -> c_int {
     let body = || {
         let session = active_session()?;
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         let template = unsafe { handle_reference(template, "jt") }?;
         if job_id.is_null() {
             return Err(Failure::new(Errno::InvalidArgument, "job_id is null"));
@@ -33,19 +33,18 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        let id = session.run(&template)?;
-        // SAFETY: as the caller promises.
+        let id = session.run_job(&template)?;
+        // SAFETY: guaranteed by the caller.
         unsafe { copy_whole_text(&id, job_id, job_id_len) }
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// Submits a job for each index (GFD.133, `drmaa_run_bulk_jobs`).
+/// Submits a bulk job, one job for each index (GFD.133, `drmaa_run_bulk_jobs`).
 ///
 /// # Safety
-/// `template` is a handle; `job_ids` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written
-/// there.
+/// `template` is a handle; `job_ids` is null or writable; `diagnosis` is null or writable for `diagnosis_len` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_run_bulk_jobs(
     job_ids: *mut *mut StringVector,
@@ -58,7 +57,7 @@
 ) -> c_int {
     let body = || {
         let session = active_session()?;
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         let template = unsafe { handle_reference(template, "jt") }?;
         if job_ids.is_null() {
             return Err(Failure::new(Errno::InvalidArgument, "jobids is null"));
@@ -69,10 +68,10 @@
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
         let indices = IndexRange::new(start.into(), end.into(), step.into());
-        let ids = session.run_bulk(&template, indices)?;
-        // SAFETY: as the caller promises.
+        let ids = session.run_bulk_jobs(&template, indices)?;
+        // SAFETY: guaranteed by the caller.
         unsafe { write_output(job_ids, StringVector::into_handle(ids), "jobids") }
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
--- a/crates/drmaa/src/c_interface/templates.rs
+++ b/crates/drmaa/src/c_interface/templates.rs
@@ -1,4 +1,4 @@
-//! Routines on job templates and their attributes.
+//! Functions for job templates and their attributes.
 
 use super::memory::{
     copy_whole_text, handle_reference, read_text, read_texts, report_result, write_output,
@@ -10,13 +10,13 @@
 use std::ffi::{c_char, c_int};
 use std::sync::{Mutex, PoisonError};
 
-/// `drmaa_job_template_t`.
+/// The type behind `drmaa_job_template_t`.
 pub struct JobTemplate(pub(super) Mutex<Template>);
 
 /// Allocates a job template (GFD.133, `drmaa_allocate_job_template`).
 ///
 /// # Safety
-/// `template` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+/// `template` is null or writable; `diagnosis` is null or writable for `diagnosis_len` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_allocate_job_template(
     template: *mut *mut JobTemplate,
@@ -28,19 +28,19 @@
         if template.is_null() {
             return Err(Failure::new(Errno::InvalidArgument, "jt is null"));
         }
-        let new = Box::into_raw(Box::new(JobTemplate(Mutex::default())));
-        // SAFETY: as the caller promises.
-        unsafe { write_output(template, new, "jt") }
+        let handle = Box::into_raw(Box::new(JobTemplate(Mutex::default())));
+        // SAFETY: guaranteed by the caller.
+        unsafe { write_output(template, handle, "jt") }
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
 /// Releases a job template (GFD.133, `drmaa_delete_job_template`).
 ///
 /// # Safety
-/// `template` was returned by [`drmaa_allocate_job_template`] and is not used any more; `diagnosis` is null, or
-/// `diagnosis_len` bytes may be written there.
+/// `template` was returned by [`drmaa_allocate_job_template`] and is not used any more; `diagnosis` is null or writable
+/// for `diagnosis_len` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_delete_job_template(
     template: *mut JobTemplate,
@@ -51,15 +51,15 @@
         if template.is_null() {
             return Err(Failure::new(Errno::InvalidArgument, "jt is null"));
         }
-        // SAFETY: made by a box, and as the caller promises not used any more.
+        // SAFETY: allocated by `Box`; the caller guarantees that it is not used any more.
         drop(unsafe { Box::from_raw(template) });
         Ok(())
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// Sets an attribute (GFD.133, `drmaa_set_attribute`).
+/// Sets a scalar attribute (GFD.133, `drmaa_set_attribute`).
 ///
 /// # Safety
 /// `template` is a handle; `name` and `value` are null or C strings; `diagnosis` is null, or `diagnosis_len` bytes may
@@ -73,7 +73,7 @@
     diagnosis_len: usize,
 ) -> c_int {
     let body = || {
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         let (template, name, value) = unsafe {
             (
                 handle_reference(template, "jt")?,
@@ -87,15 +87,14 @@
             .unwrap_or_else(PoisonError::into_inner)
             .set(name, value)
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// Returns an attribute (GFD.133, `drmaa_get_attribute`).
+/// Returns a scalar attribute (GFD.133, `drmaa_get_attribute`).
 ///
 /// # Safety
-/// `template` is a handle; `name` is null or a C string; the buffers are null, or may be written to as far as their
-/// lengths say.
+/// `template` is a handle; `name` is null or a C string; each buffer is null or writable for its length.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_get_attribute(
     template: *mut JobTemplate,
@@ -106,22 +105,22 @@
     diagnosis_len: usize,
 ) -> c_int {
     let body = || {
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         let (template, name) =
             unsafe { (handle_reference(template, "jt")?, read_text(name, "name")?) };
         let template = template.0.lock().unwrap_or_else(PoisonError::into_inner);
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         unsafe { copy_whole_text(template.get(name)?, value, value_len) }
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// Sets an attribute that holds a list (GFD.133, `drmaa_set_vector_attribute`).
+/// Sets a vector attribute (GFD.133, `drmaa_set_vector_attribute`).
 ///
 /// # Safety
-/// `template` is a handle; `name` is null or a C string; `values` is null, or points to C strings and a null pointer
-/// after them; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+/// `template` is a handle; `name` is null or a C string; `values` is null or a null-terminated array of
+/// C strings; `diagnosis` is null or writable for `diagnosis_len` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_set_vector_attribute(
     template: *mut JobTemplate,
@@ -131,7 +130,7 @@
     diagnosis_len: usize,
 ) -> c_int {
     let body = || {
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         let (template, name, values) = unsafe {
             (
                 handle_reference(template, "jt")?,
@@ -142,15 +141,15 @@
         let mut template = template.0.lock().unwrap_or_else(PoisonError::into_inner);
         template.set_vector(name, values)
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// Returns an attribute that holds a list (GFD.133, `drmaa_get_vector_attribute`).
+/// Returns a vector attribute (GFD.133, `drmaa_get_vector_attribute`).
 ///
 /// # Safety
-/// `template` is a handle; `name` is null or a C string; `values` may be written to; `diagnosis` is null, or
-/// `diagnosis_len` bytes may be written there.
+/// `template` is a handle; `name` is null or a C string; `values` is null or writable; `diagnosis` is null or writable
+/// for `diagnosis_len` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_get_vector_attribute(
     template: *mut JobTemplate,
@@ -160,23 +159,23 @@
     diagnosis_len: usize,
 ) -> c_int {
     let body = || {
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         let (template, name) =
             unsafe { (handle_reference(template, "jt")?, read_text(name, "name")?) };
         let template = template.0.lock().unwrap_or_else(PoisonError::into_inner);
         let items = template.get_vector(name)?.to_vec();
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         unsafe { write_output(values, StringVector::into_handle(items), "values") }
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// Returns the names of attributes.
+/// Returns attribute names as a string vector.
 ///
 /// # Safety
-/// `values` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
-unsafe fn write_names(
+/// `values` is null or writable; `diagnosis` is null or writable for `diagnosis_len` bytes.
+unsafe fn write_attribute_names(
     names: &[&str],
     values: *mut *mut StringVector,
     diagnosis: *mut c_char,
@@ -184,37 +183,37 @@
 ) -> c_int {
     let body = || {
         let items = names.iter().map(|name| (*name).to_owned());
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         unsafe { write_output(values, StringVector::into_handle(items), "values") }
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// The names of the attributes that hold one value (GFD.133, `drmaa_get_attribute_names`).
+/// Returns the names of the scalar attributes (GFD.133, `drmaa_get_attribute_names`).
 ///
 /// # Safety
-/// As for [`write_names`].
+/// As for [`write_attribute_names`].
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_get_attribute_names(
     values: *mut *mut StringVector,
     diagnosis: *mut c_char,
     diagnosis_len: usize,
 ) -> c_int {
-    // SAFETY: as the caller promises.
-    unsafe { write_names(&SCALAR_ATTRIBUTES, values, diagnosis, diagnosis_len) }
+    // SAFETY: guaranteed by the caller.
+    unsafe { write_attribute_names(&SCALAR_ATTRIBUTES, values, diagnosis, diagnosis_len) }
 }
 
-/// The names of the attributes that hold a list (GFD.133, `drmaa_get_vector_attribute_names`).
+/// Returns the names of the vector attributes (GFD.133, `drmaa_get_vector_attribute_names`).
 ///
 /// # Safety
-/// As for [`write_names`].
+/// As for [`write_attribute_names`].
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_get_vector_attribute_names(
     values: *mut *mut StringVector,
     diagnosis: *mut c_char,
     diagnosis_len: usize,
 ) -> c_int {
-    // SAFETY: as the caller promises.
-    unsafe { write_names(&VECTOR_ATTRIBUTES, values, diagnosis, diagnosis_len) }
+    // SAFETY: guaranteed by the caller.
+    unsafe { write_attribute_names(&VECTOR_ATTRIBUTES, values, diagnosis, diagnosis_len) }
 }
--- a/crates/drmaa/src/c_interface/wait.rs
+++ b/crates/drmaa/src/c_interface/wait.rs
@@ -1,4 +1,4 @@
-//! Routines that wait for the end of jobs.
+//! Functions that wait for the end of jobs.
 
 use super::memory::{copy_text, read_text, read_texts, report_result};
 use super::session::active_session;
@@ -12,10 +12,10 @@
 /// `DRMAA_TIMEOUT_WAIT_FOREVER`.
 const TIMEOUT_WAIT_FOREVER: c_long = -1;
 
-/// The longest finite timeout, in seconds; longer ones are cut to it.
+/// Maximum finite timeout in seconds, to which longer ones are reduced so that the deadline cannot overflow.
 const MAX_TIMEOUT_SECONDS: u64 = 1 << 31;
 
-/// Converts a timeout of the C interface.
+/// Converts a timeout of the C binding.
 ///
 /// # Errors
 /// `InvalidArgument` for a negative number other than `DRMAA_TIMEOUT_WAIT_FOREVER`.
@@ -23,16 +23,20 @@
     if seconds == TIMEOUT_WAIT_FOREVER {
         return Ok(None);
     }
-    let seconds = u64::try_from(seconds)
-        .map_err(|_| Failure::new(Errno::InvalidArgument, "timeout is negative"))?;
+    let seconds = u64::try_from(seconds).map_err(|_| {
+        Failure::new(
+            Errno::InvalidArgument,
+            "timeout is negative and not DRMAA_TIMEOUT_WAIT_FOREVER",
+        )
+    })?;
     Ok(Some(Duration::from_secs(seconds.min(MAX_TIMEOUT_SECONDS))))
 }
 
-/// Waits until all of these jobs have ended (GFD.133, `drmaa_synchronize`).
+/// Waits until all of these jobs have ended, and reaps them if `dispose` is not 0 (GFD.133, `drmaa_synchronize`).
 ///
 /// # Safety
-/// `job_ids` is null, or points to C strings and a null pointer after them; `diagnosis` is null, or `diagnosis_len`
-/// bytes may be written there.
+/// `job_ids` is null or a null-terminated array of C strings; `diagnosis` is null or writable for `diagnosis_len`
+/// bytes.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_synchronize(
     job_ids: *const *const c_char,
@@ -43,18 +47,18 @@
 ) -> c_int {
     let body = || {
         let session = active_session()?;
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         let ids = unsafe { read_texts(job_ids, "job_ids") }?;
         session.synchronize(&ids, parse_timeout(seconds)?, dispose != 0)
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
 
-/// Waits for the end of a job and reaps it (GFD.133, `drmaa_wait`).
+/// Waits for the end of a job, or of any job of the session, and reaps it (GFD.133, `drmaa_wait`).
 ///
 /// # Safety
-/// `job_id` is null or a C string; all others are null, or may be written to as far as their lengths say.
+/// `job_id` is null or a C string; each output parameter is null or writable for its length.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_wait(
     job_id: *const c_char,
@@ -68,11 +72,11 @@
 ) -> c_int {
     let body = || {
         let session = active_session()?;
-        // SAFETY: as the caller promises.
+        // SAFETY: guaranteed by the caller.
         let id = unsafe { read_text(job_id, "job_id") }?;
         let info = session.wait(id, parse_timeout(seconds)?)?;
-        // An output parameter that is null is skipped; the job is reaped all the same.
-        // SAFETY: as the caller promises; what is null is not written to.
+        // Output parameters that are null are skipped; the job is reaped nevertheless.
+        // SAFETY: guaranteed by the caller; null pointers are not written to.
         unsafe {
             if !job_id_out.is_null() {
                 copy_text(&info.job_id, job_id_out, job_id_out_len);
@@ -86,6 +90,6 @@
         }
         Ok(())
     };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
--- a/crates/drmaa/src/c_interface/wait_status.rs
+++ b/crates/drmaa/src/c_interface/wait_status.rs
@@ -1,24 +1,24 @@
-//! The `stat` value and the resource usage of an ended job, and the routines that read `stat`.
+//! The `stat` value and the resource usage of an ended job, and the functions that interpret `stat`.
 
 use super::memory::{copy_whole_text, report_result, write_output};
 use marbledeck_submission_client::{ErrorId, JobInfo, JobState};
 use std::ffi::{c_char, c_int};
 
-/// Flag of `stat`, which is opaque to the caller: the job has ended by itself.
+/// Flag of `stat`, which is opaque to the caller: the job ended by itself, successfully or not.
 const EXITED: c_int = 1;
-/// Flag of `stat`: the job was terminated after its start.
+/// Flag of `stat`: the job was terminated after it was started.
 const SIGNALED: c_int = 2;
-/// Flag of `stat`: the job ended before its start.
+/// Flag of `stat`: the job ended before it was started.
 const ABORTED: c_int = 4;
-/// The position of the exit status in `stat`.
+/// Bit position of the exit status in `stat`.
 const STATUS_SHIFT: u32 = 8;
 
-/// The `stat` value that `drmaa_wait` returns for an ended job.
+/// Computes the `stat` value that `drmaa_wait` returns for an ended job.
 pub(super) fn wait_status(info: &JobInfo) -> c_int {
     let sub_state = info.job_sub_state.as_deref().unwrap_or_default();
     match info.job_state {
         JobState::Done => EXITED,
-        // It never ran: refused, held for too long, or given up before.
+        // The job never ran: it was rejected, expired while held, or was terminated or overdue before its start.
         _ if matches!(sub_state, "refused" | "expired") => ABORTED,
         _ if info.dispatch_time_ms.is_none() && matches!(sub_state, "terminated" | "overdue") => {
             ABORTED
@@ -28,7 +28,7 @@
     }
 }
 
-/// The known resource usage of a job, as `name=value`.
+/// Returns the resource usage of a job as `name=value` strings; unknown values are omitted.
 pub(super) fn resource_usage(info: &JobInfo) -> Vec<String> {
     let seconds = |ms: u64| format!("{}.{:03}", ms / 1000, ms % 1000);
     let mut usage = vec![format!(
@@ -53,7 +53,7 @@
     usage.extend(
         info.job_sub_state
             .as_ref()
-            .map(|sub| format!("sub_state={sub}")),
+            .map(|sub_state| format!("sub_state={sub_state}")),
     );
     if let Some(problem) = &info.problem {
         usage.push(format!("error={}", problem.message));
@@ -64,12 +64,12 @@
     usage
 }
 
-macro_rules! statuses {
-    ($($(#[$doc:meta])* $name:ident = |$stat:ident| $of:expr;)*) => {$(
+macro_rules! status_functions {
+    ($($(#[$doc:meta])* $name:ident = |$stat:ident| $value:expr;)*) => {$(
         $(#[$doc])*
         ///
         /// # Safety
-        /// `to` may be written to; `diagnosis` is null, or `diagnosis_len` bytes may be written there.
+        /// `to` is null or writable; `diagnosis` is null or writable for `diagnosis_len` bytes.
         #[no_mangle]
         pub unsafe extern "C" fn $name(
             to: *mut c_int,
@@ -77,31 +77,32 @@
             diagnosis: *mut c_char,
             diagnosis_len: usize,
         ) -> c_int {
-            // SAFETY: as the caller promises.
-            let body = || unsafe { write_output(to, $of, "the result") };
-            // SAFETY: as the caller promises.
+            // SAFETY: guaranteed by the caller.
+            let body = || unsafe { write_output(to, $value, "the output parameter") };
+            // SAFETY: guaranteed by the caller.
             unsafe { report_result(diagnosis, diagnosis_len, body) }
         }
     )*};
 }
 
-statuses! {
-    /// Whether a job has come to an end by itself (GFD.133, `drmaa_wifexited`).
+status_functions! {
+    /// Whether the job ended by itself (GFD.133, `drmaa_wifexited`).
     drmaa_wifexited = |stat| c_int::from(stat & EXITED != 0);
-    /// 0 for a job that was done, 1 for one that has failed (GFD.133, `drmaa_wexitstatus`).
+    /// The exit status: 0 for a job that is done, 1 for one that has failed (GFD.133, `drmaa_wexitstatus`).
     drmaa_wexitstatus = |stat| (stat >> STATUS_SHIFT) & 0xff;
-    /// Whether a job was terminated after it had started (GFD.133, `drmaa_wifsignaled`).
+    /// Whether the job was terminated after it was started (GFD.133, `drmaa_wifsignaled`).
     drmaa_wifsignaled = |stat| c_int::from(stat & SIGNALED != 0);
-    /// There are no core images (GFD.133, `drmaa_wcoredump`).
+    /// Always 0, since jobs have no core images (GFD.133, `drmaa_wcoredump`).
     drmaa_wcoredump = |_stat| 0;
-    /// Whether a job has ended before it had started (GFD.133, `drmaa_wifaborted`).
+    /// Whether the job ended before it was started (GFD.133, `drmaa_wifaborted`).
     drmaa_wifaborted = |stat| c_int::from(stat & ABORTED != 0);
 }
 
-/// The name of the signal that a job was terminated by (GFD.133, `drmaa_wtermsig`).
+/// Returns the name of the signal that terminated the job: `SIGTERM`, or an empty string if it was not terminated
+/// (GFD.133, `drmaa_wtermsig`).
 ///
 /// # Safety
-/// The buffers are null, or may be written to as far as their lengths say.
+/// Each buffer is null or writable for its length.
 #[no_mangle]
 pub unsafe extern "C" fn drmaa_wtermsig(
     signal: *mut c_char,
@@ -111,8 +112,8 @@
     diagnosis_len: usize,
 ) -> c_int {
     let name = if stat & SIGNALED != 0 { "SIGTERM" } else { "" };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     let body = || unsafe { copy_whole_text(name, signal, signal_len) };
-    // SAFETY: as the caller promises.
+    // SAFETY: guaranteed by the caller.
     unsafe { report_result(diagnosis, diagnosis_len, body) }
 }
--- a/crates/drmaa/src/errno.rs
+++ b/crates/drmaa/src/errno.rs
@@ -1,20 +1,20 @@
-//! The error codes of the C binding (GFD.133), with their texts.
+//! The error codes of the C binding (GFD.133) and their `drmaa_strerror` texts.
 
 use marbledeck_submission_client::{Error, ErrorId};
 use std::ffi::CStr;
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $code:literal, $text:literal;)*) => {
-        /// The error code that a function returns.
+        /// The error code returned by a function of the C binding (`DRMAA_ERRNO_*`).
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         #[repr(i32)]
         pub enum Errno { $($(#[$doc])* $name = $code),* }
 
         impl Errno {
-            /// All codes, in their order.
+            /// All error codes, in ascending order.
             pub const ALL: &'static [Errno] = &[$(Errno::$name),*];
 
-            /// The meaning of the code, as a static C string.
+            /// The text of the error code (`drmaa_strerror`).
             pub fn message(self) -> &'static CStr {
                 match self { $(Errno::$name => $text),* }
             }
@@ -52,7 +52,7 @@
 }
 
 impl Errno {
-    /// The error code of this number.
+    /// Looks up an error code by its number.
     pub fn from_code(code: i32) -> Option<Errno> {
         Errno::ALL
             .iter()
@@ -61,7 +61,7 @@
     }
 }
 
-/// The failure of a function.
+/// An error: its code and its diagnosis message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
     /// The error code.
@@ -71,7 +71,7 @@
 }
 
 impl Failure {
-    /// A failure with its own message.
+    /// Creates a failure with a specific message instead of the text of its error code.
     pub fn new(errno: Errno, message: impl Into<String>) -> Self {
         Failure {
             errno,
--- a/crates/drmaa/src/lib.rs
+++ b/crates/drmaa/src/lib.rs
@@ -1,10 +1,10 @@
-//! The C interface of DRMAA 1.0 (GFD.133, C binding) to marbledeck's batch submission, as `libdrmaa.so`. The header is
-//! `include/drmaa.h`; `docs/drmaa.md` describes the library for its users.
+//! `libdrmaa.so`, an implementation of the C binding of DRMAA 1.0 (GFD.133) on top of marbledeck's batch submission
+//! protocol. The header is `include/drmaa.h`; `docs/drmaa.md` is the user documentation.
 #![deny(unsafe_op_in_unsafe_fn)]
 
 #[expect(
     unsafe_code,
-    reason = "the C binding passes pointers of the caller and exports symbols by name"
+    reason = "the C binding dereferences pointers from the caller and exports unmangled symbols"
 )]
 mod c_interface;
 mod errno;
--- a/crates/drmaa/src/native.rs
+++ b/crates/drmaa/src/native.rs
@@ -1,46 +1,49 @@
-//! The native specification and the contact string: `name=value` words for what DRMAA 1.0 has no attribute for.
+//! The native specification and the contact string. Both contain `name=value` settings for which DRMAA 1.0 has no
+//! attribute.
 
 use crate::errno::{Errno, Failure, Result};
 use std::time::Duration;
 
-/// A native specification.
+/// A native specification (`drmaa_native_specification`).
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Native {
-    /// The class, where the job category does not name it.
+pub struct NativeSpecification {
+    /// The job class, used if `drmaa_job_category` is not set.
     pub class: Option<String>,
-    /// The tenant.
+    /// The tenant that the job is accounted to.
     pub tenant: Option<String>,
     /// The submission key.
     pub key: Option<String>,
-    /// The time from submission within which the job is to end.
+    /// The time after submission by which the job must end.
     pub deadline: Option<Duration>,
-    /// The slots that a job takes.
+    /// The number of slots that a job occupies.
     pub slots: Option<f64>,
-    /// How many jobs of a bulk may run at a time.
+    /// Maximum number of jobs of a bulk job that run at the same time.
     pub max_parallel: Option<u32>,
 }
 
-impl Native {
-    /// Parses a specification.
+impl NativeSpecification {
+    /// Parses a native specification.
     ///
     /// # Errors
-    /// `InvalidAttributeFormat`; the message names the word that is wrong.
-    pub fn read(text: &str) -> Result<Self> {
-        let mut native = Native::default();
-        for word in text.split_ascii_whitespace() {
-            native.read_word(word).map_err(|expected| {
-                let message = format!("'{word}': {expected}");
+    /// `InvalidAttributeFormat`; the message names the invalid setting.
+    pub fn parse(text: &str) -> Result<Self> {
+        let mut native = NativeSpecification::default();
+        for setting in text.split_ascii_whitespace() {
+            native.parse_setting(setting).map_err(|expected| {
+                let message = format!("invalid setting '{setting}': expected {expected}");
                 Failure::new(Errno::InvalidAttributeFormat, message)
             })?;
         }
         Ok(native)
     }
 
-    /// Parses one word; fails with what was expected in its place.
-    fn read_word(&mut self, word: &str) -> std::result::Result<(), &'static str> {
-        let Some((name, value)) = word.split_once('=').filter(|(_, value)| !value.is_empty())
+    /// Parses one `name=value` setting. The error describes what was expected.
+    fn parse_setting(&mut self, setting: &str) -> std::result::Result<(), &'static str> {
+        let Some((name, value)) = setting
+            .split_once('=')
+            .filter(|(_, value)| !value.is_empty())
         else {
-            return Err("want name=value");
+            return Err("name=value");
         };
         match name {
             "class" => self.class = Some(value.to_owned()),
@@ -48,31 +51,31 @@
             "key" => self.key = Some(value.to_owned()),
             "deadline" => {
                 let deadline = parse_duration(value).filter(|duration| !duration.is_zero());
-                self.deadline = Some(deadline.ok_or("want a span, as in 20s")?);
+                self.deadline = Some(deadline.ok_or("a duration greater than zero, such as 20s")?);
             }
             "slots" => {
                 let slots = value.parse().ok();
                 let slots = slots.filter(|slots: &f64| slots.is_finite() && *slots >= 0.0);
-                self.slots = Some(slots.ok_or("want a number")?);
+                self.slots = Some(slots.ok_or("a number that is not negative")?);
             }
             "max-parallel" => {
                 let max_parallel = value.parse().ok().filter(|count| *count > 0);
-                self.max_parallel = Some(max_parallel.ok_or("want 1 or more")?);
+                self.max_parallel = Some(max_parallel.ok_or("an integer of at least 1")?);
             }
-            _ => return Err("known: class, tenant, key, deadline, slots, max-parallel"),
+            _ => return Err("one of the names class, tenant, key, deadline, slots, max-parallel"),
         }
         Ok(())
     }
 
-    /// This specification, with the values of the other where this one has none.
-    pub fn or(self, other: &Native) -> Native {
-        Native {
-            class: self.class.or_else(|| other.class.clone()),
-            tenant: self.tenant.or_else(|| other.tenant.clone()),
-            key: self.key.or_else(|| other.key.clone()),
-            deadline: self.deadline.or(other.deadline),
-            slots: self.slots.or(other.slots),
-            max_parallel: self.max_parallel.or(other.max_parallel),
+    /// Fills in the missing settings from `defaults`.
+    pub fn with_defaults(self, defaults: &NativeSpecification) -> NativeSpecification {
+        NativeSpecification {
+            class: self.class.or_else(|| defaults.class.clone()),
+            tenant: self.tenant.or_else(|| defaults.tenant.clone()),
+            key: self.key.or_else(|| defaults.key.clone()),
+            deadline: self.deadline.or(defaults.deadline),
+            slots: self.slots.or(defaults.slots),
+            max_parallel: self.max_parallel.or(defaults.max_parallel),
         }
     }
 }
@@ -97,15 +100,15 @@
 pub struct ContactString {
     /// The address of the node's submission interface.
     pub address: String,
-    /// The native specification that applies to each job as far as its own has no value.
-    pub defaults: Native,
+    /// Default settings for jobs whose native specification omits them.
+    pub defaults: NativeSpecification,
 }
 
 impl ContactString {
     /// Parses a contact string.
     ///
     /// # Errors
-    /// `InvalidContactString`; the message names the part that is wrong.
+    /// `InvalidContactString`; the message names the invalid part.
     pub fn parse(text: &str) -> Result<Self> {
         let text = text.trim();
         let (address, defaults) = text.split_once(char::is_whitespace).unwrap_or((text, ""));
@@ -113,10 +116,10 @@
             .rsplit_once(':')
             .filter(|(host, _)| !host.is_empty());
         if port.is_none_or(|(_, port)| port.parse::<u16>().is_err()) {
-            let message = format!("'{address}' is no host:port");
+            let message = format!("invalid contact address '{address}': expected host:port");
             return Err(Failure::new(Errno::InvalidContactString, message));
         }
-        let defaults = Native::read(defaults)
+        let defaults = NativeSpecification::parse(defaults)
             .map_err(|failure| Failure::new(Errno::InvalidContactString, failure.message))?;
         Ok(ContactString {
             address: address.to_owned(),
--- a/crates/drmaa/src/native/tests.rs
+++ b/crates/drmaa/src/native/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of the module `native`.
+//! Unit tests of native specifications and contact strings.
 
 use super::*;
 
 #[test]
-fn native_specifications_and_contacts_are_read() {
-    let native = Native::read("class=preview  deadline=1500ms slots=2").unwrap();
+fn native_specifications_and_contact_strings_are_parsed() {
+    let native = NativeSpecification::parse("class=preview  deadline=1500ms slots=2").unwrap();
     assert_eq!(native.class.as_deref(), Some("preview"));
     assert_eq!(native.deadline, Some(Duration::from_millis(1500)));
-    for wrong in [
+    for invalid in [
         "preview",
         "class=",
         "colour=red",
@@ -15,9 +15,9 @@
         "slots=-1",
         "max-parallel=0",
     ] {
-        let failure = Native::read(wrong).unwrap_err();
+        let failure = NativeSpecification::parse(invalid).unwrap_err();
         assert_eq!(failure.errno, Errno::InvalidAttributeFormat);
-        assert!(failure.message.contains(wrong), "{}", failure.message);
+        assert!(failure.message.contains(invalid), "{}", failure.message);
     }
     let ContactString { address, defaults } =
         ContactString::parse(" 127.0.0.1:7100 tenant=au class=preview").unwrap();
@@ -25,9 +25,9 @@
         (address.as_str(), defaults.tenant.as_deref()),
         ("127.0.0.1:7100", Some("au"))
     );
-    for wrong in ["", "here", ":7100", "a:b", "127.0.0.1:7100 nonsense"] {
+    for invalid in ["", "here", ":7100", "a:b", "127.0.0.1:7100 nonsense"] {
         assert_eq!(
-            ContactString::parse(wrong).unwrap_err().errno,
+            ContactString::parse(invalid).unwrap_err().errno,
             Errno::InvalidContactString
         );
     }
--- a/crates/drmaa/src/session.rs
+++ b/crates/drmaa/src/session.rs
@@ -1,9 +1,9 @@
-//! The session of a process (GFD.133): the jobs that were submitted since `drmaa_init`, and their ends.
+//! The DRMAA session of a process (GFD.133): the jobs submitted since `drmaa_init` and their results.
 //!
-//! The node notifies the library of the end of each job by an event of a job session of its own. The collector fetches
-//! the information of a job as soon as it has ended and has the node forget the job, so that a program may wait for any
-//! number of jobs as late as it likes. `drmaa_wait` and `drmaa_synchronize` look into the job table, and ask the node
-//! only for jobs that are not of this session.
+//! Each DRMAA session creates a job session on the node, whose events notify the library when a job ends. The collector
+//! thread then fetches the job information and reaps the job on the node, so that a program can wait for any number of
+//! jobs at any later time. `drmaa_wait` and `drmaa_synchronize` use the local job table and query the node only for jobs
+//! of other sessions.
 
 mod action;
 mod collector;
@@ -11,7 +11,7 @@
 mod result_files;
 
 use crate::errno::{Errno, Failure, Result};
-use crate::native::{ContactString, Native};
+use crate::native::{ContactString, NativeSpecification};
 use crate::template::Template;
 pub use action::Action;
 use collector::{Collector, CollectorMessage};
@@ -26,37 +26,38 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long the client retries while the node cannot be reached.
+/// How long a request is retried while the node cannot be reached.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long the state of a job that is being collected is waited for.
+/// How long [`Session::state`] waits for the collector to record a job that it has already reaped on the node.
 const COLLECTION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// `DRMAA_JOB_IDS_SESSION_ANY`: any job of the session.
-pub const ANY: &str = "DRMAA_JOB_IDS_SESSION_ANY";
+pub const SESSION_ANY: &str = "DRMAA_JOB_IDS_SESSION_ANY";
 
 /// `DRMAA_JOB_IDS_SESSION_ALL`: all jobs of the session.
-pub const ALL: &str = "DRMAA_JOB_IDS_SESSION_ALL";
+pub const SESSION_ALL: &str = "DRMAA_JOB_IDS_SESSION_ALL";
 
-/// The session of a process.
+/// The DRMAA session of a process.
 pub struct Session {
     contact: String,
     name: String,
-    defaults: Native,
+    defaults: NativeSpecification,
     client: Arc<Client>,
     jobs: Arc<JobTable>,
     collector: Mutex<Option<JoinHandle<()>>>,
     collector_messages: Sender<CollectorMessage>,
 }
 
-/// The timeout of a wait; without one it waits for ever.
+/// The timeout of a wait; `None` waits without a limit.
 pub type Timeout = Option<Duration>;
 
 impl Session {
     /// Connects to a node and begins a session.
     ///
     /// # Errors
-    /// A malformed contact string, or a node that cannot be reached.
+    /// `InvalidContactString` if the contact string is malformed, `DrmCommunication` if the node cannot be reached,
+    /// `DrmsInitFailed` if the collector thread cannot be started.
     pub fn begin(contact: &str) -> Result<Self> {
         let ContactString { address, defaults } = ContactString::parse(contact)?;
         let settings = Settings {
@@ -97,10 +98,10 @@
         })
     }
 
-    /// Ends the session. Its jobs go on.
+    /// Ends the session and makes all waits fail. Its jobs continue.
     pub fn end(&self) {
         self.jobs.end_session();
-        let _ = self.collector_messages.send(CollectorMessage::SessionOver);
+        let _ = self.collector_messages.send(CollectorMessage::SessionEnded);
         let _ = self.client.destroy_session(&self.name);
         self.client.close();
         let collector = self
@@ -113,26 +114,29 @@
         }
     }
 
-    /// The contact string that the session was begun with.
+    /// The contact string passed to [`Session::begin`].
     pub fn contact(&self) -> &str {
         &self.contact
     }
 
-    /// Adds a submitted job to the table.
+    /// Adds a submitted job to the job table.
     fn add_job(&self, id: &str, files: ResultFiles) {
-        let job = SessionJob { ended: None, files };
-        // A resubmission that joined an earlier job of this session is that job.
-        self.jobs.lock().known.entry(id.to_owned()).or_insert(job);
-        // The job may have ended before it was added.
+        let job = SessionJob {
+            final_info: None,
+            files,
+        };
+        // The node may answer a duplicate submission key with a job that the session already has; keep that entry.
+        self.jobs.lock().by_id.entry(id.to_owned()).or_insert(job);
+        // If the job ended before it was added, its event was ignored: have the collector check it.
         let message = CollectorMessage::JobEnded(id.to_owned());
         let _ = self.collector_messages.send(message);
     }
 
-    /// Submits a job; returns its id.
+    /// Submits a job and returns its id.
     ///
     /// # Errors
-    /// Names the attribute that cannot be honoured, or carries the error of the node.
-    pub fn run(&self, template: &Template) -> Result<String> {
+    /// An error that names the attribute that is not supported, or the error of the node.
+    pub fn run_job(&self, template: &Template) -> Result<String> {
         let request = template.to_request(&self.defaults, false)?;
         let job = self.client.run_job(request.template, Some(&self.name))?;
         let files = ResultFiles {
@@ -144,16 +148,16 @@
         Ok(job.job_id)
     }
 
-    /// Submits a job for each index; returns their ids. Where the node rejects some of them, the accepted ones are
-    /// terminated, since DRMAA 1.0 cannot express a partial success.
+    /// Submits a job for each index and returns the ids. If the node rejects some of the jobs, the accepted ones are
+    /// terminated and reaped, since DRMAA 1.0 cannot report a partial success.
     ///
     /// # Errors
-    /// Names the attribute that cannot be honoured, or carries the error of the node.
-    pub fn run_bulk(&self, template: &Template, indices: IndexRange) -> Result<Vec<String>> {
+    /// An error that names the attribute that is not supported, or the error of the node.
+    pub fn run_bulk_jobs(&self, template: &Template, indices: IndexRange) -> Result<Vec<String>> {
         let IndexRange { begin, end, step } = indices;
         if begin < 1 || end < 1 || step == 0 || step > 0 && begin > end || step < 0 && begin < end {
             let message =
-                "want indices from 1 on, and a step that leads from the first to the last";
+                "invalid job indices: expected indices of at least 1 and a nonzero step from start towards end";
             return Err(Failure::new(Errno::InvalidArgument, message));
         }
         let request = template.to_request(&self.defaults, true)?;
@@ -189,7 +193,7 @@
         Ok(job_ids.collect())
     }
 
-    /// Terminates a job and has the node forget it; errors are ignored.
+    /// Terminates a job and reaps it on the node; errors are ignored.
     fn terminate_and_reap(&self, job_id: String) {
         let targets = Targets::job(job_id);
         let _ = self.client.control(Operation::Terminate {
@@ -201,22 +205,22 @@
     /// Waits for the end of a job, or of any job of the session, and reaps it.
     ///
     /// # Errors
-    /// `InvalidJob` for a job that is not known or was reaped, `ExitTimeout` after the timeout, `NoActiveSession` where
-    /// the session ends meanwhile.
+    /// `InvalidJob` if the job is unknown or was reaped, `ExitTimeout` after the timeout, `NoActiveSession` if the
+    /// session ends during the wait.
     pub fn wait(&self, id: &str, timeout: Timeout) -> Result<JobInfo> {
         let deadline = timeout.map(|timeout| Instant::now() + timeout);
         let mut jobs = self.jobs.lock();
         loop {
-            if jobs.is_session_over {
+            if jobs.is_session_ended {
                 return Err(Errno::NoActiveSession.into());
             }
-            let ended_id = if id == ANY {
-                if jobs.known.is_empty() {
+            let ended_id = if id == SESSION_ANY {
+                if jobs.by_id.is_empty() {
                     return Err(Errno::InvalidJob.into());
                 }
                 jobs.pop_ended_id()
-            } else if let Some(job) = jobs.known.get(id) {
-                job.ended.as_ref().map(|_| id.to_owned())
+            } else if let Some(job) = jobs.by_id.get(id) {
+                job.final_info.as_ref().map(|_| id.to_owned())
             } else {
                 drop(jobs);
                 return self.wait_foreign(id, timeout);
@@ -230,43 +234,43 @@
         }
     }
 
-    /// Waits for the end of a job that is not of this session, and reaps it.
+    /// Waits for the end of a job of another session and reaps it.
     fn wait_foreign(&self, id: &str, timeout: Timeout) -> Result<JobInfo> {
         let info = self
             .client
             .wait_terminated(id, timeout)
             .map_err(job_failure)?;
         let targets = Targets::job(id);
-        // Another waiter may have reaped it before; then this wait fails.
+        // If another waiter has reaped the job, this request and the wait fail.
         self.client
             .control(Operation::Reap { targets })
             .map_err(job_failure)?;
         Ok(info)
     }
 
-    /// Waits until all of these jobs have ended; with `dispose` they are reaped.
+    /// Waits until all of these jobs have ended, and reaps them if `dispose` is set.
     ///
     /// # Errors
-    /// `InvalidJob` for a job that is not known, `ExitTimeout` after the timeout, `NoActiveSession` where the session
-    /// ends meanwhile.
+    /// `InvalidJob` if a job is unknown, `ExitTimeout` after the timeout, `NoActiveSession` if the session ends during
+    /// the wait.
     pub fn synchronize(&self, ids: &[String], timeout: Timeout, dispose: bool) -> Result<()> {
         let deadline = timeout.map(|timeout| Instant::now() + timeout);
-        let is_all = ids.iter().any(|id| id == ALL);
-        let ids: Vec<String> = if is_all {
-            // The jobs up to the moment of the call; a job that is reaped meanwhile has ended.
-            self.jobs.lock().known.keys().cloned().collect()
+        let is_whole_session = ids.iter().any(|id| id == SESSION_ALL);
+        let ids: Vec<String> = if is_whole_session {
+            // The jobs submitted before this call. A job that another thread reaps during the wait has ended.
+            self.jobs.lock().by_id.keys().cloned().collect()
         } else {
             ids.to_vec()
         };
-        if !is_all {
+        if !is_whole_session {
             self.synchronize_foreign(&ids, deadline, dispose)?;
         }
         let mut jobs = self.jobs.lock();
         loop {
-            if jobs.is_session_over {
+            if jobs.is_session_ended {
                 return Err(Errno::NoActiveSession.into());
             }
-            if !ids.iter().any(|id| jobs.is_open(id)) {
+            if !ids.iter().any(|id| jobs.is_unfinished(id)) {
                 break;
             }
             jobs = self.jobs.wait_for_change(jobs, deadline)?;
@@ -281,7 +285,7 @@
         Ok(())
     }
 
-    /// Waits for those of the jobs that are not of this session; with `dispose` they are reaped.
+    /// Waits for those of the jobs that belong to other sessions, and reaps them if `dispose` is set.
     fn synchronize_foreign(
         &self,
         ids: &[String],
@@ -290,7 +294,7 @@
     ) -> Result<()> {
         let foreign: Vec<&String> = {
             let jobs = self.jobs.lock();
-            let unknown = ids.iter().filter(|id| !jobs.known.contains_key(*id));
+            let unknown = ids.iter().filter(|id| !jobs.by_id.contains_key(*id));
             unknown.collect()
         };
         for id in foreign {
@@ -307,20 +311,20 @@
         Ok(())
     }
 
-    /// Controls a job, or all jobs of the session.
+    /// Applies a control operation to a job, or to all unfinished jobs of the session.
     ///
     /// # Errors
-    /// `InvalidJob` for a job that is not known or has ended, or the `InconsistentState` of the action where the state
-    /// of the job does not allow it. For all jobs, the first error.
+    /// `InvalidJob` if the job is unknown or has ended, or the `InconsistentState` error of the action if the state of
+    /// the job does not allow it. For all jobs, the first error.
     pub fn control(&self, id: &str, action: Action) -> Result<()> {
-        if id != ALL {
+        if id != SESSION_ALL {
             return self.control_one(id, action);
         }
-        let open_ids = self.jobs.lock().open_ids();
+        let unfinished_ids = self.jobs.lock().unfinished_ids();
         let mut first_result = Ok(());
-        for id in open_ids {
+        for id in unfinished_ids {
             match self.control_one(&id, action) {
-                // The job has ended meanwhile.
+                // The job has ended since the ids were collected.
                 Err(failure) if failure.errno == Errno::InvalidJob => {}
                 result => first_result = first_result.and(result),
             }
@@ -328,10 +332,10 @@
         first_result
     }
 
-    /// Controls one job.
+    /// Applies a control operation to one job.
     fn control_one(&self, id: &str, action: Action) -> Result<()> {
-        let is_ended = |job: &SessionJob| job.ended.is_some();
-        if self.jobs.lock().known.get(id).is_some_and(is_ended) {
+        let is_ended = |job: &SessionJob| job.final_info.is_some();
+        if self.jobs.lock().by_id.get(id).is_some_and(is_ended) {
             return Err(Failure::new(Errno::InvalidJob, "the job has ended"));
         }
         let operation = action.operation(Targets::job(id));
@@ -344,10 +348,10 @@
         })
     }
 
-    /// The state of a job.
+    /// Returns the state of a job.
     ///
     /// # Errors
-    /// `InvalidJob` for a job that is not known or was reaped.
+    /// `InvalidJob` if the job is unknown or was reaped.
     pub fn state(&self, id: &str) -> Result<JobState> {
         let ended_state = self.jobs.lock().ended_state(id);
         if let Some(state) = ended_state {
@@ -355,12 +359,13 @@
         }
         match self.client.job_info(id) {
             Ok(info) => Ok(info.job_state),
-            // The collector may have reaped it since the look at the table.
+            // The collector may have reaped the job after the lookup in the job table.
             Err(error) => self.wait_for_collected_state(id, job_failure(error)),
         }
     }
 
-    /// Waits until the collector has recorded the state of a job that the node does not know; otherwise fails.
+    /// Waits until the collector has recorded the end of a job that the node does not know; fails with `failure` if the
+    /// job is not in the job table or is not recorded within [`COLLECTION_TIMEOUT`].
     fn wait_for_collected_state(&self, id: &str, failure: Failure) -> Result<JobState> {
         let deadline = Instant::now() + COLLECTION_TIMEOUT;
         let mut jobs = self.jobs.lock();
@@ -368,7 +373,7 @@
             if let Some(state) = jobs.ended_state(id) {
                 return Ok(state);
             }
-            if !jobs.known.contains_key(id) {
+            if !jobs.by_id.contains_key(id) {
                 return Err(failure);
             }
             let Ok(changed_jobs) = self.jobs.wait_for_change(jobs, Some(deadline)) else {
@@ -379,7 +384,7 @@
     }
 }
 
-/// The failure of a request about a job: an id that the node does not know is `InvalidJob`.
+/// Converts the error of a request about a job; the node rejects an unknown id with `INVALID_ARGUMENT`.
 fn job_failure(error: marbledeck_submission_client::Error) -> Failure {
     if error.is(ErrorId::InvalidArgument) {
         Failure::new(Errno::InvalidJob, error.to_string())
--- a/crates/drmaa/src/session/action.rs
+++ b/crates/drmaa/src/session/action.rs
@@ -19,7 +19,7 @@
 }
 
 impl Action {
-    /// The operation of the submission protocol.
+    /// The operation of the submission protocol that performs this action.
     pub(super) fn operation(self, targets: Targets) -> Operation {
         match self {
             Action::Suspend => Operation::Suspend { targets },
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The error code where the state of the job does not allow the action.
+    /// The error code for a job whose state does not allow this action.
     pub(super) fn inconsistent_state(self) -> Errno {
         match self {
             Action::Suspend => Errno::SuspendInconsistentState,
--- a/crates/drmaa/src/session/collector.rs
+++ b/crates/drmaa/src/session/collector.rs
@@ -1,5 +1,4 @@
-//! The collector thread of a session: it fetches the information of each job as soon as the job has ended, and has the
-//! node forget the job.
+//! The collector thread of a session, which fetches the information of each ended job and reaps the job on the node.
 
 use super::job_table::JobTable;
 use marbledeck_submission_client::{
@@ -10,21 +9,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The interval at which the states of all jobs are polled, besides the node's notifications.
+/// Interval at which all jobs are polled, in addition to the node's events. Polling also retries failed requests.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A message to the collector.
 pub(super) enum CollectorMessage {
-    /// The job with this id has, or may have, ended.
+    /// The job with this id has or may have ended.
     JobEnded(String),
-    /// Notifications were missed: all jobs are to be polled.
+    /// Events were missed, so all jobs must be polled.
     EventsMissed,
-    /// The session ends.
-    SessionOver,
+    /// The session has ended; the thread exits.
+    SessionEnded,
 }
 
 impl CollectorMessage {
-    /// The message that an event of the session calls for, if any.
+    /// Converts an event of the session; `None` if the event requires no action.
     pub(super) fn from_event(event: Event) -> Option<Self> {
         match event {
             Event::NewState {
@@ -36,9 +35,9 @@
     }
 }
 
-/// The state of the collector thread.
+/// The collector of a session; [`Collector::run`] is the body of its thread.
 pub(super) struct Collector {
-    /// The connection to the node.
+    /// The client that the session uses.
     pub(super) client: Arc<Client>,
     /// The jobs of the session.
     pub(super) jobs: Arc<JobTable>,
@@ -49,13 +48,13 @@
 }
 
 impl Collector {
-    /// Collects ended jobs until the session is over.
+    /// Collects ended jobs until the session has ended.
     pub(super) fn run(&self) {
         let mut next_poll = Instant::now() + POLL_INTERVAL;
         loop {
             let timeout = next_poll.saturating_duration_since(Instant::now());
             match self.messages.recv_timeout(timeout) {
-                Ok(CollectorMessage::SessionOver) | Err(RecvTimeoutError::Disconnected) => return,
+                Ok(CollectorMessage::SessionEnded) | Err(RecvTimeoutError::Disconnected) => return,
                 Ok(CollectorMessage::JobEnded(id)) => self.collect_job(&id),
                 Ok(CollectorMessage::EventsMissed) | Err(RecvTimeoutError::Timeout) => {
                     next_poll = Instant::now() + POLL_INTERVAL;
@@ -65,10 +64,10 @@
         }
     }
 
-    /// Fetches the information of a job that may have ended, and reaps the job on the node.
+    /// Fetches the information of a job and, if the job has ended, reaps it on the node and records its end.
     fn collect_job(&self, id: &str) {
-        let is_open = self.jobs.lock().is_open(id);
-        if !is_open {
+        let is_unfinished = self.jobs.lock().is_unfinished(id);
+        if !is_unfinished {
             return;
         }
         match self.client.job_info(id) {
@@ -78,11 +77,11 @@
                 self.jobs.record_end(info);
             }
             Ok(_) => {}
-            // The node was restarted without its state: nothing is known of the fate of the job.
+            // The node lost its state in a restart, so whether the job ran is unknown.
             Err(error) if error.is(ErrorId::InvalidArgument) => {
                 self.jobs.record_end(lost_job(id));
             }
-            // The next poll tries again.
+            // The next poll retries.
             Err(_) => {}
         }
     }
@@ -99,14 +98,14 @@
         if listed.is_err() {
             return;
         }
-        let open_ids = self.jobs.lock().open_ids();
-        for id in open_ids.iter().filter(|id| !unfinished.contains(*id)) {
+        let unfinished_ids = self.jobs.lock().unfinished_ids();
+        for id in unfinished_ids.iter().filter(|id| !unfinished.contains(*id)) {
             self.collect_job(id);
         }
     }
 }
 
-/// The information of a job that the node has lost.
+/// The information recorded for a job that the node has lost.
 fn lost_job(id: &str) -> JobInfo {
     JobInfo {
         job_id: id.to_owned(),
@@ -115,7 +114,7 @@
         dispatch_time_ms: Some(0),
         problem: Some(Problem::new(
             ErrorId::DrmCommunication,
-            "the node no longer knows the job: it may have run",
+            "the node no longer knows the job, probably after a restart; the job may have run",
         )),
         ..JobInfo::default()
     }
--- a/crates/drmaa/src/session/job_table.rs
+++ b/crates/drmaa/src/session/job_table.rs
@@ -1,4 +1,4 @@
-//! The jobs of a session that were not reaped yet.
+//! The table of the jobs of a session that were not reaped.
 
 use super::ResultFiles;
 use crate::errno::{Errno, Result};
@@ -10,70 +10,75 @@
 /// A job of the session that was not reaped.
 #[derive(Default)]
 pub(super) struct SessionJob {
-    /// The information of the job, once it has ended.
-    pub(super) ended: Option<Box<JobInfo>>,
-    /// The files for its result.
+    /// The job information, once the job has ended.
+    pub(super) final_info: Option<Box<JobInfo>>,
+    /// The files that receive its result.
     pub(super) files: ResultFiles,
 }
 
-/// An ended job that was removed from the table.
+/// An ended job after its removal from the table.
 pub(super) struct EndedJob {
-    /// The information of the job.
+    /// The job information.
     pub(super) info: Box<JobInfo>,
-    /// The files for its result.
+    /// The files that receive its result.
     pub(super) files: ResultFiles,
 }
 
-/// The state behind the lock of a [`JobTable`].
+/// The contents of a [`JobTable`], protected by its mutex.
 #[derive(Default)]
 pub(super) struct Jobs {
     /// The jobs that were not reaped, by id.
-    pub(super) known: HashMap<String, SessionJob>,
-    /// The ids of ended jobs in the order of their ends; some of the jobs were reaped since.
-    ended: VecDeque<String>,
-    /// Whether the session has ended, so that all waits are to fail.
-    pub(super) is_session_over: bool,
+    pub(super) by_id: HashMap<String, SessionJob>,
+    /// The ids of ended jobs in the order in which they ended; may contain jobs that were reaped since.
+    ended_ids: VecDeque<String>,
+    /// Whether the session has ended, so that all waits fail.
+    pub(super) is_session_ended: bool,
 }
 
 impl Jobs {
-    /// Whether the job is known and has not ended.
-    pub(super) fn is_open(&self, id: &str) -> bool {
-        self.known.get(id).is_some_and(|job| job.ended.is_none())
+    /// Whether the job is in the table and has not ended.
+    pub(super) fn is_unfinished(&self, id: &str) -> bool {
+        self.by_id
+            .get(id)
+            .is_some_and(|job| job.final_info.is_none())
     }
 
-    /// The final state of a job that has ended.
+    /// Returns the final state of a job in the table; `None` if the job has not ended.
     pub(super) fn ended_state(&self, id: &str) -> Option<JobState> {
-        let info = self.known.get(id)?.ended.as_ref()?;
+        let info = self.by_id.get(id)?.final_info.as_ref()?;
         Some(info.job_state)
     }
 
-    /// The ids of the jobs that have not ended.
-    pub(super) fn open_ids(&self) -> Vec<String> {
-        let open = self.known.iter().filter(|(_, job)| job.ended.is_none());
-        open.map(|(id, _)| id.clone()).collect()
+    /// Returns the ids of the jobs that have not ended.
+    pub(super) fn unfinished_ids(&self) -> Vec<String> {
+        let unfinished = self
+            .by_id
+            .iter()
+            .filter(|(_, job)| job.final_info.is_none());
+        unfinished.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Takes the id of the job that ended first among those that were not reaped.
+    /// Removes and returns the id of the job that ended first among those that were not reaped.
     pub(super) fn pop_ended_id(&mut self) -> Option<String> {
-        while let Some(id) = self.ended.pop_front() {
-            if self.known.contains_key(&id) {
+        while let Some(id) = self.ended_ids.pop_front() {
+            if self.by_id.contains_key(&id) {
                 return Some(id);
             }
         }
         None
     }
 
-    /// Removes a job; none if it is not known or has not ended.
+    /// Removes a job from the table; returns `None` if it was not in the table or had not ended.
     pub(super) fn remove_ended(&mut self, id: &str) -> Option<EndedJob> {
-        let job = self.known.remove(id)?;
+        let job = self.by_id.remove(id)?;
         Some(EndedJob {
-            info: job.ended?,
+            info: job.final_info?,
             files: job.files,
         })
     }
 }
 
-/// The jobs of a session, with a notification of each change.
+/// The jobs of a session, with a condition variable that is notified when a job or the session ends.
 #[derive(Default)]
 pub(super) struct JobTable {
     jobs: Mutex<Jobs>,
@@ -86,10 +91,10 @@
         self.jobs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a change of any job, or until the deadline.
+    /// Waits until a job or the session ends, or until the deadline. May wake up spuriously.
     ///
     /// # Errors
-    /// `ExitTimeout` where the deadline has passed before the wait.
+    /// `ExitTimeout` if the deadline has passed before the call.
     pub(super) fn wait_for_change<'a>(
         &self,
         jobs: MutexGuard<'a, Jobs>,
@@ -107,20 +112,24 @@
         Ok(waited.unwrap_or_else(PoisonError::into_inner).0)
     }
 
-    /// Records the end of a job, unless it is recorded already or the job is not known.
+    /// Records the end of a job, unless it is already recorded or the job is not in the table.
     pub(super) fn record_end(&self, info: JobInfo) {
         let mut jobs = self.lock();
         let id = info.job_id.clone();
-        if let Some(job) = jobs.known.get_mut(&id).filter(|job| job.ended.is_none()) {
-            job.ended = Some(Box::new(info));
-            jobs.ended.push_back(id);
+        if let Some(job) = jobs
+            .by_id
+            .get_mut(&id)
+            .filter(|job| job.final_info.is_none())
+        {
+            job.final_info = Some(Box::new(info));
+            jobs.ended_ids.push_back(id);
             self.changed.notify_all();
         }
     }
 
-    /// Makes all waits fail, since the session ends.
+    /// Ends the session: all waits fail.
     pub(super) fn end_session(&self) {
-        self.lock().is_session_over = true;
+        self.lock().is_session_ended = true;
         self.changed.notify_all();
     }
 }
--- a/crates/drmaa/src/template.rs
+++ b/crates/drmaa/src/template.rs
@@ -1,27 +1,26 @@
-//! Job templates of DRMAA 1.0 (GFD.133), and the requests that they stand for.
+//! Job templates of DRMAA 1.0 (GFD.133) and their conversion to submission requests.
 
 use crate::errno::{Errno, Failure, Result};
-use crate::native::Native;
+use crate::native::NativeSpecification;
 use crate::times;
 use chrono::Local;
 use marbledeck_submission_client::Template as WireTemplate;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// The placeholder of the index of a job (GFD.133, `DRMAA_PLACEHOLDER_INCR`).
+/// Placeholder for the index of a job in a bulk job (GFD.133, `DRMAA_PLACEHOLDER_INCR`).
 pub const INDEX_PLACEHOLDER: &str = "$drmaa_incr_ph$";
 
-/// The placeholder of the home directory.
+/// Placeholder for the home directory (GFD.133, `DRMAA_PLACEHOLDER_HD`).
 const HOME_PLACEHOLDER: &str = "$drmaa_hd_ph$";
 
-/// The placeholder of the working directory.
-const DIRECTORY_PLACEHOLDER: &str = "$drmaa_wd_ph$";
+/// Placeholder for the working directory (GFD.133, `DRMAA_PLACEHOLDER_WD`).
+const WORKING_DIRECTORY_PLACEHOLDER: &str = "$drmaa_wd_ph$";
 
-/// The placeholder of the index in the submission protocol.
+/// Placeholder for the index in the submission protocol.
 const WIRE_INDEX_PLACEHOLDER: &str = "${PARAMETRIC_INDEX}";
 
-/// The attributes that hold one value. Only the last one is optional in DRMAA; the other optional ones
-/// are not supported.
+/// The scalar attributes. The last one is optional in DRMAA; the other optional attributes are not supported.
 pub const SCALAR_ATTRIBUTES: [&str; 13] = [
     "drmaa_remote_command",
     "drmaa_js_state",
@@ -38,75 +37,81 @@
     "drmaa_deadline_time",
 ];
 
-/// The attributes that hold a list.
+/// The vector attributes.
 pub const VECTOR_ATTRIBUTES: [&str; 3] = ["drmaa_v_argv", "drmaa_v_env", "drmaa_v_email"];
 
-/// A job template with the attributes that were set so far.
+/// A job template: the attributes that are set.
 #[derive(Clone, Debug, Default)]
 pub struct Template {
     scalars: BTreeMap<&'static str, String>,
     vectors: BTreeMap<&'static str, Vec<String>>,
 }
 
-/// The request that a template stands for.
+/// The submission request for a template.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct JobRequest {
     /// The template of the submission protocol.
     pub template: WireTemplate,
-    /// How many jobs of a bulk may run at a time.
+    /// Maximum number of jobs of a bulk job that run at the same time.
     pub max_parallel: Option<u32>,
-    /// The file for the result of the job; may hold the placeholder of the index.
+    /// Path of the file for the result of the job; may contain the index placeholder.
     pub output_path: Option<String>,
-    /// The file for the message of a failure; may hold the placeholder of the index.
+    /// Path of the file for the error message of a failed job; may contain the index placeholder.
     pub error_path: Option<String>,
 }
 
-/// The attribute of this name.
+/// Looks up an attribute by name.
 fn find_attribute<const N: usize>(names: [&'static str; N], name: &str) -> Result<&'static str> {
     let found = names.into_iter().find(|known| *known == name);
-    found.ok_or_else(|| Failure::new(Errno::InvalidArgument, format!("no such attribute: {name}")))
+    found.ok_or_else(|| Failure::new(Errno::InvalidArgument, format!("unknown attribute: {name}")))
 }
 
-/// Parses a path of DRMAA, `[host]:path`. The host must be the machine that the library runs on.
+/// Parses a DRMAA path, `[host]:path`. The host must be empty or `localhost`, since files are accessed on this machine.
 fn parse_path(name: &str, text: &str) -> Result<String> {
     match text.split_once(':') {
         Some(("" | "localhost", path)) if !path.is_empty() => Ok(path.to_owned()),
         Some(_) => {
-            let message = format!("{name}: '{text}': want [localhost]:path, on this machine");
+            let message = format!(
+                "{name}: invalid path '{text}': expected [localhost]:path, \
+                 since files are accessed on this machine"
+            );
             Err(Failure::new(Errno::InvalidAttributeFormat, message))
         }
         None => {
-            let message = format!("{name}: '{text}': want [host]:path");
+            let message = format!("{name}: invalid path '{text}': expected [localhost]:path");
             Err(Failure::new(Errno::InvalidAttributeFormat, message))
         }
     }
 }
 
 impl Template {
-    /// Sets an attribute.
+    /// Sets a scalar attribute.
     ///
     /// # Errors
-    /// An attribute that does not exist, or a value that it cannot have.
+    /// An unknown attribute, or a value that is invalid for it.
     pub fn set(&mut self, name: &str, value: &str) -> Result<()> {
         let name = find_attribute(SCALAR_ATTRIBUTES, name)?;
         let check_one_of = |allowed: &[&str]| {
             if allowed.contains(&value) {
                 return Ok(());
             }
-            let message = format!("{name}: '{value}': want {}", allowed.join(" or "));
+            let message = format!(
+                "{name}: invalid value '{value}': expected {}",
+                allowed.join(" or ")
+            );
             Err(Failure::new(Errno::InvalidAttributeValue, message))
         };
         match name {
             "drmaa_js_state" => check_one_of(&["drmaa_active", "drmaa_hold"])?,
             "drmaa_block_email" => check_one_of(&["0", "1"])?,
             "drmaa_join_files" => check_one_of(&["y", "n"])?,
-            "drmaa_start_time" | "drmaa_deadline_time" => drop(times::read(value, Local::now())?),
-            "drmaa_native_specification" => drop(Native::read(value)?),
+            "drmaa_start_time" | "drmaa_deadline_time" => drop(times::parse(value, Local::now())?),
+            "drmaa_native_specification" => drop(NativeSpecification::parse(value)?),
             "drmaa_input_path" | "drmaa_output_path" | "drmaa_error_path" => {
                 parse_path(name, value)?;
             }
             "drmaa_wd" if !value.starts_with(['/', '$']) => {
-                let message = format!("{name}: '{value}': want an absolute path");
+                let message = format!("{name}: invalid value '{value}': expected an absolute path");
                 return Err(Failure::new(Errno::InvalidAttributeFormat, message));
             }
             _ => {}
@@ -115,10 +120,10 @@
         Ok(())
     }
 
-    /// The value of an attribute.
+    /// Returns the value of a scalar attribute.
     ///
     /// # Errors
-    /// An attribute that does not exist, or has no value.
+    /// An attribute that is unknown or not set.
     pub fn get(&self, name: &str) -> Result<&str> {
         let name = find_attribute(SCALAR_ATTRIBUTES, name)?;
         let value = self.scalars.get(name).map(String::as_str);
@@ -126,15 +131,15 @@
             .ok_or_else(|| Failure::new(Errno::InvalidAttributeValue, format!("{name} is not set")))
     }
 
-    /// Sets an attribute that holds a list.
+    /// Sets a vector attribute.
     ///
     /// # Errors
-    /// An attribute that does not exist, or a value that it cannot have.
+    /// An unknown attribute, or a value that is invalid for it.
     pub fn set_vector(&mut self, name: &str, values: Vec<String>) -> Result<()> {
         let name = find_attribute(VECTOR_ATTRIBUTES, name)?;
         if name == "drmaa_v_env" {
             if let Some(value) = values.iter().find(|value| !value.contains('=')) {
-                let message = format!("{name}: '{value}': want name=value");
+                let message = format!("{name}: invalid element '{value}': expected name=value");
                 return Err(Failure::new(Errno::InvalidAttributeFormat, message));
             }
         }
@@ -142,10 +147,10 @@
         Ok(())
     }
 
-    /// The list of an attribute.
+    /// Returns the value of a vector attribute.
     ///
     /// # Errors
-    /// An attribute that does not exist, or has no value.
+    /// An attribute that is unknown or not set.
     pub fn get_vector(&self, name: &str) -> Result<&[String]> {
         let name = find_attribute(VECTOR_ATTRIBUTES, name)?;
         let values = self.vectors.get(name).map(Vec::as_slice);
@@ -153,42 +158,48 @@
             .ok_or_else(|| Failure::new(Errno::InvalidAttributeValue, format!("{name} is not set")))
     }
 
-    /// The directory that relative paths start from.
+    /// The working directory: `drmaa_wd`, or that of the process. Relative paths are resolved against it.
     fn working_directory(&self) -> Result<PathBuf> {
         match self.scalars.get("drmaa_wd") {
             Some(wd) if wd.contains(INDEX_PLACEHOLDER) => {
-                let message = "drmaa_wd: the index cannot stand there";
+                let message =
+                    "drmaa_wd: the index placeholder is not supported in the working directory";
                 Err(Failure::new(Errno::InvalidAttributeValue, message))
             }
             Some(wd) => Ok(PathBuf::from(
                 wd.replace(HOME_PLACEHOLDER, &home_directory()),
             )),
             None => std::env::current_dir().map_err(|error| {
-                Failure::new(Errno::Internal, format!("the working directory: {error}"))
+                Failure::new(
+                    Errno::Internal,
+                    format!("cannot determine the working directory: {error}"),
+                )
             }),
         }
     }
 
-    /// The absolute path in an attribute, still with the placeholder of the index.
+    /// The absolute path in an attribute; the index placeholder is not replaced.
     fn absolute_path(&self, name: &str) -> Result<Option<String>> {
         let Some(text) = self.scalars.get(name) else {
             return Ok(None);
         };
         let directory = self.working_directory()?;
         let path = parse_path(name, text)?.replace(HOME_PLACEHOLDER, &home_directory());
-        let path = path.replace(DIRECTORY_PLACEHOLDER, &directory.to_string_lossy());
+        let path = path.replace(WORKING_DIRECTORY_PLACEHOLDER, &directory.to_string_lossy());
         Ok(Some(directory.join(path).to_string_lossy().into_owned()))
     }
 
-    /// The request that this template stands for. `is_bulk` says whether the jobs have an index.
+    /// Converts this template to a submission request. `is_bulk` is set for a bulk job, whose jobs have an index.
     ///
     /// # Errors
-    /// Names the attribute that cannot be honoured.
-    pub fn to_request(&self, defaults: &Native, is_bulk: bool) -> Result<JobRequest> {
+    /// An error that names the attribute that is missing, invalid or not supported.
+    pub fn to_request(&self, defaults: &NativeSpecification, is_bulk: bool) -> Result<JobRequest> {
         let native = self
             .scalar("drmaa_native_specification")
-            .map_or(Ok(Native::default()), |text| Native::read(text))?
-            .or(defaults);
+            .map_or(Ok(NativeSpecification::default()), |text| {
+                NativeSpecification::parse(text)
+            })?
+            .with_defaults(defaults);
         let Some(command) = self.scalar("drmaa_remote_command") else {
             return Err(Failure::new(
                 Errno::InvalidAttributeValue,
@@ -199,7 +210,9 @@
         let max_parallel = native.max_parallel;
         let mut wire = self.wire_template(command, native, is_bulk)?;
         if wire.job_category.is_empty() {
-            let message = "want a class: drmaa_job_category, or class=NAME in the native specification or the contact";
+            let message =
+                "no job class: set drmaa_job_category, or class=NAME in the native specification \
+                           or the contact string";
             return Err(Failure::new(Errno::InvalidAttributeValue, message));
         }
         self.set_input(&mut wire, is_bulk)?;
@@ -217,42 +230,47 @@
         })
     }
 
-    /// The value of an attribute that holds one value.
+    /// The value of a scalar attribute, if it is set.
     fn scalar(&self, name: &str) -> Option<&String> {
         self.scalars.get(name)
     }
 
-    /// Whether an attribute has this value.
+    /// Whether a scalar attribute is set to this value.
     fn scalar_is(&self, name: &str, value: &str) -> bool {
         self.scalar(name).is_some_and(|text| text == value)
     }
 
-    /// The list of an attribute, unless it is empty.
+    /// The value of a vector attribute, if it is set and not empty.
     fn nonempty_vector(&self, name: &str) -> Option<&Vec<String>> {
         self.vectors.get(name).filter(|values| !values.is_empty())
     }
 
-    /// Rejects lists that the node cannot honour: an environment, and e-mail addresses that are not blocked.
+    /// Rejects unsupported vector attributes: a job environment, and e-mail addresses unless e-mail is blocked.
     fn check_unsupported_vectors(&self) -> Result<()> {
         if self.nonempty_vector("drmaa_v_env").is_some() {
             let message =
-                "drmaa_v_env: render workers are asked for a path and have no environment for it";
+                "drmaa_v_env: not supported: a job is an HTTP request to a worker and has no environment";
             return Err(Failure::new(Errno::DeniedByDrm, message));
         }
         let is_blocked = self.scalar_is("drmaa_block_email", "1");
         if !is_blocked && self.nonempty_vector("drmaa_v_email").is_some() {
-            let message =
-                "drmaa_v_email: no e-mail is sent; set drmaa_block_email to 1 to go without";
+            let message = "drmaa_v_email: not supported: no e-mail is sent; \
+                           set drmaa_block_email to 1 to submit the job without it";
             return Err(Failure::new(Errno::DeniedByDrm, message));
         }
         Ok(())
     }
 
-    /// The template of the submission protocol, without arguments or input.
-    fn wire_template(&self, command: &str, native: Native, is_bulk: bool) -> Result<WireTemplate> {
+    /// Creates the template of the submission protocol, without arguments and input.
+    fn wire_template(
+        &self,
+        command: &str,
+        native: NativeSpecification,
+        is_bulk: bool,
+    ) -> Result<WireTemplate> {
         let timestamp_ms = |name: &str| {
             self.scalar(name)
-                .map(|text| times::read(text, Local::now()))
+                .map(|text| times::parse(text, Local::now()))
                 .transpose()
         };
         Ok(WireTemplate {
@@ -281,12 +299,12 @@
         })
     }
 
-    /// Sets the input of the job: its arguments, or the content of the input file.
+    /// Sets the job's arguments or its input, the content of the input file. Only one of them can be sent.
     fn set_input(&self, wire: &mut WireTemplate, is_bulk: bool) -> Result<()> {
         let args = self.nonempty_vector("drmaa_v_argv");
         match (args, self.absolute_path("drmaa_input_path")?) {
             (Some(_), Some(_)) => {
-                let message = "drmaa_v_argv and drmaa_input_path: both would be the input";
+                let message = "drmaa_v_argv and drmaa_input_path exclude each other: both are sent as the input of the job";
                 return Err(Failure::new(Errno::ConflictingAttributeValues, message));
             }
             (Some(args), None) => {
@@ -294,12 +312,13 @@
                 wire.args = Some(args.collect());
             }
             (None, Some(file)) if file.contains(INDEX_PLACEHOLDER) => {
-                let message = "drmaa_input_path: the jobs of a bulk share their input: no index can stand there";
+                let message = "drmaa_input_path: the index placeholder is not supported: \
+                               the jobs of a bulk job share one input";
                 return Err(Failure::new(Errno::InvalidAttributeValue, message));
             }
             (None, Some(file)) => {
                 let bytes = std::fs::read(&file).map_err(|error| {
-                    let message = format!("drmaa_input_path: {file}: {error}");
+                    let message = format!("drmaa_input_path: cannot read {file}: {error}");
                     Failure::new(Errno::InvalidAttributeValue, message)
                 })?;
                 wire.set_input(bytes);
@@ -310,12 +329,12 @@
     }
 }
 
-/// The home directory of the user.
+/// The user's home directory: the variable `HOME`, or `/` if it is not set.
 fn home_directory() -> String {
     std::env::var("HOME").unwrap_or_else(|_| "/".to_owned())
 }
 
-/// Replaces the placeholder of the index by that of the submission protocol, where the jobs have an index.
+/// Replaces the index placeholder of DRMAA by that of the submission protocol, if this is a bulk job.
 fn with_wire_index(text: &str, is_bulk: bool) -> String {
     if is_bulk {
         text.replace(INDEX_PLACEHOLDER, WIRE_INDEX_PLACEHOLDER)
--- a/crates/drmaa/src/template/tests.rs
+++ b/crates/drmaa/src/template/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the module `template`.
+//! Unit tests of job templates.
 
 use super::*;
 
-fn set(pairs: &[(&str, &str)]) -> Template {
+fn template_with(pairs: &[(&str, &str)]) -> Template {
     let mut template = Template::default();
     for (name, value) in pairs {
         template.set(name, value).unwrap();
@@ -11,8 +11,8 @@
 }
 
 #[test]
-fn template_becomes_a_request() {
-    let mut template = set(&[
+fn template_is_converted_to_a_request() {
+    let mut template = template_with(&[
         ("drmaa_remote_command", "/frame?n=$drmaa_incr_ph$"),
         (
             "drmaa_native_specification",
@@ -27,7 +27,9 @@
     template
         .set_vector("drmaa_v_argv", vec!["$drmaa_incr_ph$".into()])
         .unwrap();
-    let request = template.to_request(&Native::default(), true).unwrap();
+    let request = template
+        .to_request(&NativeSpecification::default(), true)
+        .unwrap();
     assert_eq!(
         request.template.remote_command,
         "/frame?n=${PARAMETRIC_INDEX}"
@@ -55,7 +57,7 @@
 }
 
 #[test]
-fn bad_attributes_are_rejected_by_name() {
+fn invalid_attributes_are_rejected_by_name() {
     let mut template = Template::default();
     let errno = |result: Result<()>| result.unwrap_err().errno;
     assert_eq!(
@@ -82,7 +84,11 @@
         errno(template.set_vector("drmaa_v_env", vec!["x".into()])),
         Errno::InvalidAttributeFormat
     );
-    let failure = |template: &Template| template.to_request(&Native::default(), false).unwrap_err();
+    let failure = |template: &Template| {
+        template
+            .to_request(&NativeSpecification::default(), false)
+            .unwrap_err()
+    };
     assert!(failure(&template).message.contains("drmaa_remote_command"));
     template.set("drmaa_remote_command", "/x").unwrap();
     assert!(failure(&template).message.contains("class"));
@@ -92,5 +98,7 @@
         .unwrap();
     assert!(failure(&template).message.contains("drmaa_v_email"));
     template.set("drmaa_block_email", "1").unwrap();
-    assert!(template.to_request(&Native::default(), false).is_ok());
+    assert!(template
+        .to_request(&NativeSpecification::default(), false)
+        .is_ok());
 }
--- a/crates/drmaa/tests/programs.rs
+++ b/crates/drmaa/tests/programs.rs
@@ -1,12 +1,13 @@
-//! Programs that use the library against a node with simulated neighbours: one in C, and the examples of an unmodified
-//! Python binding.
+//! Programs that use `libdrmaa.so` against a node with a stub registry and stub workers: a C program, and the examples
+//! of an unmodified Python binding.
 
 use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment, WorkerStub};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::time::Duration;
 
-/// Starts a node whose workers serve `/slow` late, fail `/failing`, and serve all else at once.
+/// Starts a node whose workers serve `/slow` after five seconds, fail `/failing`, and serve any other target after a
+/// few milliseconds.
 fn start_environment() -> TestEnvironment {
     let environment = TestEnvironment::start(EnvironmentOptions::default());
     for worker in &environment.workers {
@@ -19,17 +20,19 @@
     environment
 }
 
-/// The library that was built with these tests.
+/// Path of the library that was built with these tests.
 fn library_path() -> PathBuf {
     let executable = std::env::current_exe().unwrap();
     let directories = executable.ancestors().skip(1).take(2);
     let mut found = directories
         .map(|directory| directory.join("libdrmaa.so"))
         .filter(|path| path.is_file());
-    found.next().expect("built with these tests")
+    found
+        .next()
+        .expect("libdrmaa.so is next to the test binary")
 }
 
-/// Checks that a program succeeded; returns its standard output.
+/// Asserts that a program succeeded and returns its standard output.
 fn expect_success(program: &str, output: Output) -> String {
     let (out, err) = (
         String::from_utf8_lossy(&output.stdout),
@@ -59,8 +62,8 @@
     run.arg(&environment.submission_address)
         .arg(environment.folder());
     let out = expect_success("session", run.output().unwrap());
-    assert_eq!(out, "all steps\n");
-    // Each job ran as often as it was submitted.
+    assert_eq!(out, "all steps passed\n");
+    // Each job ran exactly as often as it was submitted.
     let started: Vec<String> = environment
         .workers
         .iter()
@@ -75,12 +78,12 @@
     assert_eq!(started.iter().filter(|t| t.starts_with("/n/")).count(), 305);
 }
 
-/// The examples that come with the binding, unmodified, except that `time.sleep` returns at once.
-/// `make binding` fetches the binding; MARBLEDECK_BINDING names its directory.
+/// Runs the unmodified examples of the Python binding, with `time.sleep` replaced by a function that returns at once.
+/// `make binding` fetches the binding; the variable MARBLEDECK_BINDING names its directory.
 #[test]
 fn examples_of_the_python_binding_succeed() {
     let Some(binding) = std::env::var_os("MARBLEDECK_BINDING").map(PathBuf::from) else {
-        return eprintln!("not run: `make test` fetches the binding");
+        return eprintln!("test skipped: MARBLEDECK_BINDING is not set; `make test` fetches the binding and sets it");
     };
     let environment = start_environment();
     let examples = binding.join("examples");
@@ -107,11 +110,11 @@
         assert!(!out.is_empty(), "{}", file.display());
         ran += 1;
     }
-    assert!(ran >= 10, "{ran} examples");
+    assert!(ran >= 10, "only {ran} examples were found");
     let started: usize = environment
         .workers
         .iter()
         .map(|w| w.started_jobs().len())
         .sum();
-    assert!(started >= 50, "{started} jobs ran");
+    assert!(started >= 50, "only {started} jobs were started");
 }
