--- a/crates/node/src/consensus/applied.rs
+++ b/crates/node/src/consensus/applied.rs
@@ -1,4 +1,4 @@
-//! What the records mean to this node: rate limits, workers out of service, licence seats.
+//! Puts the agreed records into effect at this node: rate limits, workers out of service, and licence seats.
 
 use crate::context::Context;
 use marbledeck_consensus::{LeasedReader, Record, RecordBody, RecordValidity};
@@ -7,64 +7,65 @@
 use marbledeck_membership::{MembershipChange, SourceId, SourceReport, Status};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The record of the workers that are out of service.
+/// The record that lists the workers out of service.
 const OUT_OF_SERVICE_RECORD: &str = "workers/out";
-/// The record of the tenants' rates.
+/// The record with the tenants' rate limits.
 const RATES_RECORD: &str = "settings/rates";
-/// What the names of the records of licence pools begin with.
+/// Prefix of the records of licence pools.
 const POOL_PREFIX: &str = "seats/";
-/// The name of the membership source that stands for the records.
+/// The membership source that reports workers out of service by the records.
 const SOURCE_NAME: &str = "agreement";
 
-/// Requests a second, by tenant.
+/// Requests per second, by tenant.
 type Rates = BTreeMap<String, f64>;
 
-/// What of the records this node acts on already.
+/// What this node last applied of the records.
 #[derive(Default)]
 pub struct AppliedRecords {
-    /// How many readings there were when the records were last looked at.
-    readings: u64,
-    /// Whether there was a valid reading then.
-    was_valid: bool,
-    /// When what is in force may change by itself.
+    /// The read count when the records were last applied.
+    read_count: u64,
+    /// Whether the node had a valid lease then.
+    had_lease: bool,
+    /// When the lease expires or an exclusive record becomes active, whichever is first.
     next_change: Option<Micros>,
     source: Option<SourceId>,
     out_of_service: BTreeSet<String>,
-    /// The tenants' rates as the platform's settings have them.
+    /// The tenants' rate limits from the platform settings, in the order of the tenants.
     default_rates: Option<Vec<Option<f64>>>,
-    /// The tenants' rates as they were set last.
+    /// The tenants' rate limits that were set last.
     applied_rates: Option<Vec<Option<f64>>>,
 }
 
 impl AppliedRecords {
-    /// When what is in force may change by itself: a reading runs out, or an exclusive record comes into force.
+    /// When the records must be applied again without a new read: the lease expires, or an exclusive record becomes
+    /// active.
     pub fn next_wake(&self) -> Option<Micros> {
         self.next_change
     }
 
-    /// Brings the node in line with what it may act on now.
+    /// Applies the records, if a read, the lease or the time has changed what the node may act on.
     pub fn apply(&mut self, now: Micros, context: &mut Context) {
         let Some(reader) = &context.records.reader else {
             return;
         };
-        let is_valid = reader.has_lease(now);
-        let is_due = self.next_change.is_some_and(|due| now >= due);
-        let is_new = context.records.readings != self.readings;
-        if !is_new && is_valid == self.was_valid && !is_due {
+        let has_lease = reader.has_lease(now);
+        let change_is_due = self.next_change.is_some_and(|due| now >= due);
+        let has_new_read = context.records.read_count != self.read_count;
+        if !has_new_read && has_lease == self.had_lease && !change_is_due {
             return;
         }
-        self.log_validity(is_valid, reader);
-        self.readings = context.records.readings;
-        self.was_valid = is_valid;
-        let valid_until = Some(reader.lease_expiry()).filter(|expiry| *expiry > now);
-        self.next_change = valid_until
+        self.log_lease_change(has_lease, reader);
+        self.read_count = context.records.read_count;
+        self.had_lease = has_lease;
+        let lease_expiry = Some(reader.lease_expiry()).filter(|expiry| *expiry > now);
+        self.next_change = lease_expiry
             .into_iter()
             .chain(reader.next_activation(now))
             .min();
         let out_of_service = self.out_of_service_by_records(now, reader);
         let rates = rates_by_records(now, reader);
-        if is_new || is_due {
-            pass_on_seats(now, context);
+        if has_new_read || change_is_due {
+            update_seat_allocator(now, context);
         }
         if let Some(rates) = rates {
             self.apply_rates(now, &rates, context);
@@ -72,24 +73,27 @@
         self.apply_out_of_service(now, out_of_service, context);
     }
 
-    fn log_validity(&self, is_valid: bool, reader: &LeasedReader) {
-        if self.was_valid && !is_valid {
-            log::warn!("agreement: no voter has confirmed this node's reading; the records' fallbacks hold");
-        } else if is_valid && !self.was_valid {
-            log::info!("agreement: revision {} confirmed", reader.revision());
+    fn log_lease_change(&self, has_lease: bool, reader: &LeasedReader) {
+        if self.had_lease && !has_lease {
+            log::warn!("agreement: this node has no valid lease on the records any more; applying their fallbacks until a voter confirms one");
+        } else if has_lease && !self.had_lease {
+            log::info!(
+                "agreement: a voter has confirmed the records up to revision {}",
+                reader.revision()
+            );
         }
     }
 
-    /// The workers that are out of service. Where the list may have changed, nobody goes back in before the new one is
-    /// in force.
+    /// The workers that are out of service. Where the list may have changed, no worker returns to service before the new
+    /// list is active.
     fn out_of_service_by_records(&self, now: Micros, reader: &LeasedReader) -> BTreeSet<String> {
         match reader.validity(now, OUT_OF_SERVICE_RECORD) {
             RecordValidity::Active(record) => {
-                out_of_service_in(record).cloned().unwrap_or_default()
+                out_of_service_list(record).cloned().unwrap_or_default()
             }
             RecordValidity::Unconfirmed { latest, previous } => {
                 let both = [Some(latest), previous];
-                let lists = both.into_iter().flatten().filter_map(out_of_service_in);
+                let lists = both.into_iter().flatten().filter_map(out_of_service_list);
                 lists.flatten().cloned().collect()
             }
             RecordValidity::Pending => self.out_of_service.clone(),
@@ -102,7 +106,7 @@
             .default_rates
             .get_or_insert_with(|| context.core.quotas());
         let tenants = context.core.names().tenants().iter();
-        // Whom the record does not name, or no more, has what the settings give.
+        // The rate of the settings applies to a tenant that the record does not name.
         let quotas: Vec<Option<f64>> = tenants
             .zip(&*default_rates)
             .map(|(tenant, default_rate)| rates.get(tenant).copied().or(*default_rate))
@@ -113,8 +117,13 @@
         }
     }
 
-    fn apply_out_of_service(&mut self, now: Micros, out: BTreeSet<String>, context: &mut Context) {
-        if out == self.out_of_service {
+    fn apply_out_of_service(
+        &mut self,
+        now: Micros,
+        listed: BTreeSet<String>,
+        context: &mut Context,
+    ) {
+        if listed == self.out_of_service {
             return;
         }
         let members = &mut context.fleet.members;
@@ -122,7 +131,7 @@
             .source
             .get_or_insert_with(|| members.add_source(SOURCE_NAME, None));
         let mut change = MembershipChange::default();
-        for id in out.difference(&self.out_of_service) {
+        for id in listed.difference(&self.out_of_service) {
             let report = SourceReport {
                 id: id.clone(),
                 status: Status::OutOfService,
@@ -130,72 +139,72 @@
             };
             change.append(members.apply_report(now, source, report));
         }
-        for id in self.out_of_service.difference(&out) {
+        for id in self.out_of_service.difference(&listed) {
             change.append(members.remove_worker(now, source, id, true));
         }
-        self.out_of_service = out;
+        self.out_of_service = listed;
         context.fleet.apply_change(now, change, &mut context.core);
     }
 }
 
-fn out_of_service_in(record: &Record) -> Option<&BTreeSet<String>> {
+fn out_of_service_list(record: &Record) -> Option<&BTreeSet<String>> {
     match &record.body {
-        Some(RecordBody::OutOfService(out)) => Some(out),
+        Some(RecordBody::OutOfService(listed)) => Some(listed),
         _ => None,
     }
 }
 
-/// The rates to act on; none where those of before stay.
+/// The rates to apply; `None` to keep the applied ones.
 fn rates_by_records(now: Micros, reader: &LeasedReader) -> Option<Rates> {
     match reader.validity(now, RATES_RECORD) {
         RecordValidity::Active(record)
         | RecordValidity::Unconfirmed {
             latest: record,
             previous: None,
-        } => Some(rates_in(record)),
+        } => Some(rates_of(record)),
         RecordValidity::Unconfirmed {
             latest,
             previous: Some(previous),
-        } => Some(stricter(rates_in(latest), &rates_in(previous))),
+        } => Some(lower_rates(rates_of(latest), &rates_of(previous))),
         RecordValidity::Pending | RecordValidity::Unknown => None,
     }
 }
 
-fn rates_in(record: &Record) -> Rates {
+fn rates_of(record: &Record) -> Rates {
     match &record.body {
         Some(RecordBody::Rates(rates)) => rates.per_s.clone(),
         _ => Rates::new(),
     }
 }
 
-/// The stricter of two: what either names, at the lower rate.
-fn stricter(mut rates: Rates, others: &Rates) -> Rates {
-    for (tenant, other) in others {
+/// The tenants that either names, at the lower rate.
+fn lower_rates(mut rates: Rates, other_rates: &Rates) -> Rates {
+    for (tenant, other) in other_rates {
         let rate = rates.entry(tenant.clone()).or_insert(*other);
         *rate = rate.min(*other);
     }
     rates
 }
 
-/// Passes on to licensing which seats this node has, and for how long.
-fn pass_on_seats(now: Micros, context: &mut Context) {
+/// Tells the seat allocator which seats this node holds, and until when.
+fn update_seat_allocator(now: Micros, context: &mut Context) {
     let (Some(reader), Some(licensing)) =
         (&context.records.reader, context.core.licensing.as_mut())
     else {
         return;
     };
-    let answer = &context.records.answer;
+    let response = &context.records.response;
     licensing.allocator.apply_confirmed(&ConfirmedSeats {
-        free_seats: answer.free_seats.clone(),
+        free_seats: response.free_seats.clone(),
         lease_expiry: reader.lease_expiry(),
-        last_applied_command: answer.last_seat_operation,
-        allocations: answer.held_seats(),
-        pools: pools_in_force(now, reader),
+        last_applied_command: response.last_seat_operation,
+        allocations: response.held_seats(),
+        pools: active_pools(now, reader),
     });
 }
 
-/// The licence pools, and how long an attempt under each may run.
-fn pools_in_force(now: Micros, reader: &LeasedReader) -> Vec<(String, Micros)> {
+/// The active licence pools, with the longest run of an attempt under each.
+fn active_pools(now: Micros, reader: &LeasedReader) -> Vec<(String, Micros)> {
     let pool = |record: &str| match reader.validity(now, record) {
         RecordValidity::Active(Record {
             body: Some(RecordBody::Pool(pool)),
--- a/crates/node/src/consensus/config.rs
+++ b/crates/node/src/consensus/config.rs
@@ -1,4 +1,4 @@
-//! The settings of consensus: who votes, and which node this one is.
+//! The settings of consensus: the fleet, its voters, and the number of this node.
 
 use crate::config_error::ConfigError;
 use crate::config_file::{check_ranges, milliseconds, parse_address, RangeCheck};
@@ -8,22 +8,22 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 
-/// The rates of two clocks differ by no more than this part; `docs/design/agreement.md`.
+/// The largest relative difference between the rates of two clocks; see `docs/design/agreement.md`.
 const CLOCK_DRIFT: f64 = 0.01;
-/// An election takes at most twenty ticks. A lease must be longer by a margin, or the fleet would be without rules
-/// during each election.
+/// The shortest lease in ticks. An election takes at most 20 ticks; if a lease did not outlast it by a margin, all leases
+/// would expire during each election.
 const MIN_TICKS_PER_LEASE: usize = 30;
-/// How often a node asks for a reading in the time of one lease.
-const POLLS_PER_LEASE: u64 = 6;
-/// The part of a lease that a voter may take for an answer, so that another can be asked in time.
-const ANSWERS_PER_LEASE: u64 = 3;
-/// The largest fleet. A voter holds a descriptor for each of its nodes.
+/// How often a node queries a voter during one lease.
+const QUERIES_PER_LEASE: u64 = 6;
+/// How many query timeouts fit into one lease, so that other voters can be queried before it expires.
+const QUERY_TIMEOUTS_PER_LEASE: u64 = 3;
+/// The largest number of nodes. A voter needs a file descriptor for each of them.
 const MAX_NODES: usize = 900;
-const MAX_FLEET_NAME: usize = 128;
-/// Descriptors that consensus holds besides its connections.
-const OWN_DESCRIPTORS: usize = 4;
+const MAX_FLEET_NAME_LENGTH: usize = 128;
+/// File descriptors that consensus needs besides its connections.
+const BASE_DESCRIPTORS: usize = 4;
 
-/// The part `[agreement]` of the operator file, as it is written.
+/// The section `[agreement]` of the operator file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ConsensusSection {
@@ -40,7 +40,7 @@
     tick_ms: usize,
 }
 
-/// One part `[[agreement.voters]]`, as it is written.
+/// One section `[[agreement.voters]]`, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct VoterSection {
@@ -56,71 +56,75 @@
     100
 }
 
-/// A voter.
+/// One voter of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterConfig {
-    /// Its number as a node and as a voter.
+    /// Its number, both as a node and as a voter.
     pub number: u64,
-    /// Where it takes connections.
+    /// The address on which it accepts connections of nodes.
     pub address: SocketAddr,
 }
 
-/// Who votes, and which node this one is.
+/// The validated settings of consensus.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConsensusConfig {
-    /// The name of the fleet: nodes of another one are rejected.
+    /// The name of the fleet. Nodes of another fleet are rejected.
     pub fleet: String,
     /// This node's number.
     pub node: u32,
-    /// How many nodes there are: their numbers are 1 to this.
+    /// The number of nodes, which are numbered from 1.
     pub nodes: u32,
     /// The addresses that nodes connect from.
     pub from: Vec<IpAddr>,
-    /// Those that vote.
+    /// The voters of the fleet.
     pub voters: Vec<VoterConfig>,
-    /// Where a voter writes what it must not forget; empty for a node that does not vote.
+    /// The path of a voter's store; empty for a node that does not vote.
     pub store: PathBuf,
-    /// The leases' terms.
+    /// The duration of leases and the assumed clock drift.
     pub terms: LeaseTerms,
-    /// The voters' step of time.
+    /// The interval between ticks of a voter.
     pub tick: Micros,
 }
 
 impl ConsensusConfig {
-    /// How often a node asks for a reading.
-    pub fn poll_interval(&self) -> Micros {
-        Micros(self.terms.duration.0 / POLLS_PER_LEASE)
+    /// The interval between a node's queries.
+    pub fn query_interval(&self) -> Micros {
+        Micros(self.terms.duration.0 / QUERIES_PER_LEASE)
     }
 
-    /// How long a voter may take for an answer.
-    pub fn answer_timeout(&self) -> Micros {
-        Micros(self.terms.duration.0 / ANSWERS_PER_LEASE)
+    /// The timeout of a query.
+    pub fn query_timeout(&self) -> Micros {
+        Micros(self.terms.duration.0 / QUERY_TIMEOUTS_PER_LEASE)
     }
 
-    /// How many connections a voter accepts: one of each node, and two of each voter.
+    /// The most connections that a voter accepts: one from each node, and two more from each voter.
     pub fn max_accepted(&self) -> usize {
         self.nodes as usize + 2 * self.voters.len()
     }
 
-    /// How many descriptors consensus may hold.
+    /// The most file descriptors that consensus needs.
     pub fn descriptors(&self) -> usize {
-        let accepted = if self.votes() { self.max_accepted() } else { 0 };
-        self.voters.len() + OWN_DESCRIPTORS + accepted
+        let accepted = if self.is_voting() {
+            self.max_accepted()
+        } else {
+            0
+        };
+        self.voters.len() + BASE_DESCRIPTORS + accepted
     }
 
     /// Whether this node is one of the voters.
-    fn votes(&self) -> bool {
+    fn is_voting(&self) -> bool {
         is_voter(&self.voters, self.node)
     }
 }
 
 impl ConsensusSection {
-    /// Checks the values; `source` names the file and the part.
+    /// Validates the values; `source` names the file and the section.
     ///
     /// # Errors
-    /// The first key whose value is wrong.
+    /// The first key with an invalid value.
     pub(crate) fn check(self, source: &str) -> Result<ConsensusConfig, ConfigError> {
-        self.check_figures(source)?;
+        self.check_values(source)?;
         let from = parse_ips(source, &self.from)?;
         let voters = parse_voters(source, self.voters, self.nodes)?;
         let store = match self.store {
@@ -146,7 +150,7 @@
         })
     }
 
-    fn check_figures(&self, source: &str) -> Result<(), ConfigError> {
+    fn check_values(&self, source: &str) -> Result<(), ConfigError> {
         let checks = [
             RangeCheck::new("nodes", self.nodes as usize, 1, MAX_NODES),
             RangeCheck::new("node", self.node as usize, 1, self.nodes as usize),
@@ -158,7 +162,7 @@
             let key = format!("{source}: lease_ms");
             return Err(ConfigError::new(key, "want 30 times tick_ms or more"));
         }
-        if self.fleet.is_empty() || self.fleet.len() > MAX_FLEET_NAME {
+        if self.fleet.is_empty() || self.fleet.len() > MAX_FLEET_NAME_LENGTH {
             let key = format!("{source}: fleet");
             return Err(ConfigError::new(key, "want a name of 1 to 128 bytes"));
         }
--- a/crates/node/src/consensus/connections.rs
+++ b/crates/node/src/consensus/connections.rs
@@ -1,4 +1,4 @@
-//! The connections between nodes and voters.
+//! Opens, accepts and closes the connections between nodes and voters.
 
 use super::voting::Voting;
 use super::Consensus;
@@ -7,36 +7,36 @@
 use marbledeck_consensus::wire::{self, Frame, NodeMessage};
 use marbledeck_dispatcher::Micros;
 
-/// What a connection to or from a voter may hold each way, in bytes: a frame, and the beginning of the next.
+/// The buffer of a connection to or from a voter, in bytes, for each direction: one frame and the start of the next.
 pub(super) const VOTER_BUFFER: usize = wire::MAX_FRAME_BYTES + FRAME_MARGIN;
-/// What a connection that a node has made may hold.
+/// The buffer of a connection from a node that does not vote, in bytes.
 pub(super) const NODE_BUFFER: usize = wire::MAX_REQUEST_BYTES + FRAME_MARGIN;
 const FRAME_MARGIN: usize = 64 * 1024;
-/// Connections accepted in one turn.
+/// Connections accepted per turn.
 const ACCEPTS_PER_TURN: usize = 16;
-/// How long no connection is accepted when no descriptor is free.
-const ACCEPT_PAUSE: Micros = millis(50);
-/// How long a voter that takes no connection is left alone, and how often another one is tried.
+/// How long the listener is paused when no file descriptor is free.
+const ACCEPT_RETRY_INTERVAL: Micros = millis(50);
+/// The time between attempts to connect to the same voter, and before the next voter is tried.
 pub(super) const RECONNECT_INTERVAL: Micros = millis(250);
 
-/// A connection that somebody else has made.
+/// A connection that another node has made.
 #[derive(Default)]
 pub(super) struct AcceptedConnection {
-    /// Its number as a node, once it has sent it.
+    /// The number of the node, once it has identified itself.
     pub(super) node: Option<u32>,
-    /// Its number as a voter, once that is durably noted.
+    /// The number of the node as a voter, once its store number is recorded durably.
     pub(super) voter: Option<u64>,
 }
 
 impl Consensus {
-    /// Sends a frame; a connection whose other end does not read is dropped.
+    /// Sends a frame. Closes the connection where its buffer is full, since the peer does not read.
     pub(super) fn send(&mut self, token: Token, frame: &Frame, net: &mut Net) {
         if !net.write(token, &wire::encode(frame)) {
             self.drop_connection(self.now, token, net);
         }
     }
 
-    /// Closes a connection. A query that was asked over it is asked of another voter.
+    /// Closes a connection. A query that was pending on it is sent to another voter.
     pub(super) fn drop_connection(&mut self, now: Micros, token: Token, net: &mut Net) {
         net.close(token);
         self.accepted.remove(&token);
@@ -44,15 +44,15 @@
             return;
         };
         self.connect_after.insert(voter, now + RECONNECT_INTERVAL);
-        let open_query = self.open_query.as_ref();
-        if open_query.is_some_and(|open| open.voter == Some(voter)) {
-            self.open_query = None;
+        let pending_query = self.pending_query.as_ref();
+        if pending_query.is_some_and(|pending| pending.voter == Some(voter)) {
+            self.pending_query = None;
             self.next_query = now;
             self.voter_position += 1;
         }
     }
 
-    /// Accepts connections of nodes.
+    /// Accepts connections, and pauses the listener where that fails.
     pub(super) fn accept(&mut self, now: Micros, net: &mut Net) {
         let Some(listener) = self.listener else {
             return;
@@ -62,9 +62,9 @@
                 Ok(None) => return,
                 Ok(Some(token)) => self.handle_accepted(now, token, net),
                 Err(e) => {
-                    log::warn!("agreement: accept: {e}");
+                    log::warn!("agreement: cannot accept a connection: {e}; pausing the listener");
                     net.set_accepting(listener, false);
-                    self.accept_paused_until = Some(now + ACCEPT_PAUSE);
+                    self.accept_paused_until = Some(now + ACCEPT_RETRY_INTERVAL);
                     return;
                 }
             }
@@ -75,10 +75,12 @@
         let ip = net.peer_addr(token).map(|address| address.ip());
         let is_known = ip.is_some_and(|ip| self.config.from.contains(&ip));
         if is_known && self.is_full() {
-            self.drop_oldest_anonymous(now, net);
+            self.close_oldest_unidentified(now, net);
         }
         if !is_known || self.is_full() {
-            log::warn!("agreement: a connection from {ip:?} is not heeded");
+            log::warn!(
+                "agreement: closing a connection from {ip:?}: the address is not listed in `from`, or all connections are in use"
+            );
             net.close(token);
             return;
         }
@@ -89,17 +91,18 @@
         self.accepted.len() >= self.config.max_accepted()
     }
 
-    /// A connection that has not sent who it is makes room for one that may.
-    fn drop_oldest_anonymous(&mut self, now: Micros, net: &mut Net) {
+    /// Closes the oldest connection whose node has not identified itself, to make room for a new one.
+    fn close_oldest_unidentified(&mut self, now: Micros, net: &mut Net) {
         let accepted = self.accepted.iter();
-        let anonymous = accepted.filter(|(_, connection)| connection.node.is_none());
-        let oldest = anonymous.map(|(token, _)| *token).min();
+        let unidentified = accepted.filter(|(_, connection)| connection.node.is_none());
+        let oldest = unidentified.map(|(token, _)| *token).min();
         if let Some(token) = oldest {
             self.drop_connection(now, token, net);
         }
     }
 
-    /// The connection to a voter; made where there is none. None while it is too soon after the last try.
+    /// The connection to a voter, which is opened where there is none. `None` within the reconnect interval of the last
+    /// attempt.
     pub(super) fn connect(&mut self, now: Micros, voter: u64, net: &mut Net) -> Option<Token> {
         if let Some(token) = self.connection_to(voter) {
             return Some(token);
@@ -112,20 +115,20 @@
         let address = voters.find(|known| known.number == voter)?.address;
         let token = net.connect(address, self.peer).ok()?;
         net.raise_buffer_limit(token, VOTER_BUFFER);
-        // What a machine that has vanished never acknowledges: the connection ends, and another is tried.
+        // Detects a machine that has vanished: the connection ends when sent data is not acknowledged in time.
         net.set_user_timeout(token, self.config.terms.duration);
         self.outgoing.insert(token, voter);
-        let own_store = self.voting.as_ref().map(Voting::store_number);
+        let own_store_number = self.voting.as_ref().map(Voting::store_number);
         let hello = NodeMessage::Hello {
             fleet: self.config.fleet.clone(),
             node: self.config.node,
-            voter: own_store.map(|store| (self.own_voter(), store)),
+            voter: own_store_number.map(|store| (self.own_voter(), store)),
         };
         self.send(token, &Frame::Node(Box::new(hello)), net);
         Some(token)
     }
 
-    /// The connection to a voter, if there is one.
+    /// The open connection to a voter, if any.
     pub(super) fn connection_to(&self, voter: u64) -> Option<Token> {
         let mut outgoing = self.outgoing.iter();
         let found = outgoing.find(|(_, known)| **known == voter);
--- a/crates/node/src/consensus/frames.rs
+++ b/crates/node/src/consensus/frames.rs
@@ -1,4 +1,4 @@
-//! What is done with the frames that come over the connections.
+//! Handles the frames received from nodes and voters, and sends the frames that the local voter produces.
 
 use super::connections::{NODE_BUFFER, VOTER_BUFFER};
 use super::voting::Query;
@@ -8,20 +8,20 @@
 use marbledeck_consensus::wire::{self, Frame, NodeMessage, MAX_COMMANDS_PER_REQUEST};
 use marbledeck_dispatcher::Micros;
 
-/// Frames of one connection that are handled in one turn.
+/// Frames of one connection that are handled per turn of the event loop.
 const FRAMES_PER_TURN: usize = 64;
 
-/// What becomes of a connection after a frame.
+/// Whether a connection stays open after a frame.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum ConnectionFate {
-    /// It stays.
+enum ConnectionAction {
+    /// The connection stays open.
     Keep,
-    /// The frame has no place here: the connection ends.
+    /// The frame violates the protocol, so the connection is closed.
     Drop,
 }
 
 impl Consensus {
-    /// Handles the frames that have come on a connection.
+    /// Handles the frames received on a connection. Those beyond the limit of a turn wait for the next turn.
     pub(super) fn read(&mut self, now: Micros, token: Token, context: &mut Context) {
         for _ in 0..FRAMES_PER_TURN {
             let Some(conn) = context.net.get(token) else {
@@ -40,16 +40,19 @@
                     return;
                 }
                 Err(e) => {
-                    log::warn!("agreement: {e}: {}", e.advice());
+                    log::warn!(
+                        "agreement: closing a connection after an invalid frame: {e}: {}",
+                        e.advice()
+                    );
                     return self.drop_connection(now, token, &mut context.net);
                 }
             };
             context.net.touch(token);
-            if self.handle_frame(now, token, frame, context) == ConnectionFate::Drop {
+            if self.handle_frame(now, token, frame, context) == ConnectionAction::Drop {
                 return self.drop_connection(now, token, &mut context.net);
             }
         }
-        self.unread.push(token);
+        self.unread_connections.push(token);
     }
 
     fn handle_frame(
@@ -58,21 +61,21 @@
         token: Token,
         frame: Frame,
         context: &mut Context,
-    ) -> ConnectionFate {
+    ) -> ConnectionAction {
         if let Some(voter) = self.outgoing.get(&token) {
             return match frame {
                 Frame::Node(message) => self.handle_voter_message(now, *voter, *message, context),
-                Frame::Raft(_) => ConnectionFate::Drop,
+                Frame::Raft(_) => ConnectionAction::Drop,
             };
         }
         let Some(connection) = self.accepted.get(&token) else {
-            return ConnectionFate::Drop;
+            return ConnectionAction::Drop;
         };
         match (frame, connection.node) {
             (Frame::Node(message), None) => {
                 self.handle_first_message(token, *message, &mut context.net)
             }
-            (Frame::Raft(_), None) => ConnectionFate::Drop,
+            (Frame::Raft(_), None) => ConnectionAction::Drop,
             (Frame::Raft(bytes), Some(_)) => self.handle_raft_message(connection.voter, &bytes),
             (Frame::Node(message), Some(node)) => {
                 let is_voter = connection.voter.is_some();
@@ -81,14 +84,14 @@
         }
     }
 
-    /// A voter that this node has connected to has sent a message.
+    /// Handles a message from a voter that this node has connected to.
     fn handle_voter_message(
         &mut self,
         now: Micros,
         voter: u64,
         message: NodeMessage,
         context: &mut Context,
-    ) -> ConnectionFate {
+    ) -> ConnectionAction {
         match message {
             NodeMessage::Welcome { voter: sender } if sender == voter => {
                 if let Some(voting) = &mut self.voting {
@@ -100,25 +103,28 @@
                     voting.handle_denial(voter);
                 }
             }
-            NodeMessage::ReadResponse(answer) => self.handle_answer(now, *answer, context),
-            _ => return ConnectionFate::Drop,
+            NodeMessage::ReadResponse(response) => self.handle_response(now, *response, context),
+            _ => return ConnectionAction::Drop,
         }
-        ConnectionFate::Keep
+        ConnectionAction::Keep
     }
 
-    /// The first message on an accepted connection states who has made it.
+    /// Handles the first message on an accepted connection, which identifies the connecting node.
     fn handle_first_message(
         &mut self,
         token: Token,
         message: NodeMessage,
         net: &mut Net,
-    ) -> ConnectionFate {
+    ) -> ConnectionAction {
         let NodeMessage::Hello { fleet, node, voter } = message else {
-            return ConnectionFate::Drop;
+            return ConnectionAction::Drop;
         };
         if fleet != self.config.fleet || !(1..=self.config.nodes).contains(&node) {
-            log::warn!("agreement: node {node} of fleet '{fleet}' is not heeded");
-            return ConnectionFate::Drop;
+            log::warn!(
+                "agreement: closing a connection of node {node} of fleet '{fleet}': \
+                 the node or the fleet is not in this node's settings"
+            );
+            return ConnectionAction::Drop;
         }
         let voter = voter.filter(|(number, _)| {
             let mut voters = self.config.voters.iter();
@@ -133,15 +139,15 @@
             NODE_BUFFER
         };
         net.raise_buffer_limit(token, buffer);
-        self.drop_earlier_connections(token, node, net);
+        self.close_earlier_connections(token, node, net);
         if let (Some((number, store)), Some(voting)) = (voter, &mut self.voting) {
             voting.handle_hello(token, number, store);
         }
-        ConnectionFate::Keep
+        ConnectionAction::Keep
     }
 
-    /// An earlier connection of the same node is one that it has given up: it may never end by itself.
-    fn drop_earlier_connections(&mut self, latest: Token, node: u32, net: &mut Net) {
+    /// Closes earlier connections of the same node. The node has abandoned them, and they may never end by themselves.
+    fn close_earlier_connections(&mut self, latest: Token, node: u32, net: &mut Net) {
         let accepted = self.accepted.iter();
         let earlier: Vec<Token> = accepted
             .filter(|(token, connection)| **token != latest && connection.node == Some(node))
@@ -153,21 +159,24 @@
         }
     }
 
-    fn handle_raft_message(&mut self, sender: Option<u64>, bytes: &[u8]) -> ConnectionFate {
+    fn handle_raft_message(&mut self, sender: Option<u64>, bytes: &[u8]) -> ConnectionAction {
         let (Some(sender), Some(voting)) = (sender, &mut self.voting) else {
-            // Not noted yet, or this one does not vote: what is lost is sent again.
-            return ConnectionFate::Keep;
+            // The sender is not yet recorded as a voter, or this node does not vote. Raft retransmits lost messages.
+            return ConnectionAction::Keep;
         };
         match voting.receive(sender, bytes) {
-            Ok(()) => ConnectionFate::Keep,
+            Ok(()) => ConnectionAction::Keep,
             Err(e) => {
-                log::warn!("agreement: {e}: {}", e.advice());
-                ConnectionFate::Drop
+                log::warn!(
+                    "agreement: closing the connection of voter {sender} after an invalid message: {e}: {}",
+                    e.advice()
+                );
+                ConnectionAction::Drop
             }
         }
     }
 
-    /// A node whose number is known has sent a message.
+    /// Handles a message from a node that has identified itself.
     fn handle_node_message(
         &mut self,
         now: Micros,
@@ -175,7 +184,7 @@
         node: u32,
         is_voter: bool,
         message: NodeMessage,
-    ) -> ConnectionFate {
+    ) -> ConnectionAction {
         match (message, &mut self.voting) {
             (
                 NodeMessage::ReadRequest {
@@ -193,25 +202,25 @@
                     known_revision,
                     incarnation,
                 };
-                voting.take_query(query, commands.into_iter().take(MAX_COMMANDS_PER_REQUEST));
-                ConnectionFate::Keep
+                voting.handle_query(query, commands.into_iter().take(MAX_COMMANDS_PER_REQUEST));
+                ConnectionAction::Keep
             }
             (NodeMessage::ContactReport { nodes }, voting) => {
                 if let Some(voting) = voting.as_mut().filter(|_| is_voter) {
-                    voting.note_live_nodes(now, &nodes);
+                    voting.record_live_nodes(now, &nodes);
                 }
-                ConnectionFate::Keep
+                ConnectionAction::Keep
             }
-            _ => ConnectionFate::Drop,
+            _ => ConnectionAction::Drop,
         }
     }
 
-    /// Lets the voter work, and sends what it wants sent.
-    pub(super) fn drive_voter(&mut self, now: Micros, context: &mut Context) {
+    /// Runs the local voter, and sends the frames and answers that it produces.
+    pub(super) fn run_voter(&mut self, now: Micros, context: &mut Context) {
         let Some(voting) = &mut self.voting else {
             return;
         };
-        let output = voting.work(now);
+        let output = voting.poll_output(now);
         for reply in output.hello_replies {
             if let Some(connection) = self.accepted.get_mut(&reply.connection) {
                 let voter = u64::from(self.config.node);
@@ -230,13 +239,14 @@
                 self.send(token, &frame, &mut context.net);
             }
         }
-        for (connection, answer) in output.answers {
+        for (connection, response) in output.answers {
             match connection {
                 Some(token) => {
-                    let frame = Frame::Node(Box::new(NodeMessage::ReadResponse(Box::new(answer))));
+                    let frame =
+                        Frame::Node(Box::new(NodeMessage::ReadResponse(Box::new(response))));
                     self.send(token, &frame, &mut context.net);
                 }
-                None => self.handle_answer(now, answer, context),
+                None => self.handle_response(now, response, context),
             }
         }
     }
--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -1,9 +1,9 @@
-//! Consensus: a service that carries the frames of `marbledeck-consensus` between this node and the voters, has the
-//! disk's thread write what is to be durable, and tells the node which records the fleet has agreed on.
+//! The consensus service: carries the frames of `marbledeck-consensus` between this node and the voters, has the disk
+//! thread persist a voter's state, and applies the records that the fleet has agreed on.
 //!
-//! This module is the service. `connections` has its sockets, `frames` what is done with what comes over them,
-//! `polling` how a node learns of the records, `operators` what operators call for, `applied` what the records mean
-//! to the node, and `voting` the voter.
+//! This module is the service. `connections` manages its sockets, `frames` handles what is received on them, `polling`
+//! reads the records from a voter, `operators` answers operators' calls, `applied` puts the records into effect at this
+//! node, and `voting` runs the voter.
 
 mod applied;
 pub(crate) mod config;
@@ -24,58 +24,60 @@
 use marbledeck_consensus::LeasedReader;
 use marbledeck_dispatcher::Micros;
 use operators::PendingChange;
-use polling::OpenQuery;
+use polling::PendingQuery;
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use voting::Voting;
 
-/// How often a store is tried again that another process has.
+/// How often this node tries to open a store that another process uses.
 const STORE_RETRY_INTERVAL: Micros = millis(500);
-/// An answer may free the next query, and that one ask the voter again: so often in one turn.
+/// How often per turn the voter is run and polled: an answer may allow the next query, which this node's own voter may
+/// answer in the same turn.
 const ROUNDS_PER_TURN: usize = 2;
 
-/// The service for consensus.
+/// The consensus service.
 pub struct Consensus {
     config: ConsensusConfig,
-    /// For whom events of its sockets are.
+    /// The service's id, which routes events of its sockets to it.
     peer: Peer,
-    /// The incarnation of this process: later ones have greater numbers.
+    /// The incarnation of this process. Later processes of the node have greater numbers.
     incarnation: u64,
     listener: Option<Token>,
-    /// When the store is tried again.
+    /// When to try again to open the store.
     open_store_at: Option<Micros>,
-    /// Until then no connection is accepted, since there was no descriptor.
+    /// When to accept connections again, after no file descriptor was free.
     accept_paused_until: Option<Micros>,
-    /// Connections that others have made.
+    /// Connections that other nodes and voters have made.
     accepted: HashMap<Token, AcceptedConnection>,
-    /// Connections to voters, with the voters' numbers.
+    /// Connections to voters, with the numbers of the voters.
     outgoing: HashMap<Token, u64>,
     /// When each voter may be connected to again.
     connect_after: HashMap<u64, Micros>,
-    /// What makes this node a voter; none where it does not vote.
+    /// The voter of this node; `None` where it does not vote.
     voting: Option<Voting>,
-    /// Connections with frames that were not handled in their turn.
-    unread: Vec<Token>,
-    /// The voter that this node asks, by its place in the configuration.
+    /// Connections with buffered frames beyond the limit of a turn.
+    unread_connections: Vec<Token>,
+    /// The voter to query, by its position in the settings.
     voter_position: usize,
     next_query: Micros,
-    open_query: Option<OpenQuery>,
-    /// Changes of operators, the first of them under way.
+    pending_query: Option<PendingQuery>,
+    /// Operators' changes of records. The first one is in progress.
     pending_changes: VecDeque<PendingChange>,
-    /// The number of the latest change.
+    /// The number of the latest change of an operator.
     latest_change: u64,
-    /// Answers to operators.
+    /// Answers to operators that were not sent yet.
     replies: VecDeque<(Token, String)>,
     applied: AppliedRecords,
-    /// The time of this turn.
+    /// The time of the current turn.
     now: Micros,
 }
 
 impl Consensus {
-    /// Takes part as the configuration says.
+    /// Starts the service with these settings.
     ///
     /// # Errors
-    /// The address that voters connect to cannot be had. A store that cannot be used keeps this node from voting only.
+    /// The node cannot listen on its address as a voter. A store that cannot be used is no error here: the node runs, but
+    /// does not vote.
     pub fn new(
         config: ConsensusConfig,
         peer: Peer,
@@ -94,9 +96,9 @@
             outgoing: HashMap::new(),
             connect_after: HashMap::new(),
             voting: None,
-            unread: Vec::new(),
+            unread_connections: Vec::new(),
             next_query: now,
-            open_query: None,
+            pending_query: None,
             pending_changes: VecDeque::new(),
             latest_change: 0,
             replies: VecDeque::new(),
@@ -107,13 +109,13 @@
         Ok(consensus)
     }
 
-    /// What this node may act on, to begin with nothing.
+    /// A new reader, which knows no records and has no lease.
     pub fn reader(&self) -> LeasedReader {
         LeasedReader::new(self.config.terms)
     }
 
-    /// Begins to vote, where this node is to. A store that another process has is tried again: one that this one
-    /// replaces may be about to end. Others connect once it is open.
+    /// Opens the store and listens for connections, if this node is a voter. A store that another process uses is tried
+    /// again later, since a process that this one replaces may be about to exit. Until then nobody can connect.
     fn start_voting(&mut self, now: Micros, net: &mut Net) -> io::Result<()> {
         let number = self.own_voter();
         let mut voters = self.config.voters.iter();
@@ -125,19 +127,19 @@
         match Voting::open(&self.config, now, self.peer, net) {
             Ok(voting) => {
                 self.voting = Some(voting);
-                // Those that it is connected to took it for one that does not vote.
+                // The hello on these connections did not say that this node votes.
                 for token in self.outgoing.keys().copied().collect::<Vec<_>>() {
                     self.drop_connection(now, token, net);
                 }
             }
             Err(error) if error.is_temporary() => {
-                log::warn!("agreement: {error}; tried again until it can be had");
+                log::warn!("agreement: voter {number} cannot open its store: {error}; tried again until it can be had");
                 self.open_store_at = Some(now + STORE_RETRY_INTERVAL);
                 return Ok(());
             }
             Err(error) => {
                 let advice = error.advice();
-                log::error!("agreement: {error}; this node does not vote: {advice}");
+                log::error!("agreement: voter {number} cannot start: {error}; this node does not vote: {advice}");
             }
         }
         let (token, address) = net.listen(address, None, self.peer)?;
@@ -146,7 +148,7 @@
         Ok(())
     }
 
-    /// The number that this node has as a voter, if it is one.
+    /// The number of this node as a voter, if it is one.
     fn own_voter(&self) -> u64 {
         u64::from(self.config.node)
     }
@@ -168,7 +170,7 @@
             return;
         }
         if let Err(e) = self.start_voting(now, net) {
-            log::error!("agreement: {e}; tried again");
+            log::error!("agreement: cannot listen for other nodes and voters: {e}; trying again");
             self.voting = None;
             self.open_store_at = Some(now + STORE_RETRY_INTERVAL);
         }
@@ -194,13 +196,13 @@
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let unread = (!self.unread.is_empty()).then_some(Micros(0));
-        let open_query = self.open_query.as_ref();
-        let query = open_query.map_or(self.next_query, |open| open.deadline);
+        let unread_connections = (!self.unread_connections.is_empty()).then_some(Micros(0));
+        let pending_query = self.pending_query.as_ref();
+        let query = pending_query.map_or(self.next_query, |pending| pending.deadline);
         let tick = self.voting.as_ref().map(Voting::next_tick);
         [
             Some(query),
-            unread,
+            unread_connections,
             tick,
             self.accept_paused_until,
             self.applied.next_wake(),
@@ -213,7 +215,7 @@
     fn wake(&mut self, now: Micros, context: &mut Context) {
         self.now = now;
         self.resume_accepting(now, &mut context.net);
-        for token in std::mem::take(&mut self.unread) {
+        for token in std::mem::take(&mut self.unread_connections) {
             self.read(now, token, context);
         }
         self.retry_store(now, &mut context.net);
@@ -229,7 +231,7 @@
     fn finish_turn(&mut self, now: Micros, context: &mut Context) {
         self.now = now;
         for _ in 0..ROUNDS_PER_TURN {
-            self.drive_voter(now, context);
+            self.run_voter(now, context);
             self.poll(now, context);
         }
         self.applied.apply(now, context);
@@ -248,7 +250,7 @@
                 self.replies.push_back((caller, text));
             }
             admin::Call::Change(text) => {
-                self.take_change(caller, text);
+                self.handle_change(caller, text);
                 self.next_query = now;
             }
             _ => return false,
--- a/crates/node/src/consensus/operators.rs
+++ b/crates/node/src/consensus/operators.rs
@@ -1,4 +1,4 @@
-//! What operators call for: to see the records, and to change them.
+//! Operators' calls: `records` shows the records, and `change` changes one.
 
 use super::voting::Voting;
 use super::Consensus;
@@ -8,10 +8,10 @@
 use marbledeck_dispatcher::Micros;
 use std::fmt::Write as _;
 
-/// Changes of operators that may wait for their outcome.
+/// The most changes of operators that may wait for their outcomes.
 const MAX_PENDING_CHANGES: usize = 8;
 
-/// A change that an operator waits for.
+/// A change of a record whose outcome an operator waits for.
 pub(super) struct PendingChange {
     /// The operator's connection.
     pub(super) caller: Token,
@@ -20,7 +20,8 @@
 }
 
 impl Consensus {
-    /// The records and the licence seats in lines, and in the last one what the reading and the voter are worth.
+    /// One line for each record and each pool of seats, and a last line with the revision, the rest of the lease and the
+    /// state of the voter.
     pub(super) fn describe_records(&self, now: Micros, context: &Context) -> String {
         let mut text = String::new();
         let Some(reader) = &context.records.reader else {
@@ -50,15 +51,15 @@
         text
     }
 
-    /// Takes a change of the records, as JSON; it is answered once it has its outcome.
-    pub(super) fn take_change(&mut self, caller: Token, json: &str) {
+    /// Takes a change of a record as JSON. A valid change is answered once its outcome is known, an invalid one at once.
+    pub(super) fn handle_change(&mut self, caller: Token, json: &str) {
         if let Err(reason) = self.enqueue_change(caller, json) {
             self.replies.push_back((caller, format!("NAK {reason}\n")));
         }
     }
 
     /// # Errors
-    /// Why the change is rejected, for the operator.
+    /// Why the change is rejected.
     fn enqueue_change(&mut self, caller: Token, json: &str) -> Result<(), ChangeError> {
         let mut json = serde_json::Deserializer::from_str(json);
         let change: Change = serde_path_to_error::deserialize(&mut json)?;
@@ -76,7 +77,7 @@
     }
 }
 
-/// Why a change of an operator is rejected at once.
+/// Why a change of an operator is rejected before it is proposed.
 #[derive(Debug, thiserror::Error)]
 enum ChangeError {
     #[error("{}: {}", .0.path(), .0.inner())]
--- a/crates/node/src/consensus/polling.rs
+++ b/crates/node/src/consensus/polling.rs
@@ -1,5 +1,5 @@
-//! How a node learns what is agreed on: it asks one voter after another for a reading, and hands in its commands with
-//! the query. A voter asks itself.
+//! Reads the records: a node queries one voter at a time, and sends its commands with the query. It moves on to the next
+//! voter where one does not answer. A node that votes queries its own voter.
 
 use super::connections::RECONNECT_INTERVAL;
 use super::voting::{Query, Voting};
@@ -10,32 +10,32 @@
 use marbledeck_consensus::{Command, Operation, Outcome};
 use marbledeck_dispatcher::Micros;
 
-/// A query that is not answered yet.
-pub(super) struct OpenQuery {
-    /// From then on the voter counts as silent.
+/// A query that was not answered yet.
+pub(super) struct PendingQuery {
+    /// When the query times out.
     pub(super) deadline: Micros,
-    /// The voter that was asked; none for this node itself.
+    /// The voter that was queried; `None` for this node's own.
     pub(super) voter: Option<u64>,
 }
 
-/// Whom to ask.
+/// Where a query is sent.
 #[derive(Clone, Copy)]
-enum Respondent {
-    /// This node, which votes.
+enum QueryTarget {
+    /// To the voter of this node.
     Own,
-    /// A voter, over this connection.
+    /// To another voter, over this connection.
     Voter { number: u64, connection: Token },
 }
 
 impl Consensus {
-    /// Asks for a reading, if it is time.
+    /// Sends the next query, if it is due and none is pending.
     pub(super) fn poll(&mut self, now: Micros, context: &mut Context) {
-        self.give_up_silent_voter(now, &mut context.net);
-        if self.open_query.is_some() || now < self.next_query {
+        self.expire_pending_query(now, &mut context.net);
+        if self.pending_query.is_some() || now < self.next_query {
             return;
         }
-        self.next_query = now + self.config.poll_interval();
-        let Some(respondent) = self.respondent(now, &mut context.net) else {
+        self.next_query = now + self.config.query_interval();
+        let Some(query_target) = self.query_target(now, &mut context.net) else {
             self.voter_position += 1;
             self.next_query = now + RECONNECT_INTERVAL;
             return;
@@ -45,11 +45,11 @@
             return;
         };
         let ticket = reader.begin_read(now);
-        self.open_query = Some(OpenQuery {
-            deadline: now + self.config.answer_timeout(),
-            voter: match respondent {
-                Respondent::Own => None,
-                Respondent::Voter { number, .. } => Some(number),
+        self.pending_query = Some(PendingQuery {
+            deadline: now + self.config.query_timeout(),
+            voter: match query_target {
+                QueryTarget::Own => None,
+                QueryTarget::Voter { number, .. } => Some(number),
             },
         });
         let query = Query {
@@ -59,16 +59,16 @@
             known_revision: ticket.known_revision,
             incarnation: self.incarnation,
         };
-        self.send_query(respondent, query, commands, &mut context.net);
+        self.send_query(query_target, query, commands, &mut context.net);
     }
 
-    /// A voter that is silent is left: another one is asked.
-    fn give_up_silent_voter(&mut self, now: Micros, net: &mut Net) {
-        let open_query = self.open_query.as_ref();
-        if open_query.is_none_or(|open| now < open.deadline) {
+    /// Drops a query that has timed out, and moves on to the next voter.
+    fn expire_pending_query(&mut self, now: Micros, net: &mut Net) {
+        let pending_query = self.pending_query.as_ref();
+        if pending_query.is_none_or(|pending| now < pending.deadline) {
             return;
         }
-        let voter = self.open_query.take().and_then(|open| open.voter);
+        let voter = self.pending_query.take().and_then(|pending| pending.voter);
         if let Some(voter) = voter {
             if let Some(token) = self.connection_to(voter) {
                 self.drop_connection(now, token, net);
@@ -78,10 +78,10 @@
         self.next_query = now;
     }
 
-    /// Whom to ask now; none where the voter whose turn it is cannot be.
-    fn respondent(&mut self, now: Micros, net: &mut Net) -> Option<Respondent> {
-        if self.voting.as_ref().is_some_and(Voting::takes_part) {
-            return Some(Respondent::Own);
+    /// Where to send a query now; `None` where the next voter cannot be connected to.
+    fn query_target(&mut self, now: Micros, net: &mut Net) -> Option<QueryTarget> {
+        if self.voting.as_ref().is_some_and(Voting::is_active) {
+            return Some(QueryTarget::Own);
         }
         let position = self.voter_position % self.config.voters.len();
         let number = self.config.voters[position].number;
@@ -89,10 +89,10 @@
             return None;
         }
         let connection = self.connect(now, number, net)?;
-        Some(Respondent::Voter { number, connection })
+        Some(QueryTarget::Voter { number, connection })
     }
 
-    /// The commands that go with the query: what licensing wants, and the first change of an operator.
+    /// The commands to send with the next query: a request for or return of seats, and the first change of an operator.
     fn next_commands(&self, now: Micros, context: &mut Context) -> Vec<Command> {
         let licensing = context.core.licensing.as_mut();
         let seats = licensing.and_then(|licensing| licensing.allocator.poll_command(now));
@@ -103,7 +103,7 @@
         seats.into_iter().chain(change).collect()
     }
 
-    /// A command of this node's.
+    /// A command of this incarnation of the node.
     pub(super) fn command(&self, number: u64, operation: Operation) -> Command {
         Command {
             node: self.config.node,
@@ -115,18 +115,18 @@
 
     fn send_query(
         &mut self,
-        respondent: Respondent,
+        query_target: QueryTarget,
         query: Query,
         commands: Vec<Command>,
         net: &mut Net,
     ) {
-        match respondent {
-            Respondent::Own => {
+        match query_target {
+            QueryTarget::Own => {
                 if let Some(voting) = &mut self.voting {
-                    voting.take_query(query, commands.into_iter());
+                    voting.handle_query(query, commands.into_iter());
                 }
             }
-            Respondent::Voter { connection, .. } => {
+            QueryTarget::Voter { connection, .. } => {
                 let message = NodeMessage::ReadRequest {
                     request_id: query.number,
                     known_revision: query.known_revision,
@@ -138,46 +138,46 @@
         }
     }
 
-    /// An answer has come, from another voter or from this one.
-    pub(super) fn handle_answer(
+    /// Applies an answer, from another voter or from this node's own.
+    pub(super) fn handle_response(
         &mut self,
         now: Micros,
-        answer: ReadResponse,
+        response: ReadResponse,
         context: &mut Context,
     ) {
         let Some(reader) = &mut context.records.reader else {
             return;
         };
-        if !reader.apply_response(now, &answer) {
+        if !reader.apply_response(now, &response) {
             return;
         }
-        self.open_query = None;
-        if answer.stale {
+        self.pending_query = None;
+        if response.stale {
             log::error!(
-                "agreement: a later start of node {} is known: this one acts on nothing",
+                "agreement: a later process of node {} has joined the fleet: this one no longer acts on the records",
                 self.config.node
             );
         }
-        self.finish_change(now, &answer);
-        context.records.readings += 1;
-        context.records.answer = answer;
+        self.finish_change(now, &response);
+        context.records.read_count += 1;
+        context.records.response = response;
     }
 
-    /// The change that is under way has ended, if the answer has its outcome.
-    fn finish_change(&mut self, now: Micros, answer: &ReadResponse) {
-        let Some((number, outcome)) = &answer.last_change else {
+    /// Answers the operator whose change is in progress, if the answer has its outcome.
+    fn finish_change(&mut self, now: Micros, response: &ReadResponse) {
+        let Some((number, outcome)) = &response.last_change else {
             return;
         };
-        let is_under_way = |change: &mut super::PendingChange| change.command.number == *number;
-        let Some(change) = self.pending_changes.pop_front_if(is_under_way) else {
+        let is_in_progress = |change: &mut super::PendingChange| change.command.number == *number;
+        let Some(change) = self.pending_changes.pop_front_if(is_in_progress) else {
             return;
         };
         let reply = match outcome {
-            Outcome::Done => format!("ACK done; revision {}\n", answer.revision),
+            Outcome::Done => format!("ACK done; revision {}\n", response.revision),
             Outcome::Rejected(reason) => format!("NAK {reason}: {}\n", reason.advice()),
         };
         self.replies.push_back((change.caller, reply));
-        // The next one at once.
+        // The next change is sent at once.
         self.next_query = now;
     }
 }
--- a/crates/node/src/consensus/voting/admission.rs
+++ b/crates/node/src/consensus/voting/admission.rs
@@ -1,41 +1,42 @@
-//! How the voters make sure that each has the store that it had before.
+//! Admission of voters: a voter that has lost its store must not vote under its old number, since it has forgotten its
+//! votes and its log.
 //!
-//! A voter sends the number of its store to all others. Each notes the first number that a voter sends, durably, and
-//! welcomes that store alone. A voter that all others have welcomed is admitted.
+//! A voter sends the number of its store to all others. Each of them durably records the first store number that a voter
+//! sends, and welcomes only that store. A voter is admitted once all others have welcomed it.
 
-use super::{store, Output, Purpose, Voting};
+use super::{store, Output, Voting, WriteKind};
 use crate::net::Token;
 use std::collections::BTreeSet;
 
-/// The answer to a voter that has sent who it is.
+/// The answer to a voter that has identified itself.
 pub(in crate::consensus) struct HelloReply {
     /// The voter's connection.
     pub(in crate::consensus) connection: Token,
     /// The voter's number.
     pub(in crate::consensus) voter: u64,
-    /// Whether its store is the one that is known.
+    /// Whether its store is the one recorded for its number.
     pub(in crate::consensus) is_known: bool,
 }
 
-/// A voter that has sent who it is, and has no answer yet.
+/// A voter that has identified itself and was not answered yet.
 pub(super) struct Hello {
     connection: Token,
     voter: u64,
     store: u64,
 }
 
-/// Whether this store may vote under this voter's number. One that has lost its store has forgotten its promises.
+/// Whether this node may vote with its store.
 pub(super) enum Admission {
-    /// It may not yet: these of the other voters have taken it for the one of this number.
+    /// Not yet: only these of the other voters have welcomed the store.
     Pending { welcomed_by: BTreeSet<u64> },
-    /// It may, since all others have, once.
+    /// It may: all other voters have welcomed the store.
     Admitted,
-    /// It may not: another voter knows this number with another store.
+    /// It may not: another voter has recorded another store for this node's number.
     Denied,
 }
 
 impl Voting {
-    /// The voters that this one is to connect to, so that they know it.
+    /// The voters that have not welcomed this store yet, to which this voter connects.
     pub(in crate::consensus) fn missing_welcomes(&self) -> Vec<u64> {
         let Admission::Pending { welcomed_by } = &self.admission else {
             return Vec::new();
@@ -46,31 +47,31 @@
             .collect()
     }
 
-    /// Another voter has taken this store for the one of this number.
+    /// Another voter has welcomed this store. The last welcome leads to the admission.
     pub(in crate::consensus) fn handle_welcome(&mut self, voter: u64) {
         let Admission::Pending { welcomed_by } = &mut self.admission else {
             return;
         };
         welcomed_by.insert(voter);
         if welcomed_by.len() == self.others.len() {
-            self.write(Purpose::Admission, store::write_admitted());
+            self.write(WriteKind::Admission, store::admission_batch());
         }
     }
 
-    /// Another voter knows this number with another store.
+    /// Another voter has recorded another store for this node's number: this node stops voting.
     pub(in crate::consensus) fn handle_denial(&mut self, voter: u64) {
         if matches!(self.admission, Admission::Denied) {
             return;
         }
         self.admission = Admission::Denied;
         log::error!(
-            "agreement: voter {voter} knows voter {} with another store: what this one had promised is forgotten, and \
-             it does not vote. Put its old store back, or replace the voter under a new number",
+            "agreement: voter {voter} knows voter {} with another store, so the votes and the log of its old store are \
+             lost, and it does not vote. Put its old store back, or replace the voter under a new number",
             self.id
         );
     }
 
-    /// Another voter sends who it is. It is answered once its store's number is noted durably.
+    /// Another voter has identified itself. It is answered once its store number is recorded durably.
     pub(in crate::consensus) fn handle_hello(&mut self, connection: Token, voter: u64, store: u64) {
         self.hellos.push(Hello {
             connection,
@@ -79,7 +80,7 @@
         });
     }
 
-    /// Answers those whose stores are durably noted, and has the others noted.
+    /// Answers the voters whose store numbers are recorded durably, and has those of the others written.
     pub(super) fn answer_hellos(&mut self, output: &mut Output) {
         for hello in std::mem::take(&mut self.hellos) {
             let voter = hello.voter;
@@ -92,11 +93,11 @@
                 continue;
             }
             if !self.unwritten_stores.contains_key(&voter) {
-                let write = store::write_known_store(voter, hello.store);
-                self.write(Purpose::KnownStore(voter), write);
+                let write = store::known_store_batch(voter, hello.store);
+                self.write(WriteKind::KnownStore(voter), write);
                 self.unwritten_stores.insert(voter, hello.store);
             }
-            // The last connection of a voter is the one that counts.
+            // Only the last connection of a voter is answered.
             self.hellos.retain(|other| other.voter != voter);
             self.hellos.push(hello);
         }
--- a/crates/node/src/consensus/voting/disk.rs
+++ b/crates/node/src/consensus/voting/disk.rs
@@ -1,22 +1,22 @@
-//! The writes to the store, which a thread of its own carries out, and what follows once they are durable.
+//! Writes to the voter's store. The storage crate's thread carries them out and reports when they are durable.
 
 use super::{Admission, Voting};
 use marbledeck_dispatcher::Micros;
 use marbledeck_storage::{CompletionEvent, WriteBatch};
 use std::io::Read;
 
-/// What was written.
-pub(super) enum Purpose {
-    /// State of the voter, with the voter's ticket.
+/// What a write contains, which decides what follows once it is durable.
+pub(super) enum WriteKind {
+    /// State of the voter, with the voter's own ticket.
     Voter(u64),
-    /// The number of this other voter's store.
+    /// The store number of another voter, whose own number this is.
     KnownStore(u64),
-    /// That all other voters know this store.
+    /// The mark that all other voters have welcomed this store.
     Admission,
 }
 
 impl Voting {
-    /// Hands over the writes for which there was no room, as far as there is now.
+    /// Submits writes of the backlog while the disk thread's queue has room.
     pub(super) fn write_backlog(&mut self) {
         while let Some(write) = self.backlog.pop_front() {
             if self.disk.submit(write.clone()).is_err() {
@@ -26,24 +26,24 @@
         }
     }
 
-    /// Has something written.
-    pub(super) fn write(&mut self, purpose: Purpose, mut write: WriteBatch) {
-        self.writes += 1;
-        write.ticket = self.writes;
-        self.purposes.push_back((self.writes, purpose));
+    /// Submits a write, or appends it to the backlog where the disk thread's queue is full.
+    pub(super) fn write(&mut self, kind: WriteKind, mut write: WriteBatch) {
+        self.last_write += 1;
+        write.ticket = self.last_write;
+        self.pending_writes.push_back((self.last_write, kind));
         if !self.backlog.is_empty() || self.disk.submit(write.clone()).is_err() {
-            // The disk is far behind: nothing more is taken in before it has caught up.
+            // The voter takes no new entries until the disk has caught up.
             self.voter.suspend();
             self.backlog.push_back(write);
         }
     }
 
-    /// The disk's thread has done something.
+    /// Handles what the disk thread has reported: durable writes, or a stall.
     pub(in crate::consensus) fn handle_disk_signal(&mut self, now: Micros) {
         let mut bytes = [0; 64];
         while matches!(self.disk_pipe.read(&mut bytes), Ok(length) if length > 0) {}
-        for done in self.disk.take_events() {
-            match done {
+        for event in self.disk.take_events() {
+            match event {
                 CompletionEvent::Persisted(ticket) => self.handle_written(now, ticket),
                 CompletionEvent::Stalled(e) => {
                     if !std::mem::replace(&mut self.is_stalled, true) {
@@ -55,29 +55,31 @@
         }
     }
 
-    /// All writes up to this one are durable.
+    /// Finishes all writes up to this ticket, which are durable now.
     fn handle_written(&mut self, now: Micros, ticket: u64) {
         if std::mem::take(&mut self.is_stalled) {
-            log::info!("agreement: the disk takes writes again; this voter takes part again");
+            log::info!("agreement: the disk takes writes again; this voter resumes");
         }
-        while let Some((_, purpose)) = self
-            .purposes
+        while let Some((_, kind)) = self
+            .pending_writes
             .pop_front_if(|(written, _)| *written <= ticket)
         {
-            self.finish_write(now, purpose);
+            self.finish_write(now, kind);
         }
     }
 
-    fn finish_write(&mut self, now: Micros, purpose: Purpose) {
-        match purpose {
-            Purpose::Voter(ticket) => self.voter.handle_persisted(ticket),
-            // Those that have sent who they are, are answered now.
-            Purpose::KnownStore(voter) => {
+    fn finish_write(&mut self, now: Micros, kind: WriteKind) {
+        match kind {
+            WriteKind::Voter(ticket) => self.voter.handle_persisted(ticket),
+            // `answer_hellos` answers the voter at its next call.
+            WriteKind::KnownStore(voter) => {
                 let store = self.unwritten_stores.remove(&voter);
                 self.known_stores.extend(store.map(|store| (voter, store)));
             }
-            Purpose::Admission => {
-                log::info!("agreement: all voters know this store; it votes");
+            WriteKind::Admission => {
+                log::info!(
+                    "agreement: all other voters have admitted this store; this node votes now"
+                );
                 if !matches!(self.admission, Admission::Denied) {
                     self.admission = Admission::Admitted;
                 }
--- a/crates/node/src/consensus/voting/mod.rs
+++ b/crates/node/src/consensus/voting/mod.rs
@@ -1,4 +1,5 @@
-//! This node as a voter: its store, the voter of `marbledeck-consensus`, and the queries of nodes.
+//! A node that votes: runs the voter of `marbledeck-consensus` on a durable store, and answers the nodes' queries for
+//! the records.
 
 mod admission;
 mod disk;
@@ -11,7 +12,7 @@
 use crate::clock::millis;
 use crate::net::{Net, Peer, Token};
 use admission::{Admission, Hello, HelloReply};
-use disk::Purpose;
+use disk::WriteKind;
 use marbledeck_consensus::wire::{Frame, NodeMessage, ReadResponse};
 use marbledeck_consensus::{
     Command, ConsensusError, LeaseReclaimer, LeaseTerms, LogPosition, Voter,
@@ -21,102 +22,105 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::os::unix::net::UnixStream;
 
-/// How often the voters tell each other which nodes have asked them.
+/// How often a voter reports to the others which nodes have queried it.
 const LIVE_NODES_INTERVAL: Micros = millis(500);
 
-/// A node's query for a reading.
+/// A node's query for the current records.
 pub(super) struct Query {
-    /// The node's connection; none for this node itself.
+    /// The node's connection; `None` for this node itself.
     pub(super) connection: Option<Token>,
     /// The node's number.
     pub(super) node: u32,
-    /// The query's number.
+    /// The number that the node gave the query.
     pub(super) number: u64,
-    /// The revision of the records that the node knows already.
+    /// The revision up to which the node knows the records.
     pub(super) known_revision: u64,
     /// The incarnation of the node's process.
     pub(super) incarnation: u64,
 }
 
-/// What is to be sent.
+/// What the voter has to send.
 #[derive(Default)]
 pub(super) struct Output {
-    /// Frames for other voters, by their numbers.
+    /// Frames to other voters, with the numbers of the voters.
     pub(super) frames: Vec<(u64, Frame)>,
-    /// Answers to queries, by the connections that they came over; none for this node's own.
+    /// Answers to queries, with the connection of each query; `None` for this node's own.
     pub(super) answers: Vec<(Option<Token>, ReadResponse)>,
-    /// Answers to voters that have sent who they are.
+    /// Answers to voters that have identified themselves.
     pub(super) hello_replies: Vec<HelloReply>,
 }
 
-/// This node as a voter.
+/// The voter of this node, with its store and the queries that it has to answer.
 pub(super) struct Voting {
     id: u64,
     others: Vec<u64>,
     voter: Voter,
     store_number: u64,
     disk: Store,
-    /// The end of the pipe by which the disk's thread wakes the event loop.
+    /// The event loop's end of the socket pair by which the disk thread wakes it.
     disk_pipe: UnixStream,
     disk_signal: Token,
-    /// How many writes there were.
-    writes: u64,
-    /// What the writes were that are not done yet, by their tickets.
-    purposes: VecDeque<(u64, Purpose)>,
-    /// Writes for which the thread's mailbox had no room.
+    /// The ticket of the last write.
+    last_write: u64,
+    /// The writes that are not durable yet, by their tickets.
+    pending_writes: VecDeque<(u64, WriteKind)>,
+    /// Writes for which the disk thread's queue had no room.
     backlog: VecDeque<WriteBatch>,
-    /// The disk takes no writes.
+    /// Whether the disk rejects writes.
     is_stalled: bool,
-    /// That consensus has stopped here was logged.
-    stop_is_logged: bool,
+    /// Whether the log already says that the voter has stopped.
+    is_stop_logged: bool,
     admission: Admission,
-    /// The numbers of the other voters' stores that are durably noted: nobody is welcomed before.
+    /// The store numbers of other voters that are recorded durably. A voter is welcomed only after that.
     known_stores: BTreeMap<u64, u64>,
-    /// Those that are being written.
+    /// The store numbers of other voters that are being written.
     unwritten_stores: BTreeMap<u64, u64>,
     hellos: Vec<Hello>,
-    /// The last query of each node, by the number that the voter knows it by.
+    /// The last query of each node, by the number of its read at the voter.
     queries: BTreeMap<u64, Query>,
-    /// The voter's number of each node's last query.
+    /// The number of the read for each node's last query.
     last_queries: BTreeMap<u32, u64>,
-    /// The voter's number of the latest query.
+    /// The number of the latest read.
     latest_query: u64,
-    /// The nodes that have asked since the other voters were notified, and their incarnations.
+    /// The nodes that have queried this voter since its last report to the others, with their incarnations.
     live_nodes: BTreeMap<u32, u64>,
     next_live_nodes: Micros,
-    /// What only the leader does; none while this one does not lead.
-    leader_duties: Option<LeaseReclaimer>,
+    /// Reclaims the seats of dead nodes; `None` unless this voter is the leader.
+    lease_reclaimer: Option<LeaseReclaimer>,
     terms: LeaseTerms,
     tick_interval: Micros,
     next_tick: Micros,
 }
 
 impl Voting {
-    /// Opens the store and begins to vote, or to be admitted.
+    /// Opens the store. The voter votes once it is admitted.
     ///
     /// # Errors
-    /// The store cannot be used, what it holds makes no sense, or there is no descriptor left.
+    /// The store cannot be used, its contents are invalid, or no file descriptor is left.
     pub(super) fn open(
         config: &ConsensusConfig,
         now: Micros,
         peer: Peer,
         net: &mut Net,
     ) -> Result<Self, VotingError> {
-        let (disk_pipe, threads_end) = UnixStream::pair()?;
+        let (disk_pipe, disk_thread_end) = UnixStream::pair()?;
         disk_pipe.set_nonblocking(true)?;
-        threads_end.set_nonblocking(true)?;
-        let opened = store::open(config, threads_end)?;
+        disk_thread_end.set_nonblocking(true)?;
+        let opened = store::open(config, disk_thread_end)?;
         let id = u64::from(config.node);
         let ids: Vec<u64> = config.voters.iter().map(|voter| voter.number).collect();
         let voter = Voter::new(id, &ids, now.0, &opened.durable)?;
         let disk_signal = net.signal(disk_pipe.try_clone()?.into(), peer);
         let (admission, description) = if opened.is_admitted {
-            (Admission::Admitted, "known to the voters")
+            (Admission::Admitted, "admitted by all other voters")
         } else {
             let welcomed_by = BTreeSet::new();
-            (Admission::Pending { welcomed_by }, "new")
+            (Admission::Pending { welcomed_by }, "not admitted yet")
         };
-        log::info!("agreement: store {:016x}, {description}", opened.number);
+        log::info!(
+            "agreement: voter {id} opened store {:016x}, {description}",
+            opened.number
+        );
         Ok(Voting {
             id,
             others: ids.into_iter().filter(|other| *other != id).collect(),
@@ -125,11 +129,11 @@
             disk: opened.store,
             disk_pipe,
             disk_signal: disk_signal?,
-            writes: 0,
-            purposes: VecDeque::new(),
+            last_write: 0,
+            pending_writes: VecDeque::new(),
             backlog: VecDeque::new(),
             is_stalled: false,
-            stop_is_logged: false,
+            is_stop_logged: false,
             admission,
             known_stores: opened.known_stores,
             unwritten_stores: BTreeMap::new(),
@@ -139,29 +143,29 @@
             latest_query: 0,
             live_nodes: BTreeMap::new(),
             next_live_nodes: now,
-            leader_duties: None,
+            lease_reclaimer: None,
             terms: config.terms,
             tick_interval: config.tick,
             next_tick: now,
         })
     }
 
-    /// The number of its store.
+    /// The number of the store.
     pub(super) fn store_number(&self) -> u64 {
         self.store_number
     }
 
-    /// The socket on which the disk's thread wakes the event loop.
+    /// The socket on which the disk thread wakes the event loop.
     pub(super) fn disk_signal(&self) -> Token {
         self.disk_signal
     }
 
-    /// Whether it votes, and can be asked.
-    pub(super) fn takes_part(&self) -> bool {
+    /// Whether this voter is admitted and running, so that it votes and answers queries.
+    pub(super) fn is_active(&self) -> bool {
         matches!(self.admission, Admission::Admitted) && self.voter.stop_reason().is_none()
     }
 
-    /// A description for operators.
+    /// One line for operators: the role, the term and the log.
     pub(super) fn describe(&self) -> String {
         let LogPosition { term, index } = self.voter.position();
         format!(
@@ -192,21 +196,21 @@
         }
     }
 
-    /// A message of another voter.
+    /// Handles a Raft message of another voter.
     ///
     /// # Errors
-    /// It makes no sense.
+    /// The message is invalid.
     pub(super) fn receive(&mut self, sender: u64, bytes: &[u8]) -> Result<(), ConsensusError> {
-        if self.takes_part() {
+        if self.is_active() {
             self.voter.handle_message(sender, bytes)
         } else {
             Ok(())
         }
     }
 
-    /// A node asks for a reading, and wants these commands carried out.
-    pub(super) fn take_query(&mut self, query: Query, commands: impl Iterator<Item = Command>) {
-        if !self.takes_part() {
+    /// Takes a node's query and proposes the commands that came with it.
+    pub(super) fn handle_query(&mut self, query: Query, commands: impl Iterator<Item = Command>) {
+        if !self.is_active() {
             return;
         }
         let (node, incarnation) = (query.node, query.incarnation);
@@ -221,7 +225,7 @@
         }
         self.latest_query += 1;
         self.voter.request_read(self.latest_query);
-        // A node waits for its last query only.
+        // A node waits for the answer to its last query only.
         let earlier = self.last_queries.insert(node, self.latest_query);
         if let Some(earlier) = earlier {
             self.queries.remove(&earlier);
@@ -229,7 +233,7 @@
         self.queries.insert(self.latest_query, query);
     }
 
-    /// What this one knows to be done already need not be done again.
+    /// Proposes a command unless the state shows that it was applied already.
     fn propose_new(&mut self, command: &Command) {
         let state = self.voter.state();
         let last = state.last_command(command.node, command.incarnation, command.sequence());
@@ -238,11 +242,11 @@
         }
     }
 
-    /// These nodes, in these incarnations, have asked a voter.
-    pub(super) fn note_live_nodes(&mut self, now: Micros, nodes: &[(u32, u64)]) {
-        if let Some(duties) = &mut self.leader_duties {
+    /// Records that these incarnations of nodes have queried a voter, and so are alive.
+    pub(super) fn record_live_nodes(&mut self, now: Micros, nodes: &[(u32, u64)]) {
+        if let Some(reclaimer) = &mut self.lease_reclaimer {
             for (node, incarnation) in nodes {
-                duties.record_contact(now, *node, *incarnation);
+                reclaimer.record_contact(now, *node, *incarnation);
             }
         }
     }
@@ -252,21 +256,21 @@
         self.next_tick
     }
 
-    /// One step of time, if it is due.
+    /// Advances the voter by one tick, if one is due.
     pub(super) fn tick(&mut self, now: Micros) {
         if now < self.next_tick {
             return;
         }
-        // After a standstill, one tick is enough: what was missed is not made up for.
+        // Ticks missed while the process was stalled are skipped.
         self.next_tick = now + self.tick_interval;
         self.write_backlog();
-        if !self.takes_part() {
+        if !self.is_active() {
             return;
         }
         self.voter.tick();
-        self.follow_leadership(now);
-        if let Some(duties) = &mut self.leader_duties {
-            for operation in duties.poll_operations(now, self.voter.state()) {
+        self.update_leadership(now);
+        if let Some(reclaimer) = &mut self.lease_reclaimer {
+            for operation in reclaimer.poll_operations(now, self.voter.state()) {
                 self.voter.propose(&Command {
                     node: 0,
                     incarnation: 0,
@@ -277,32 +281,32 @@
         }
     }
 
-    fn follow_leadership(&mut self, now: Micros) {
-        match (&self.leader_duties, self.voter.is_leader()) {
+    fn update_leadership(&mut self, now: Micros) {
+        match (&self.lease_reclaimer, self.voter.is_leader()) {
             (None, true) => {
-                log::info!("agreement: this voter leads");
-                self.leader_duties = Some(LeaseReclaimer::new(now, self.terms));
+                log::info!("agreement: this voter is the leader now");
+                self.lease_reclaimer = Some(LeaseReclaimer::new(now, self.terms));
             }
             (Some(_), false) => {
-                log::info!("agreement: this voter leads no more");
-                self.leader_duties = None;
+                log::info!("agreement: this voter is no longer the leader");
+                self.lease_reclaimer = None;
             }
             (None, false) | (Some(_), true) => {}
         }
     }
 
-    /// What is to be sent now.
-    pub(super) fn work(&mut self, now: Micros) -> Output {
+    /// Has the voter's state written, and returns what is to be sent now.
+    pub(super) fn poll_output(&mut self, now: Micros) -> Output {
         let mut output = Output::default();
         self.answer_hellos(&mut output);
-        if !self.takes_part() {
+        if !self.is_active() {
             self.queries.clear();
             return output;
         }
         let effects = self.voter.poll_effects();
         for request in effects.persist_requests {
             let ticket = request.ticket;
-            self.write(Purpose::Voter(ticket), store::write_save(request));
+            self.write(WriteKind::Voter(ticket), store::persist_batch(request));
         }
         let messages = effects.messages.into_iter();
         output
@@ -313,16 +317,16 @@
             self.next_live_nodes = now + LIVE_NODES_INTERVAL;
             self.send_live_nodes(now, &mut output);
         }
-        if let Some(reason) = self.voter.stop_reason().filter(|_| !self.stop_is_logged) {
+        if let Some(reason) = self.voter.stop_reason().filter(|_| !self.is_stop_logged) {
             log::error!(
-                "agreement: the consensus has stopped here: {reason}. Restart the node; if it stops again, set its store aside"
+                "agreement: this voter has stopped and no longer votes: {reason}. Restart the node; if it stops again, set its store aside"
             );
-            self.stop_is_logged = true;
+            self.is_stop_logged = true;
         }
         output
     }
 
-    /// Answers the queries up to this one.
+    /// Answers the queries whose reads are confirmed.
     fn answer_queries(&mut self, confirmed: u64, output: &mut Output) {
         let later = self.queries.split_off(&(confirmed + 1));
         for query in std::mem::replace(&mut self.queries, later).into_values() {
@@ -337,11 +341,11 @@
         }
     }
 
-    /// Tells the other voters, of which one leads, which nodes have asked.
+    /// Reports the nodes that have queried this voter to all other voters, since any of them may be the leader.
     fn send_live_nodes(&mut self, now: Micros, output: &mut Output) {
         let live_nodes = std::mem::take(&mut self.live_nodes);
         let nodes: Vec<(u32, u64)> = live_nodes.into_iter().collect();
-        self.note_live_nodes(now, &nodes);
+        self.record_live_nodes(now, &nodes);
         for voter in &self.others {
             let nodes = nodes.clone();
             let frame = Frame::Node(Box::new(NodeMessage::ContactReport { nodes }));
--- a/crates/node/src/consensus/voting/store.rs
+++ b/crates/node/src/consensus/voting/store.rs
@@ -1,4 +1,4 @@
-//! What a voter has stored durably, and how it is written.
+//! The layout of a voter's store: reads it at the start, and builds the batches that are written.
 
 use super::VotingError;
 use crate::consensus::config::ConsensusConfig;
@@ -8,40 +8,40 @@
 use std::hash::{BuildHasher, RandomState};
 use std::os::unix::net::UnixStream;
 
-/// The names of what is stored besides the log.
+/// Names of the stored values; the log is stored beside them.
 const HARD_STATE: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
 const ADMITTED: &str = "proven";
-/// What the names of the numbers of other voters' stores begin with.
+/// Prefix of the values that hold other voters' store numbers.
 const VOTER_PREFIX: &str = "voter/";
 
-/// A store that was opened, and what it holds.
+/// An open store and its contents.
 pub(super) struct OpenedStore {
     pub(super) store: Store,
     /// The store's number.
     pub(super) number: u64,
-    /// The voter's state.
+    /// The voter's persisted state.
     pub(super) durable: PersistedState,
-    /// Whether all other voters have taken this store for the one of this voter, once.
+    /// Whether all other voters have welcomed this store.
     pub(super) is_admitted: bool,
-    /// The numbers of the other voters' stores.
+    /// The other voters' store numbers, by the voters' numbers.
     pub(super) known_stores: BTreeMap<u64, u64>,
 }
 
-/// Opens the store, or makes a new one.
+/// Opens the store, or creates it.
 ///
 /// # Errors
-/// It cannot be used, or another process uses it.
+/// The store cannot be used, or another process uses it.
 pub(super) fn open(
     config: &ConsensusConfig,
     signal: UnixStream,
 ) -> Result<OpenedStore, VotingError> {
-    let (store, loaded) = Store::open(&config.store, draw_number(), signal)?;
+    let (store, contents) = Store::open(&config.store, random_store_number(), signal)?;
     let StoredContents {
         store_number: number,
         values,
         entries,
-    } = loaded;
+    } = contents;
     let mut opened = OpenedStore {
         store,
         number,
@@ -67,16 +67,16 @@
     Ok(opened)
 }
 
-/// Notes that all other voters know this store.
-pub(super) fn write_admitted() -> WriteBatch {
+/// A batch that marks the store as welcomed by all other voters.
+pub(super) fn admission_batch() -> WriteBatch {
     WriteBatch {
         values: vec![(ADMITTED.to_owned(), Some(vec![1]))],
         ..WriteBatch::default()
     }
 }
 
-/// Notes the number of another voter's store.
-pub(super) fn write_known_store(voter: u64, store: u64) -> WriteBatch {
+/// A batch that records another voter's store number.
+pub(super) fn known_store_batch(voter: u64, store: u64) -> WriteBatch {
     let name = format!("{VOTER_PREFIX}{voter}");
     WriteBatch {
         values: vec![(name, Some(store.to_be_bytes().to_vec()))],
@@ -84,32 +84,32 @@
     }
 }
 
-/// Writes what the voter wants to be durable.
-pub(super) fn write_save(save: PersistRequest) -> WriteBatch {
-    let mut write = WriteBatch {
-        entries: save.entries,
+/// A batch of the state that the voter wants to be durable.
+pub(super) fn persist_batch(request: PersistRequest) -> WriteBatch {
+    let mut batch = WriteBatch {
+        entries: request.entries,
         ..WriteBatch::default()
     };
-    let hard_state = save
+    let hard_state = request
         .hard_state
         .map(|hard| (HARD_STATE.to_owned(), Some(hard)));
-    write.values.extend(hard_state);
-    if let Some(snapshot) = save.snapshot {
-        write
+    batch.values.extend(hard_state);
+    if let Some(snapshot) = request.snapshot {
+        batch
             .values
             .push((SNAPSHOT.to_owned(), Some(snapshot.bytes)));
-        let covered = if save.replaces_log {
+        let covered = if request.replaces_log {
             u64::MAX
         } else {
             snapshot.index
         };
-        write.drop_entries_to = Some(covered);
+        batch.drop_entries_to = Some(covered);
     }
-    write
+    batch
 }
 
-/// A number that no other store has.
-fn draw_number() -> u64 {
+/// A random number for a new store, unlikely to be that of another one. Its lowest bit is set, so that it is never 0.
+fn random_store_number() -> u64 {
     RandomState::new().hash_one(std::process::id()) | 1
 }
 
--- a/crates/node/src/federation/answers.rs
+++ b/crates/node/src/federation/answers.rs
@@ -1,4 +1,4 @@
-//! What the sites' answers mean for the jobs.
+//! Applies the answers of other sites to the jobs that were forwarded to them.
 
 use super::RETRY_INTERVAL;
 use crate::context::Context;
@@ -10,72 +10,77 @@
 use marbledeck_submission::JobState;
 use serde_json::Value;
 
-/// What was asked about a job.
+/// The kinds of queries about a job.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Query {
-    /// Whether the site takes it.
+    /// Submits the job, and asks whether the site accepts it.
     Submit,
-    /// How it ends.
+    /// Asks for the job's outcome, for which the site waits.
     Wait,
 }
 
-/// A query that is not answered yet.
-pub(super) struct OpenQuery {
+/// A query that was not answered yet.
+pub(super) struct PendingQuery {
     /// The job that it is about.
     pub(super) job: RequestId,
-    /// What was asked.
+    /// The kind of query.
     pub(super) query: Query,
-    /// From then on the site counts as silent.
+    /// When the query times out.
     pub(super) deadline: Micros,
 }
 
-/// Closes a query: the job that it was about, which may be asked about again after a pause.
-fn close_query<'a>(
+/// Clears the pending query of a job, schedules the job's next step after the retry interval, and returns the job.
+fn end_query<'a>(
     now: Micros,
-    open: &OpenQuery,
+    pending: &PendingQuery,
     jobs: &'a mut ForwardedJobs,
 ) -> Option<&'a mut ForwardedJob> {
-    jobs.schedule(open.job, now + RETRY_INTERVAL);
-    let job = jobs.get_mut(open.job)?;
-    job.open_query = None;
+    jobs.schedule(pending.job, now + RETRY_INTERVAL);
+    let job = jobs.get_mut(pending.job)?;
+    job.pending_query = None;
     Some(job)
 }
 
-/// A query will not be answered.
-pub(super) fn handle_lost_query(now: Micros, open: &OpenQuery, context: &mut Context) {
+/// Handles a query whose answer is lost. A site that was asked to accept the job may have done so.
+pub(super) fn handle_lost_query(now: Micros, pending: &PendingQuery, context: &mut Context) {
     let Some(jobs) = &mut context.forwarded_jobs else {
         return;
     };
-    if let Some(job) = close_query(now, open, jobs) {
-        if open.query == Query::Submit {
+    if let Some(job) = end_query(now, pending, jobs) {
+        if pending.query == Query::Submit {
             job.placement.handle_response(SiteResponse::NoAnswer);
         }
     }
 }
 
-/// A site has answered a query.
-pub(super) fn handle_answer(now: Micros, open: &OpenQuery, answer: Value, context: &mut Context) {
+/// Handles a site's answer to a query.
+pub(super) fn handle_answer(
+    now: Micros,
+    pending: &PendingQuery,
+    answer: Value,
+    context: &mut Context,
+) {
     let Some(jobs) = &mut context.forwarded_jobs else {
         return;
     };
-    let Some(job) = close_query(now, open, jobs) else {
+    let Some(job) = end_query(now, pending, jobs) else {
         return;
     };
-    match open.query {
+    match pending.query {
         Query::Submit => {
             let outcome = submission_outcome(job, answer);
-            let is_lost = outcome == SiteResponse::NoAnswer;
+            let is_unanswered = outcome == SiteResponse::NoAnswer;
             job.placement.handle_response(outcome);
-            // After one that put it off, all have been asked before there is a pause.
-            if !is_lost {
-                jobs.schedule(open.job, now);
+            // The next site is asked at once. `Placement` pauses after all sites have asked for a later retry.
+            if !is_unanswered {
+                jobs.schedule(pending.job, now);
             }
         }
-        Query::Wait => handle_wait_answer(now, open.job, answer, context),
+        Query::Wait => handle_wait_answer(now, pending.job, answer, context),
     }
 }
 
-/// What a site's answer to a submission means.
+/// Decodes a site's answer to a submission.
 fn submission_outcome(job: &mut ForwardedJob, answer: Value) -> SiteResponse {
     match serde_json::from_value::<Submitted>(answer) {
         Ok(Submitted::Accepted(accepted)) => {
@@ -87,12 +92,12 @@
             (_, Some(version)) => SiteResponse::Outdated(version),
             _ => SiteResponse::Rejected(problem.message),
         },
-        // What makes no sense may be the answer of one that has the job.
+        // A site whose answer cannot be decoded may have accepted the job.
         Err(_) => SiteResponse::NoAnswer,
     }
 }
 
-/// A site has said how a job is, or why it cannot.
+/// Handles a site's answer to a wait: the state of the job, or an error.
 fn handle_wait_answer(now: Micros, id: RequestId, answer: Value, context: &mut Context) {
     match serde_json::from_value::<JobInfo>(answer["jobInfo"].clone()) {
         Ok(info) if info.job_state.is_final() => {
@@ -103,13 +108,13 @@
             };
             finish(id, answer, context);
         }
-        Ok(_) => ask_at_once(now, id, context),
+        Ok(_) => schedule_now(now, id, context),
         Err(_) => match serde_json::from_value::<Problem>(answer) {
-            Ok(problem) if problem.error == ErrorId::Timeout => ask_at_once(now, id, context),
+            Ok(problem) if problem.error == ErrorId::Timeout => schedule_now(now, id, context),
             Ok(problem) if problem.error == ErrorId::InvalidArgument => {
-                // It had the job and knows nothing of it: it may have run.
+                // The site accepted the job but does not know it any more. The job may have run.
                 log::warn!(
-                    "sites: a job that was taken is not known there: {}",
+                    "sites: job {id:?} fails: the site that accepted it does not know it any more: {}",
                     problem.message
                 );
                 finish(id, FinalAnswer::Failed, context);
@@ -119,13 +124,13 @@
     }
 }
 
-fn ask_at_once(now: Micros, id: RequestId, context: &mut Context) {
+fn schedule_now(now: Micros, id: RequestId, context: &mut Context) {
     if let Some(jobs) = &mut context.forwarded_jobs {
         jobs.schedule(id, now);
     }
 }
 
-/// A job has ended: its final answer goes to whoever waits for it.
+/// Removes a job that has ended, and passes its final answer to the core unless the job is abandoned.
 pub(super) fn finish(id: RequestId, answer: FinalAnswer, context: &mut Context) {
     let jobs = context.forwarded_jobs.as_mut();
     let job = jobs.and_then(|jobs| jobs.remove(id));
--- a/crates/node/src/federation/mod.rs
+++ b/crates/node/src/federation/mod.rs
@@ -1,7 +1,7 @@
-//! The connections to other sites: a service that submits jobs there and asks how they end.
+//! The federation service: submits jobs to other sites, and waits for their outcomes there.
 //!
-//! A job is offered to one site at a time. Which site is next is `marbledeck-federation`'s to say, and which jobs there
-//! are is in [`ForwardedJobs`].
+//! A job is offered to one site at a time. `marbledeck-federation` decides which site is next, and [`ForwardedJobs`]
+//! holds the jobs.
 
 mod answers;
 mod next_step;
@@ -12,7 +12,7 @@
 use crate::net::{Net, Peer, Ready, Token};
 use crate::placement::Sites;
 use crate::service::Service;
-use answers::{finish, handle_answer, handle_lost_query, OpenQuery, Query};
+use answers::{finish, handle_answer, handle_lost_query, PendingQuery, Query};
 use marbledeck_dispatcher::{Micros, RequestId};
 use marbledeck_submission::frame;
 use marbledeck_submission::message::{Operation, Request};
@@ -21,29 +21,30 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Connections to other sites: one for each that is asked, as long as there are no more of them.
+/// The most connections to other sites, one for each site. Beyond that, an idle one is closed before another is opened.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a site may take to answer a submission, and how much longer than asked for it may wait for a job's end.
+/// The timeout of a submission. A wait times out this long after the wait time that the site was asked for.
 const ANSWER_TIMEOUT: Micros = millis(2000);
-/// The pause before a site is asked again that could not be asked, or all sites that had put a job off.
+/// The pause before a site is tried again that could not be reached, or before another round of all sites that asked for
+/// a later retry.
 const RETRY_INTERVAL: Micros = millis(250);
 /// The longest line of a site, in bytes.
 const MAX_LINE: usize = 1024 * 1024;
-/// What a connection may hold besides one line.
+/// The input buffer of a connection beyond one line, in bytes.
 const INPUT_MARGIN: usize = 4096;
-/// While more bytes than this are still to be sent, no query is written.
+/// No query is written to a connection with more unsent bytes than this.
 const MAX_BACKLOG: usize = 256 * 1024;
-/// Jobs looked at in one turn.
+/// Jobs advanced per turn.
 const JOBS_PER_TURN: usize = 64;
 
 /// A connection to a site.
 struct Connection {
     address: SocketAddr,
-    /// By the numbers of the queries.
-    open: HashMap<u64, OpenQuery>,
+    /// The pending queries by their numbers.
+    pending: HashMap<u64, PendingQuery>,
 }
 
-/// The service for federation.
+/// The federation service.
 pub struct Federation {
     peer: Peer,
     connections: HashMap<Token, Connection>,
@@ -54,7 +55,7 @@
 }
 
 impl Federation {
-    /// No connection yet; events of its sockets are for `peer`.
+    /// A service without connections. `peer` routes events of its sockets to it.
     pub fn new(peer: Peer) -> Self {
         Federation {
             peer,
@@ -64,8 +65,8 @@
         }
     }
 
-    /// The connection to an address; made where there is none. None while it is too soon after the last try, or when
-    /// all connections are in use.
+    /// The connection to an address, which is opened where there is none. `None` within the retry interval of the last
+    /// attempt, or when all connections have pending queries.
     fn connect(&mut self, now: Micros, address: SocketAddr, net: &mut Net) -> Option<Token> {
         let mut connections = self.connections.iter();
         if let Some((token, _)) = connections.find(|(_, known)| known.address == address) {
@@ -80,7 +81,7 @@
         }
         if self.connections.len() >= MAX_CONNECTIONS {
             let mut connections = self.connections.iter();
-            let idle = connections.find(|(_, known)| known.open.is_empty());
+            let idle = connections.find(|(_, known)| known.pending.is_empty());
             let token = idle.map(|(token, _)| *token)?;
             net.close(token);
             self.connections.remove(&token);
@@ -91,13 +92,13 @@
         net.raise_buffer_limit(token, MAX_LINE + INPUT_MARGIN);
         let connection = Connection {
             address,
-            open: HashMap::new(),
+            pending: HashMap::new(),
         };
         self.connections.insert(token, connection);
         Some(token)
     }
 
-    /// A connection is lost: what was asked over it has no answer.
+    /// Closes a connection. Its pending queries get no answer.
     fn drop_connection(&mut self, now: Micros, token: Token, context: &mut Context) {
         context.net.close(token);
         let Some(connection) = self.connections.remove(&token) else {
@@ -105,12 +106,12 @@
         };
         self.connect_after
             .insert(connection.address, now + RETRY_INTERVAL);
-        for open in connection.open.into_values() {
-            handle_lost_query(now, &open, context);
+        for pending in connection.pending.into_values() {
+            handle_lost_query(now, &pending, context);
         }
     }
 
-    /// Does what is due about a job.
+    /// Takes the next step for a job.
     fn advance(&mut self, now: Micros, id: RequestId, context: &mut Context) {
         let Some(jobs) = &mut context.forwarded_jobs else {
             return;
@@ -120,17 +121,17 @@
         let Some(job) = jobs.get_mut(id) else {
             return;
         };
-        let may_be_taken = job.placement.may_be_placed();
-        if now >= job.deadline || job.is_abandoned && !may_be_taken {
-            // What a site may have may have run.
-            let answer = if may_be_taken {
+        let may_be_placed = job.placement.may_be_placed();
+        if now >= job.deadline || job.is_abandoned && !may_be_placed {
+            // A job that a site may have accepted may have run.
+            let answer = if may_be_placed {
                 FinalAnswer::Failed
             } else {
                 FinalAnswer::Rejected(Some(RETRY_INTERVAL))
             };
             return finish(id, answer, context);
         }
-        if job.open_query.is_some() {
+        if job.pending_query.is_some() {
             return;
         }
         let sites = Sites::read(&context.records, now);
@@ -140,9 +141,9 @@
                 op,
                 query,
             } => self.ask(now, id, address, *op, query, context),
-            NextStep::Ask { address: None, .. } | NextStep::Nothing => {}
+            NextStep::Ask { address: None, .. } | NextStep::Wait => {}
             NextStep::Reject(reason) => {
-                log::info!("sites: no site takes a job: {reason}");
+                log::info!("sites: rejecting job {id:?}, since no site accepts it: {reason}");
                 finish(id, FinalAnswer::Rejected(Some(RETRY_INTERVAL)), context);
             }
         }
@@ -177,18 +178,18 @@
             Query::Wait => now + millis(WAIT_MS) + ANSWER_TIMEOUT,
         };
         if let Some(connection) = self.connections.get_mut(&token) {
-            let open = OpenQuery {
+            let pending = PendingQuery {
                 job,
                 query,
                 deadline,
             };
-            connection.open.insert(number, open);
+            connection.pending.insert(number, pending);
         }
         if let Some(jobs) = &mut context.forwarded_jobs {
-            // Until there is an answer, or none can be any more.
+            // An answer, a timeout or the job's deadline reschedules it.
             jobs.schedule(job, Micros(u64::MAX));
             if let Some(job) = jobs.get_mut(job) {
-                job.open_query = Some(number);
+                job.pending_query = Some(number);
             }
         }
     }
@@ -221,26 +222,26 @@
             };
             context.net.touch(token);
             let Ok(line) = line else {
-                log::warn!("sites: a line that makes no sense");
+                log::warn!("sites: closing a connection after a line that is not valid JSON");
                 return self.drop_connection(now, token, context);
             };
             let number = line["seq"].as_u64();
-            if let Some(open) = number.and_then(|number| connection.open.remove(&number)) {
-                handle_answer(now, &open, line, context);
+            if let Some(pending) = number.and_then(|number| connection.pending.remove(&number)) {
+                handle_answer(now, &pending, line, context);
             }
         }
     }
 
     fn next_wake(&self) -> Option<Micros> {
         let connections = self.connections.values();
-        let open = connections.flat_map(|connection| connection.open.values());
-        open.map(|open| open.deadline).min()
+        let pending = connections.flat_map(|connection| connection.pending.values());
+        pending.map(|pending| pending.deadline).min()
     }
 
     fn wake(&mut self, now: Micros, context: &mut Context) {
         let is_silent = |connection: &Connection| {
-            let mut open = connection.open.values();
-            open.any(|open| open.deadline <= now)
+            let mut pending = connection.pending.values();
+            pending.any(|pending| pending.deadline <= now)
         };
         let silent: Vec<Token> = self
             .connections
--- a/crates/node/src/federation/next_step.rs
+++ b/crates/node/src/federation/next_step.rs
@@ -1,4 +1,4 @@
-//! Which site a job is offered to next, and what that site is asked.
+//! Decides the next step for a forwarded job: which site to ask, and the request to send.
 
 use super::answers::Query;
 use crate::placement::{ForwardedJob, Sites};
@@ -8,31 +8,32 @@
 use marbledeck_submission::Template;
 use std::net::SocketAddr;
 
-/// How many milliseconds a site is asked to wait for a job's end: so long after it falls silent it is asked anew.
+/// How long a site is asked to wait for a job's end, in milliseconds. A site that stops answering is asked again after
+/// that and the answer timeout.
 pub(super) const WAIT_MS: u64 = 2000;
 
-/// What is to be done next about a job.
+/// The next step for a job.
 pub(super) enum NextStep {
-    /// A site is to be asked; its address may not be known now.
+    /// Send this request to a site. `address` is `None` while the site's address is not known.
     Ask {
         address: Option<SocketAddr>,
         op: Box<Operation>,
         query: Query,
     },
-    /// Nothing.
-    Nothing,
-    /// No site takes it.
+    /// Wait: no site can be asked now.
+    Wait,
+    /// Reject the job, since no site accepts it.
     Reject(String),
 }
 
-/// The job's next step, with what is known of the sites now.
+/// The job's next step, given what is known of the sites now.
 pub(super) fn next_step(job: &mut ForwardedJob, sites: &Sites, own_site: &str) -> NextStep {
     let step = job.placement.next_step(&candidates(job, sites, own_site));
     let site = match &step {
         PlacementStep::Forward { site, .. } => Some(site.as_str()),
         _ => job.placement.accepted_by(),
     };
-    // Where the site was when it was asked first may be known no more; then it is asked again once it is.
+    // The address may be unknown by now. The site is then asked again once its record is active.
     let address = site
         .and_then(|site| sites.find(site))
         .map(|site| site.address);
@@ -55,12 +56,12 @@
             }),
             query: Query::Wait,
         },
-        (PlacementStep::Wait, None) => NextStep::Nothing,
+        (PlacementStep::Wait, None) => NextStep::Wait,
         (PlacementStep::Rejected(reason), _) => NextStep::Reject(reason),
     }
 }
 
-/// All other sites, and whether the job fits there.
+/// All other sites, with the result of matching the job against their catalogs.
 fn candidates(job: &ForwardedJob, sites: &Sites, own_site: &str) -> Vec<CandidateSite> {
     let manifest = job.template.manifest.clone().unwrap_or_default();
     let known = sites.known.iter().map(|site| CandidateSite {
@@ -79,7 +80,8 @@
         .collect()
 }
 
-/// The submission of a job to a site whose catalog has this version.
+/// The request that submits a job to a site. `catalog` is the version of the site's catalog that the job was checked
+/// against.
 fn submission(template: &Template, own_site: &str, catalog: u64) -> Operation {
     let forwarded = Forwarded {
         from: own_site.to_owned(),
--- a/crates/node/src/licensing_config.rs
+++ b/crates/node/src/licensing_config.rs
@@ -1,4 +1,4 @@
-//! The settings of licence seats.
+//! The settings of licence seats: the licences of a site, and those that each class of jobs needs.
 
 use crate::config_error::{ConfigError, ConfigProblem};
 use crate::config_file::{check_ranges, milliseconds, RangeCheck};
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// The part `[seats]` of the operator file, as it is written.
+/// The section `[seats]` of the operator file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct LicensingSection {
@@ -21,22 +21,22 @@
     10_000
 }
 
-/// The licences of this site.
+/// The validated settings of licence seats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LicensingConfig {
-    /// Their names, which are those of the pools in the records.
+    /// The licences, which are named as the pools in the records.
     pub licences: Vec<String>,
-    /// The licences that the jobs of a class need, by the name of the class.
+    /// The licences that a job needs, by its class.
     pub classes: BTreeMap<String, Vec<String>>,
-    /// Seats that were not used for so long are given back.
+    /// A node returns seats that it has not used for this long.
     pub idle: Micros,
 }
 
 impl LicensingSection {
-    /// Checks the values; `source` names the file and the part.
+    /// Validates the values; `source` names the file and the section.
     ///
     /// # Errors
-    /// The first key whose value is wrong.
+    /// The first key with an invalid value.
     pub(crate) fn check(self, source: &str) -> Result<LicensingConfig, ConfigError> {
         let checks = [
             RangeCheck::new("idle_ms", self.idle_ms, 100, 3_600_000),
--- a/crates/node/src/placement.rs
+++ b/crates/node/src/placement.rs
@@ -1,7 +1,7 @@
-//! Where jobs run: here, or at another site whose catalog fits their manifest; and the jobs that other sites are to
-//! run.
+//! Decides whether a job runs at this site or at another one, by its manifest and the sites' catalogs, and holds the
+//! jobs that are forwarded to other sites.
 //!
-//! The rules are those of `marbledeck-federation`; the catalogs are records that the nodes have agreed on.
+//! `marbledeck-federation` has the rules. The catalogs are records that the nodes have agreed on.
 
 use crate::records::AgreedRecords;
 use marbledeck_consensus::{Record, RecordBody, RecordValidity};
@@ -12,36 +12,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Jobs that other sites may have at a time. Each member of an array is one of its own here.
+/// The most jobs that may be forwarded at a time. Each member of a job array counts as one.
 const MAX_JOBS: usize = 16 * 1024;
-/// Bytes that the templates of these jobs may take together.
+/// The most memory that the templates of these jobs may use in total, in bytes.
 const MAX_TEMPLATE_BYTES: usize = 32 * 1024 * 1024;
-/// The first id of a forwarded job: none of the core's is as great.
+/// The first id of a forwarded job. The core's own ids are lower.
 const FIRST_ID: u64 = 1 << 63;
-/// After how many milliseconds a job may be submitted again that could not be placed for now.
+/// When a submitter is told to retry a job that cannot be placed now, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1000;
 
-/// A site whose record is in force.
+/// A site whose record is active.
 pub struct Site<'a> {
     /// Its name.
     pub name: &'a str,
-    /// Where it takes batch submissions.
+    /// The address on which it accepts batch submissions.
     pub address: SocketAddr,
     /// What it offers.
     pub catalog: &'a Catalog,
 }
 
-/// All sites that the records name.
+/// All sites in the records.
 #[derive(Default)]
 pub struct Sites<'a> {
-    /// Those whose record is in force.
+    /// The sites whose record is active.
     pub known: Vec<Site<'a>>,
-    /// The names of those whose record may be another by now.
+    /// The names of the sites whose record may have changed since this node read it.
     pub unknown: Vec<&'a str>,
 }
 
 impl<'a> Sites<'a> {
-    /// The sites by the records as they are known now.
+    /// Reads the sites from the records as this node knows them now.
     pub fn read(records: &'a AgreedRecords, now: Micros) -> Self {
         let mut sites = Sites::default();
         let Some(reader) = &records.reader else {
@@ -69,41 +69,41 @@
         sites
     }
 
-    /// The site of this name, if its record is in force.
+    /// The site of this name, if its record is active.
     pub fn find(&self, name: &str) -> Option<&Site<'a>> {
         self.known.iter().find(|site| site.name == name)
     }
 }
 
-/// A job for another site.
+/// A job that is forwarded to another site.
 pub struct ForwardedJob {
-    /// How far forwarding it has come.
+    /// The state of forwarding it.
     pub placement: Placement,
-    /// The job as it is submitted there.
+    /// The template that is submitted to the other site.
     pub template: Template,
-    /// From then on its answer is of no use.
+    /// When the submitter no longer needs an answer.
     pub deadline: Micros,
-    /// Its id at the site that has it.
+    /// Its id at the site that has accepted it.
     pub remote_id: Option<String>,
-    /// When something is to be done about it: its place in the order of the jobs.
+    /// When its next step is due, by which the jobs are ordered.
     due: Micros,
-    /// The number of the query about it that is not answered yet.
-    pub open_query: Option<u64>,
-    /// Nobody waits for its answer any more.
+    /// The number of the query about it that was not answered yet.
+    pub pending_query: Option<u64>,
+    /// Whether nobody waits for its answer any more.
     pub is_abandoned: bool,
 }
 
-/// The jobs that other sites are to run.
+/// The jobs that are forwarded to other sites.
 #[derive(Default)]
 pub struct ForwardedJobs {
     /// This site's name.
     own_site: String,
     jobs: BTreeMap<RequestId, ForwardedJob>,
     due: BTreeSet<(Micros, RequestId)>,
-    /// Bytes of the jobs' templates.
+    /// The memory that the jobs' templates use, in bytes.
     template_bytes: usize,
-    /// How many jobs there were.
-    forwarded: u64,
+    /// Number of jobs forwarded so far, from which ids are assigned.
+    forwarded_count: u64,
 }
 
 /// Where a job may run.
@@ -116,7 +116,7 @@
 }
 
 impl ForwardedJobs {
-    /// None yet, at the site of this name.
+    /// No jobs, at the site of this name.
     pub fn new(own_site: String) -> Self {
         ForwardedJobs {
             own_site,
@@ -129,10 +129,11 @@
         &self.own_site
     }
 
-    /// Where a job may run by its manifest, with what is known of the sites now.
+    /// Decides where a job may run, by its manifest and the catalogs that are known now. A job without a manifest runs here.
     ///
     /// # Errors
-    /// At no site, with every reason, or it cannot be known now.
+    /// No site can run the job, with every reason; or another site may, but no more jobs can be forwarded or the catalogs
+    /// are not known now.
     pub fn place(
         &self,
         now: Micros,
@@ -144,12 +145,12 @@
         };
         let sites = Sites::read(records, now);
         let own = sites.find(&self.own_site);
-        let here = check(manifest, own.map(|site| site.catalog));
+        let local_result = check(manifest, own.map(|site| site.catalog));
         if let Some(forwarded) = &template.forwarded {
             let own_version = own.map(|site| site.catalog.version);
-            return place_forwarded(forwarded.catalog, own_version, &here);
+            return place_forwarded(forwarded.catalog, own_version, &local_result);
         }
-        if here == MatchResult::Matches {
+        if local_result == MatchResult::Matches {
             return Ok(Destination::Here);
         }
         let others: Vec<(&str, MatchResult)> = sites
@@ -158,7 +159,10 @@
             .filter(|site| site.name != self.own_site)
             .map(|site| (site.name, check(manifest, Some(site.catalog))))
             .collect();
-        if others.iter().any(|(_, fit)| *fit == MatchResult::Matches) {
+        if others
+            .iter()
+            .any(|(_, result)| *result == MatchResult::Matches)
+        {
             if self.has_room(template) {
                 return Ok(Destination::Elsewhere);
             }
@@ -171,9 +175,11 @@
             let problem = Problem::later("what sites offer cannot be known now", RETRY_AFTER_MS);
             return Err(problem);
         }
-        let own = (self.own_site.as_str(), here);
+        let own = (self.own_site.as_str(), local_result);
         let all = [own].into_iter().chain(others);
-        let reasons: Vec<String> = all.map(|(name, fit)| format!("{name}: {fit}")).collect();
+        let reasons: Vec<String> = all
+            .map(|(name, result)| format!("{name}: {result}"))
+            .collect();
         Err(Problem::new(
             ErrorId::DeniedByDrms,
             format!("no site fits: {}", reasons.join("; ")),
@@ -185,40 +191,40 @@
             && self.template_bytes + template.memory_bytes() <= MAX_TEMPLATE_BYTES
     }
 
-    /// Takes over a job for another site. It gets one final answer.
-    pub fn forward(&mut self, now: Micros, order: &JobRequest) -> RequestId {
-        let id = RequestId(FIRST_ID + self.forwarded);
-        self.forwarded += 1;
-        let index = order.index;
-        // The job of this index alone, under a key by which the site knows it when it is asked again.
+    /// Adds a job to be forwarded. It gets exactly one final answer.
+    pub fn forward(&mut self, now: Micros, request: &JobRequest) -> RequestId {
+        let id = RequestId(FIRST_ID + self.forwarded_count);
+        self.forwarded_count += 1;
+        let index = request.index;
+        // Only the job of this index, under a submission key by which the site recognises a repeated submission.
         let mut template = Template {
-            remote_command: order.target.clone(),
-            job_category: order.class.to_owned(),
+            remote_command: request.target.clone(),
+            job_category: request.class.to_owned(),
             queue_name: None,
             args: None,
             input: None,
             input_base64: None,
-            job_name: order.template.name_at(index),
-            submission_key: order
+            job_name: request.template.name_at(index),
+            submission_key: request
                 .key
                 .clone()
-                .or_else(|| Some(format!("{}/{}", self.own_site, order.job_id))),
-            deadline_ms: Some(order.time_left.0 / 1000),
+                .or_else(|| Some(format!("{}/{}", self.own_site, request.job_id))),
+            deadline_ms: Some(request.time_left.0 / 1000),
             deadline_time: None,
             start_time: None,
             submit_as_hold: false,
             forwarded: None,
-            ..order.template.clone()
+            ..request.template.clone()
         };
-        template.set_input(order.body.clone());
+        template.set_input(request.body.clone());
         self.template_bytes += template.memory_bytes();
         let job = ForwardedJob {
             placement: Placement::default(),
             template,
-            deadline: now + order.time_left,
+            deadline: now + request.time_left,
             remote_id: None,
             due: now,
-            open_query: None,
+            pending_query: None,
             is_abandoned: false,
         };
         self.jobs.insert(id, job);
@@ -226,23 +232,23 @@
         id
     }
 
-    /// When something is next to be done.
+    /// When the next step of any job is due.
     pub fn next_wake(&self) -> Option<Micros> {
         self.due.first().map(|(due, _)| *due)
     }
 
-    /// The first job about which something is to be done by now.
+    /// The first job whose next step is due.
     pub fn first_due(&self, now: Micros) -> Option<RequestId> {
         let (due, id) = self.due.first()?;
         (*due <= now).then_some(*id)
     }
 
-    /// A job.
+    /// The forwarded job of this id.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut ForwardedJob> {
         self.jobs.get_mut(&id)
     }
 
-    /// Something is next to be done about a job at this moment, or at its deadline.
+    /// Schedules the next step of a job for this time, but no later than its deadline.
     pub fn schedule(&mut self, id: RequestId, due: Micros) {
         if let Some(job) = self.jobs.get_mut(&id) {
             self.due.remove(&(job.due, id));
@@ -251,7 +257,7 @@
         }
     }
 
-    /// Takes out a job that has ended.
+    /// Removes a job that has ended.
     pub fn remove(&mut self, id: RequestId) -> Option<ForwardedJob> {
         let job = self.jobs.remove(&id)?;
         self.due.remove(&(job.due, id));
@@ -259,24 +265,24 @@
         Some(job)
     }
 
-    /// Whether this is one of these jobs.
+    /// Whether this is the id of a forwarded job.
     pub fn contains(&self, id: RequestId) -> bool {
         id.0 >= FIRST_ID
     }
 
-    /// Takes a job back, if no site can have it; tells whether it did.
+    /// Removes a job, unless a site may have it. Returns whether it was removed.
     pub fn recall(&mut self, id: RequestId) -> bool {
-        let is_free = self
+        let is_unplaced = self
             .jobs
             .get(&id)
             .is_some_and(|job| !job.placement.may_be_placed());
-        if is_free {
+        if is_unplaced {
             self.remove(id);
         }
-        is_free
+        is_unplaced
     }
 
-    /// Nobody waits for the job any more. A site that has it runs it to its end.
+    /// Marks a job as abandoned: nobody waits for it any more. A site that has accepted it still runs it to its end.
     pub fn abandon(&mut self, id: RequestId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.is_abandoned = true;
@@ -284,14 +290,14 @@
     }
 }
 
-/// Whether a job that another site has forwarded may run here. It is checked against the present catalog, and never
-/// forwarded once more: two sites would pass it to and fro.
+/// Whether a job that another site has forwarded may run here, by the current catalog. It is never forwarded again, or two
+/// sites could pass it back and forth.
 fn place_forwarded(
     checked_version: u64,
     own_version: Option<u64>,
-    here: &MatchResult,
+    local_result: &MatchResult,
 ) -> Result<Destination, Problem> {
-    match (own_version, here) {
+    match (own_version, local_result) {
         (Some(version), _) if version != checked_version => Err(Problem {
             catalog_version: Some(version),
             ..Problem::new(
