--- a/crates/node/src/placement.rs
+++ b/crates/node/src/placement.rs
@@ -110,9 +110,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Destination {
     /// At this site.
-    Here,
+    Local,
     /// At another site.
-    Elsewhere,
+    Remote,
 }
 
 impl ForwardedJobs {
@@ -141,7 +141,7 @@
         records: &AgreedRecords,
     ) -> Result<Destination, Problem> {
         let Some(manifest) = &template.manifest else {
-            return Ok(Destination::Here);
+            return Ok(Destination::Local);
         };
         let sites = Sites::read(records, now);
         let own = sites.find(&self.own_site);
@@ -151,7 +151,7 @@
             return place_forwarded(forwarded.catalog, own_version, &local_result);
         }
         if local_result == MatchResult::Matches {
-            return Ok(Destination::Here);
+            return Ok(Destination::Local);
         }
         let others: Vec<(&str, MatchResult)> = sites
             .known
@@ -164,7 +164,7 @@
             .any(|(_, result)| *result == MatchResult::Matches)
         {
             if self.has_room(template) {
-                return Ok(Destination::Elsewhere);
+                return Ok(Destination::Remote);
             }
             let problem = Problem::later("too many jobs are at other sites", RETRY_AFTER_MS);
             return Err(problem);
@@ -305,7 +305,7 @@
                 format!("the catalog has version {version}"),
             )
         }),
-        (_, MatchResult::Matches) => Ok(Destination::Here),
+        (_, MatchResult::Matches) => Ok(Destination::Local),
         (_, MatchResult::Unknown) => Err(Problem::later(
             "this site's catalog cannot be known now",
             RETRY_AFTER_MS,
--- a/crates/node/src/submission/scheduler.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -56,8 +56,8 @@
             }
             None => Ok(Placement::Local),
             Some(jobs) => match jobs.place(*now, template, records)? {
-                Destination::Here => Ok(Placement::Local),
-                Destination::Elsewhere => Ok(Placement::Remote),
+                Destination::Local => Ok(Placement::Local),
+                Destination::Remote => Ok(Placement::Remote),
             },
         }
     }
