--- a/crates/federation/src/bounds.rs
+++ b/crates/federation/src/bounds.rs
@@ -1,24 +1,24 @@
-//! Bounds of catalogs and manifests: what others declare is stored and compared, so it must not grow without end.
+//! Size limits of catalogs and manifests. Both come from others and are stored and compared, so their size must be bounded.
 
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// The most entries of one set of a catalog or a manifest.
+/// The most entries in one set of a catalog or a manifest.
 pub const MAX_ENTRIES: usize = 1000;
 /// The longest name, in bytes.
 pub const MAX_NAME_LENGTH: usize = 128;
 
-/// What is wrong with a catalog or manifest itself.
+/// A catalog or a manifest exceeds its limits.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key}: {problem}")]
 pub struct BoundsError {
-    /// The key at fault.
+    /// The key with the invalid value.
     pub key: &'static str,
-    /// What is wrong with it, and what is wanted.
+    /// What is expected of the value.
     pub problem: &'static str,
 }
 
-/// A set of names, with its key.
+/// A key and its set of names.
 pub(crate) type NamedSet<'a> = (&'static str, &'a BTreeSet<String>);
 
 /// Checks the number of entries of each set, and the length of each name.
@@ -28,7 +28,7 @@
             let problem = "want 1000 entries at most";
             return Err(BoundsError { key, problem });
         }
-        if !set.iter().all(|name| is_name(name)) {
+        if !set.iter().all(|name| has_valid_length(name)) {
             let problem = "want names of 1 to 128 bytes";
             return Err(BoundsError { key, problem });
         }
@@ -36,9 +36,9 @@
     Ok(())
 }
 
-/// Checks a figure that must be a number, 0 or more.
-pub(crate) fn check_figure(key: &'static str, figure: f64) -> Result<(), BoundsError> {
-    if figure.is_finite() && figure >= 0.0 {
+/// Checks that a value is a finite number of 0 or more.
+pub(crate) fn check_number(key: &'static str, value: f64) -> Result<(), BoundsError> {
+    if value.is_finite() && value >= 0.0 {
         Ok(())
     } else {
         let problem = "want a number, 0 or more";
@@ -46,7 +46,7 @@
     }
 }
 
-/// Whether a text has the length of a name.
-pub(crate) fn is_name(text: &str) -> bool {
+/// Whether a text has a valid length for a name.
+pub(crate) fn has_valid_length(text: &str) -> bool {
     !text.is_empty() && text.len() <= MAX_NAME_LENGTH
 }
--- a/crates/federation/src/catalog.rs
+++ b/crates/federation/src/catalog.rs
@@ -1,32 +1,32 @@
-//! What a site offers.
+//! The catalog of a site.
 
-use crate::bounds::{check_figure, check_sets, BoundsError};
+use crate::bounds::{check_number, check_sets, BoundsError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What a site offers. Sets name what there is; what they do not name there is not.
+/// What a site offers to jobs. Each set is complete: the site does not have what its sets do not name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Catalog {
-    /// Counts its changes; the site sets it.
+    /// The version, which the site raises with each change.
     pub version: u64,
-    /// Classes of jobs that it runs.
+    /// Classes of jobs that the site runs.
     pub classes: BTreeSet<String>,
-    /// Kinds of worker.
+    /// Kinds of worker that the site has.
     pub kinds: BTreeSet<String>,
-    /// Slots that one job may take.
+    /// The most slots that one job may use.
     pub slots: f64,
-    /// Memory that one job may take, in the workers' units.
+    /// The most memory that one job may use, in the workers' units.
     pub memory: f64,
-    /// Licences of which it has seats.
+    /// Licences of which the site has seats.
     pub licences: BTreeSet<String>,
-    /// Codecs.
+    /// Codecs that the site supports.
     pub codecs: BTreeSet<String>,
-    /// Formats.
+    /// Formats that the site supports.
     pub formats: BTreeSet<String>,
-    /// Where its data may lie.
+    /// Regions in which the site may store data.
     pub regions: BTreeSet<String>,
-    /// For how long its workers drop repeats of a key, in milliseconds; none where they do not.
+    /// For how long the site's workers drop requests that repeat a key, in milliseconds; `None` where they do not.
     pub key_window_ms: Option<u64>,
     /// The longest run of a job, in milliseconds.
     pub longest_run_ms: u64,
@@ -51,10 +51,10 @@
 }
 
 impl Catalog {
-    /// Checks that it keeps within its bounds.
+    /// Checks the catalog's size and numbers.
     ///
     /// # Errors
-    /// The key that does not.
+    /// The first key with an invalid value.
     pub fn validate(&self) -> Result<(), BoundsError> {
         check_sets(&[
             ("classes", &self.classes),
@@ -64,7 +64,7 @@
             ("formats", &self.formats),
             ("regions", &self.regions),
         ])?;
-        check_figure("slots", self.slots)?;
-        check_figure("memory", self.memory)
+        check_number("slots", self.slots)?;
+        check_number("memory", self.memory)
     }
 }
--- a/crates/federation/src/lib.rs
+++ b/crates/federation/src/lib.rs
@@ -1,6 +1,8 @@
-//! Federation of sites: what a job needs, what a site offers, whether the one matches the other, and which site a job is
-//! forwarded to. No input or output, no clock: the check is a pure function of both, total, and bounded by what they hold
-//! (`docs/design/agreement.md`, guarantee 12).
+//! Federation of sites: the manifest of a job states what it needs, and the catalog of a site what it offers. This crate
+//! matches the two, and chooses the site that a job is forwarded to.
+//!
+//! It has no input, output or clock. The check is a pure function that never fails, and its cost is bounded by the size of
+//! the manifest and the catalog (`docs/design/agreement.md`, guarantee 12).
 //!
 //! ```
 //! use marbledeck_federation::{check, Catalog, Manifest, MatchResult};
--- a/crates/federation/src/matching.rs
+++ b/crates/federation/src/matching.rs
@@ -1,4 +1,4 @@
-//! Whether a site can run a job.
+//! Matches the manifest of a job against the catalog of a site.
 
 use crate::{Catalog, Manifest};
 use std::collections::BTreeSet;
@@ -8,37 +8,37 @@
 /// Why a site cannot run a job.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Mismatch {
-    /// Something is named that the site does not have.
+    /// The job needs something that the site does not have.
     #[error("{need}: '{name}' is not offered")]
     Missing {
-        /// Which need: `class`, `licences`, `codecs` or `formats`.
+        /// The manifest's key: `class`, `licences`, `codecs` or `formats`.
         need: &'static str,
-        /// The name.
+        /// The name that the catalog lacks.
         name: String,
     },
     /// The site has none of the kinds that the job accepts.
     #[error("kinds: none of those wanted is there")]
     NoKind,
-    /// More is wanted than a job may take, or a value that is not a number.
+    /// The job needs more than the site's limit for one job, or the manifest's value is negative or not a number.
     #[error("{need}: {wanted} wanted, at most {limit} a job")]
     ExceedsLimit {
-        /// Which need: `slots`, `memory`, `key_window_ms` or `run_ms`.
+        /// The manifest's key: `slots`, `memory`, `key_window_ms` or `run_ms`.
         need: &'static str,
-        /// What the job wants.
+        /// The manifest's value.
         wanted: f64,
-        /// What the site gives.
+        /// The site's limit.
         limit: f64,
     },
-    /// The site may store data where the job's must not be.
+    /// The site may store data in a region that the job does not allow.
     #[error("regions: data may lie in '{0}'")]
     Region(String),
-    /// The site does not state where it stores data.
+    /// The job limits the regions, but the site does not state any.
     #[error("regions: the site does not say where data lies")]
     NoRegion,
 }
 
 impl Mismatch {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
             Mismatch::Missing { .. } => "add it to the site's catalog, if the site has it; else send the job to a site that does",
@@ -50,14 +50,14 @@
     }
 }
 
-/// The outcome of a check.
+/// The result of matching a manifest against a catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MatchResult {
-    /// The site can run it.
+    /// The site can run the job.
     Matches,
-    /// It cannot, for all of these reasons.
+    /// The site cannot run the job, for all of these reasons.
     Mismatches(Vec<Mismatch>),
-    /// What the site offers is not known now.
+    /// The site's catalog is not known now.
     Unknown,
 }
 
@@ -66,32 +66,32 @@
         match self {
             MatchResult::Matches => f.write_str("fits"),
             MatchResult::Unknown => f.write_str("what the site offers is not known now"),
-            MatchResult::Mismatches(reasons) => {
-                let reasons: Vec<String> = reasons.iter().map(Mismatch::to_string).collect();
-                f.write_str(&reasons.join("; "))
+            MatchResult::Mismatches(mismatches) => {
+                let mismatches: Vec<String> = mismatches.iter().map(Mismatch::to_string).collect();
+                f.write_str(&mismatches.join("; "))
             }
         }
     }
 }
 
-/// Whether a site with this catalog, or with one that is not known, can run a job. Every reason against it is named.
-/// Costs no more than the entries of both.
+/// Checks whether a site with this catalog can run a job; `catalog` is `None` where it is not known. The result names every
+/// mismatch. The cost grows with the number of entries of both.
 pub fn check(manifest: &Manifest, catalog: Option<&Catalog>) -> MatchResult {
     let Some(catalog) = catalog else {
         return MatchResult::Unknown;
     };
-    let mut reasons = Vec::new();
-    check_names(manifest, catalog, &mut reasons);
-    check_figures(manifest, catalog, &mut reasons);
-    check_regions(manifest, catalog, &mut reasons);
-    if reasons.is_empty() {
+    let mut mismatches = Vec::new();
+    check_names(manifest, catalog, &mut mismatches);
+    check_numbers(manifest, catalog, &mut mismatches);
+    check_regions(manifest, catalog, &mut mismatches);
+    if mismatches.is_empty() {
         MatchResult::Matches
     } else {
-        MatchResult::Mismatches(reasons)
+        MatchResult::Mismatches(mismatches)
     }
 }
 
-fn check_names(manifest: &Manifest, catalog: &Catalog, reasons: &mut Vec<Mismatch>) {
+fn check_names(manifest: &Manifest, catalog: &Catalog, mismatches: &mut Vec<Mismatch>) {
     let class: BTreeSet<String> = [manifest.class.clone()].into();
     let sets = [
         ("class", &class, &catalog.classes),
@@ -101,31 +101,31 @@
     ];
     for (need, wanted, offered) in sets {
         let missing = wanted.difference(offered).cloned();
-        reasons.extend(missing.map(|name| Mismatch::Missing { need, name }));
+        mismatches.extend(missing.map(|name| Mismatch::Missing { need, name }));
     }
     if !manifest.kinds.is_empty() && manifest.kinds.is_disjoint(&catalog.kinds) {
-        reasons.push(Mismatch::NoKind);
+        mismatches.push(Mismatch::NoKind);
     }
 }
 
-fn check_figures(manifest: &Manifest, catalog: &Catalog, reasons: &mut Vec<Mismatch>) {
-    let as_figure = |ms: Option<u64>| ms.map(|ms| ms as f64);
+fn check_numbers(manifest: &Manifest, catalog: &Catalog, mismatches: &mut Vec<Mismatch>) {
+    let as_number = |ms: Option<u64>| ms.map(|ms| ms as f64);
     let key_window = catalog.key_window_ms.unwrap_or(0) as f64;
     let longest_run = catalog.longest_run_ms as f64;
-    let figures = [
+    let limits = [
         ("slots", manifest.slots, catalog.slots),
         ("memory", manifest.memory, catalog.memory),
         (
             "key_window_ms",
-            as_figure(manifest.key_window_ms),
+            as_number(manifest.key_window_ms),
             key_window,
         ),
-        ("run_ms", as_figure(manifest.run_ms), longest_run),
+        ("run_ms", as_number(manifest.run_ms), longest_run),
     ];
-    for (need, wanted, limit) in figures {
-        // A value that is not a number is within no limit.
+    for (need, wanted, limit) in limits {
+        // NaN lies outside any range, so it is a mismatch.
         if let Some(wanted) = wanted.filter(|wanted| !(0.0..=limit).contains(wanted)) {
-            reasons.push(Mismatch::ExceedsLimit {
+            mismatches.push(Mismatch::ExceedsLimit {
                 need,
                 wanted,
                 limit,
@@ -134,13 +134,13 @@
     }
 }
 
-fn check_regions(manifest: &Manifest, catalog: &Catalog, reasons: &mut Vec<Mismatch>) {
+fn check_regions(manifest: &Manifest, catalog: &Catalog, mismatches: &mut Vec<Mismatch>) {
     if manifest.regions.is_empty() {
         return;
     }
     if catalog.regions.is_empty() {
-        reasons.push(Mismatch::NoRegion);
+        mismatches.push(Mismatch::NoRegion);
     }
     let forbidden = catalog.regions.difference(&manifest.regions).cloned();
-    reasons.extend(forbidden.map(Mismatch::Region));
+    mismatches.extend(forbidden.map(Mismatch::Region));
 }
--- a/crates/federation/src/placement.rs
+++ b/crates/federation/src/placement.rs
@@ -1,10 +1,10 @@
-//! A job that is forwarded to another site: which site is asked, and what follows from its answers. One site at a time,
-//! and never a second one before the first is known not to have the job.
+//! The state machine of a job that is forwarded to another site: chooses the site to ask, and handles its answers. One site
+//! is asked at a time, and a second one only when the first is known not to have the job, so that the job never runs twice.
 
 use crate::MatchResult;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A site that may run a job, as it is known now.
+/// A site that may run a job, with what is known of it now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CandidateSite {
     /// Its name.
@@ -15,7 +15,7 @@
     pub result: MatchResult,
 }
 
-/// What is to be done with the job.
+/// The next step for a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlacementStep {
     /// Forward it to this site under the job's key.
@@ -25,43 +25,44 @@
         /// The version of its catalog that the job was checked against.
         catalog_version: u64,
     },
-    /// Nothing now: no site is known to match, or all that match asked for a later retry.
+    /// Wait: a site has accepted the job, all sites that match asked for a later retry, or the catalog of a site is not
+    /// known.
     Wait,
-    /// No site takes it, for this reason. It was placed nowhere.
+    /// No site accepts the job, for this reason. It was placed nowhere.
     Rejected(String),
 }
 
-/// What a site has answered.
+/// The response of a site that was asked to run a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SiteResponse {
-    /// It has taken the job.
+    /// The site has accepted the job.
     Accepted,
-    /// It has not, since its catalog has this version by now.
+    /// The site has not accepted the job, since its catalog has this version by now.
     Outdated(u64),
-    /// It has not, and will not, for this reason.
+    /// The site has rejected the job for this reason.
     Rejected(String),
-    /// It has not; a retry later may succeed.
+    /// The site has not accepted the job now; a later retry may succeed.
     RetryLater,
-    /// No answer has come: it may have the job.
+    /// No answer has come, so the site may have the job.
     NoAnswer,
 }
 
 /// Where the job is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 enum State {
-    /// At no other site.
+    /// No other site has it.
     #[default]
     Unplaced,
-    /// This site was asked and may have it.
+    /// This site was asked to run it, and may have accepted it.
     Offered { site: String, catalog_version: u64 },
-    /// This site has taken it.
+    /// This site has accepted it.
     Accepted { site: String },
 }
 
 /// A site's rejection.
 #[derive(Clone, Debug)]
 struct Rejection {
-    /// It counts for catalogs up to this version.
+    /// The rejection holds for catalogs up to this version.
     catalog_version: u64,
     reason: String,
 }
@@ -71,16 +72,16 @@
 pub struct Placement {
     state: State,
     rejections: BTreeMap<String, Rejection>,
-    /// Sites that asked for a later retry, in this round.
+    /// Sites that asked for a later retry in this round.
     retry_later: BTreeSet<String>,
 }
 
 impl Placement {
-    /// What is to be done, with what is known of the sites now.
+    /// The next step for the job, given what is known of the sites now.
     pub fn next_step(&mut self, sites: &[CandidateSite]) -> PlacementStep {
         match &self.state {
             State::Accepted { .. } => return PlacementStep::Wait,
-            // The same request again, to the letter: the key tells the site whether it has the job.
+            // Repeats exactly the same request. The site recognises the job by its key if it has accepted it.
             State::Offered {
                 site,
                 catalog_version,
@@ -104,30 +105,30 @@
             };
         }
         if !self.retry_later.is_empty() || self.is_any_unknown(sites) {
-            // Another round, after a pause.
+            // The caller waits before it begins another round.
             self.retry_later.clear();
             return PlacementStep::Wait;
         }
         PlacementStep::Rejected(self.rejection_text(sites))
     }
 
-    /// Whether a site's rejection does not, or no longer, count.
-    fn is_open(&self, site: &CandidateSite) -> bool {
+    /// Whether a site has not rejected the job, or has a newer catalog since it did.
+    fn is_eligible(&self, site: &CandidateSite) -> bool {
         let rejection = self.rejections.get(&site.name);
         rejection.is_none_or(|rejection| site.catalog_version > rejection.catalog_version)
     }
 
-    /// The first open site that matches and did not ask for a later retry.
+    /// The first eligible site that matches the job and did not ask for a later retry in this round.
     fn next_match<'a>(&self, sites: &'a [CandidateSite]) -> Option<&'a CandidateSite> {
-        let mut open = sites.iter().filter(|site| self.is_open(site));
-        open.find(|site| {
+        let mut eligible = sites.iter().filter(|site| self.is_eligible(site));
+        eligible.find(|site| {
             site.result == MatchResult::Matches && !self.retry_later.contains(&site.name)
         })
     }
 
     fn is_any_unknown(&self, sites: &[CandidateSite]) -> bool {
-        let mut open = sites.iter().filter(|site| self.is_open(site));
-        open.any(|site| site.result == MatchResult::Unknown)
+        let mut eligible = sites.iter().filter(|site| self.is_eligible(site));
+        eligible.any(|site| site.result == MatchResult::Unknown)
     }
 
     fn rejection_text(&self, sites: &[CandidateSite]) -> String {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The site that was asked has answered, or has not.
+    /// Handles the response of the site that was asked, or the lack of one.
     pub fn handle_response(&mut self, response: SiteResponse) {
         let State::Offered {
             site,
@@ -162,11 +163,11 @@
                 State::Unplaced
             }
             SiteResponse::Outdated(current) => {
-                // Until a catalog of that version is known here.
-                let catalog_known = current.max(catalog_version + 1) - 1;
+                // The rejection holds until a catalog of the site's version is known here.
+                let rejected_version = current.max(catalog_version + 1) - 1;
                 let reason =
                     format!("its catalog has version {current}, {catalog_version} was known");
-                self.reject(site, catalog_known, reason)
+                self.reject(site, rejected_version, reason)
             }
             SiteResponse::Rejected(reason) => self.reject(site, catalog_version, reason),
         };
@@ -181,12 +182,12 @@
         State::Unplaced
     }
 
-    /// Whether some site may have the job.
+    /// Whether a site has the job, or may have it.
     pub fn may_be_placed(&self) -> bool {
         self.state != State::Unplaced
     }
 
-    /// The site that has taken it.
+    /// The site that has accepted the job.
     pub fn accepted_by(&self) -> Option<&str> {
         match &self.state {
             State::Accepted { site } => Some(site),
--- a/crates/federation/tests/golden.rs
+++ b/crates/federation/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Golden forms of catalogs and manifests: what travels between sites, and the texts that operators and clients read.
+//! Golden tests of the JSON of catalogs and manifests, which sites exchange, and of the texts that operators and clients
+//! read.
 //!
-//! The snapshots were written before any rename of the code. A test here may follow a renamed item; a snapshot that
-//! changes is a change of the protocol.
+//! A rename in the code must not change a snapshot: a change to the JSON in one is a change of the protocol.
 
 use marbledeck_federation::{
     check, BoundsError, CandidateSite, Catalog, Manifest, MatchResult, Mismatch, Placement,
@@ -27,7 +27,7 @@
     format!("{label}: {json}\n")
 }
 
-/// One line of a snapshot: what a given text is decoded to, encoded again, or the error that a peer is told.
+/// Two lines of a snapshot: the label and a JSON text, then its decoded value encoded again, or the error that a peer gets.
 fn decoded_line<T: Serialize + DeserializeOwned>(label: &str, json: &str) -> String {
     let outcome = match serde_json::from_str::<T>(json) {
         Ok(value) => serde_json::to_string(&value).expect("a value that can be encoded"),
@@ -36,8 +36,8 @@
     format!("{label}: {json}\n  => {outcome}\n")
 }
 
-fn names(of: &[&str]) -> BTreeSet<String> {
-    of.iter().map(|name| (*name).to_owned()).collect()
+fn names(list: &[&str]) -> BTreeSet<String> {
+    list.iter().map(|name| (*name).to_owned()).collect()
 }
 
 fn full_catalog() -> Catalog {
@@ -71,8 +71,8 @@
     }
 }
 
-/// Fits the full catalog in nothing.
-fn unfit_manifest() -> Manifest {
+/// A manifest of which every key is a mismatch with the full catalog.
+fn mismatching_manifest() -> Manifest {
     Manifest {
         class: "sheet".into(),
         kinds: names(&["tape"]),
@@ -140,7 +140,7 @@
         json_line("only a class", &only_class),
         json_line("zeroes", &zeroes),
         json_line("full", &full_manifest()),
-        json_line("unfit", &unfit_manifest()),
+        json_line("unfit", &mismatching_manifest()),
         decoded_line::<Manifest>("empty object", "{}"),
         decoded_line::<Manifest>(
             "empty sets and nulls",
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn fits_are_told_in_these_words() {
+fn match_results_have_their_golden_texts() {
     let catalog = full_catalog();
     let without_regions = Catalog {
         regions: BTreeSet::new(),
@@ -164,14 +164,17 @@
         key_window_ms: None,
         ..full_catalog()
     };
-    let no_number = Manifest {
+    let invalid_numbers = Manifest {
         slots: Some(f64::NAN),
         memory: Some(-1.0),
         ..full_manifest()
     };
     let lines = [
         format!("full: {}\n", check(&full_manifest(), Some(&catalog))),
-        format!("unfit: {}\n", check(&unfit_manifest(), Some(&catalog))),
+        format!(
+            "unfit: {}\n",
+            check(&mismatching_manifest(), Some(&catalog))
+        ),
         format!(
             "no regions: {}\n",
             check(&full_manifest(), Some(&without_regions))
@@ -180,15 +183,15 @@
             "no key window: {}\n",
             check(&full_manifest(), Some(&without_key_window))
         ),
-        format!("no number: {}\n", check(&no_number, Some(&catalog))),
+        format!("no number: {}\n", check(&invalid_numbers, Some(&catalog))),
         format!("no catalog: {}\n", check(&full_manifest(), None)),
     ];
-    assert_golden("fits", &lines.concat());
+    assert_golden("match_results", &lines.concat());
 }
 
 #[test]
-fn reasons_and_their_advice() {
-    let reasons = [
+fn mismatches_and_their_advice_have_their_golden_texts() {
+    let mismatches = [
         Mismatch::Missing {
             need: "codecs",
             name: "vvc".into(),
@@ -203,31 +206,31 @@
         Mismatch::NoRegion,
     ];
     let mut text = String::new();
-    for reason in reasons {
-        writeln!(text, "{reason}\n  advice: {}", reason.advice()).expect("a string takes it");
+    for mismatch in mismatches {
+        writeln!(text, "{mismatch}\n  advice: {}", mismatch.advice()).expect("a string takes it");
     }
-    assert_golden("misfit_texts", &text);
+    assert_golden("mismatch_texts", &text);
 }
 
 #[test]
-fn bounds_are_told_in_these_words() {
-    let many: BTreeSet<String> = (0..=MAX_ENTRIES).map(|n| n.to_string()).collect();
-    let long = names(&["x".repeat(MAX_NAME_LENGTH + 1).as_str()]);
+fn bounds_errors_have_their_golden_texts() {
+    let too_many: BTreeSet<String> = (0..=MAX_ENTRIES).map(|n| n.to_string()).collect();
+    let too_long = names(&["x".repeat(MAX_NAME_LENGTH + 1).as_str()]);
     let mut text = format!("entries at most: {MAX_ENTRIES}\nlongest name: {MAX_NAME_LENGTH}\n");
-    let mut tell = |label: &str, outcome: Result<(), BoundsError>| {
-        let word = outcome.map_or_else(|malformed| malformed.to_string(), |()| "valid".to_owned());
-        writeln!(text, "{label}: {word}").expect("a string takes it");
+    let mut record = |label: &str, outcome: Result<(), BoundsError>| {
+        let description = outcome.map_or_else(|error| error.to_string(), |()| "valid".to_owned());
+        writeln!(text, "{label}: {description}").expect("a string takes it");
     };
-    tell("full catalog", full_catalog().validate());
-    tell("full manifest", full_manifest().validate());
-    tell("default manifest", Manifest::default().validate());
+    record("full catalog", full_catalog().validate());
+    record("full manifest", full_manifest().validate());
+    record("default manifest", Manifest::default().validate());
     let long_class = "x".repeat(MAX_NAME_LENGTH + 1);
     let manifest = Manifest {
         class: long_class,
         ..full_manifest()
     };
-    tell("manifest, long class", manifest.validate());
-    for set in [many, long, names(&[""])] {
+    record("manifest, long class", manifest.validate());
+    for set in [too_many, too_long, names(&[""])] {
         let catalogs: [fn(&mut Catalog) -> &mut BTreeSet<String>; 6] = [
             |catalog| &mut catalog.classes,
             |catalog| &mut catalog.kinds,
@@ -239,7 +242,7 @@
         for field in catalogs {
             let mut catalog = full_catalog();
             *field(&mut catalog) = set.clone();
-            tell("catalog", catalog.validate());
+            record("catalog", catalog.validate());
         }
         let manifests: [fn(&mut Manifest) -> &mut BTreeSet<String>; 5] = [
             |manifest| &mut manifest.kinds,
@@ -251,7 +254,7 @@
         for field in manifests {
             let mut manifest = full_manifest();
             *field(&mut manifest) = set.clone();
-            tell("manifest", manifest.validate());
+            record("manifest", manifest.validate());
         }
     }
     for figure in [-1.0, f64::NAN, f64::INFINITY] {
@@ -259,43 +262,43 @@
             slots: figure,
             ..full_catalog()
         };
-        tell("catalog, slots", slots.validate());
+        record("catalog, slots", slots.validate());
         let memory = Catalog {
             memory: figure,
             ..full_catalog()
         };
-        tell("catalog, memory", memory.validate());
+        record("catalog, memory", memory.validate());
     }
     assert_golden("bounds", &text);
 }
 
-/// What is sent to which site, and the text of a refusal, after every kind of answer.
+/// The steps of a placement after each kind of response, and the text of the rejection.
 #[test]
-fn hand_over_of_a_job() {
-    fn word(step: PlacementStep) -> String {
+fn placement_steps_after_each_response() {
+    fn describe(step: PlacementStep) -> String {
         match step {
             PlacementStep::Forward {
                 site,
                 catalog_version,
             } => format!("ask {site} with catalog version {catalog_version}"),
             PlacementStep::Wait => "wait".to_owned(),
-            PlacementStep::Rejected(why) => format!("refused: {why}"),
+            PlacementStep::Rejected(reason) => format!("refused: {reason}"),
         }
     }
-    let known = |name: &str, version: u64, fit: MatchResult| CandidateSite {
+    let candidate = |name: &str, version: u64, result: MatchResult| CandidateSite {
         name: name.into(),
         catalog_version: version,
-        result: fit,
+        result,
     };
     let sites = [
-        known("east", 3, MatchResult::Matches),
-        known("north", 5, MatchResult::Matches),
-        known("south", 1, MatchResult::Mismatches(vec![Mismatch::NoKind])),
-        known("west", 2, MatchResult::Matches),
+        candidate("east", 3, MatchResult::Matches),
+        candidate("north", 5, MatchResult::Matches),
+        candidate("south", 1, MatchResult::Mismatches(vec![Mismatch::NoKind])),
+        candidate("west", 2, MatchResult::Matches),
     ];
     let mut text = String::new();
-    let mut errand = Placement::default();
-    let answers = [
+    let mut placement = Placement::default();
+    let responses = [
         ("lost", SiteResponse::NoAnswer),
         ("later", SiteResponse::RetryLater),
         ("outdated 9", SiteResponse::Outdated(9)),
@@ -303,21 +306,31 @@
         ("none", SiteResponse::NoAnswer),
         ("denied", SiteResponse::Rejected("closed".into())),
     ];
-    for (label, answer) in answers {
-        let step = word(errand.next_step(&sites));
+    for (label, response) in responses {
+        let step = describe(placement.next_step(&sites));
         writeln!(text, "{step}\n  answer: {label}").expect("a string takes it");
-        errand.handle_response(answer);
+        placement.handle_response(response);
     }
-    writeln!(text, "{}", word(errand.next_step(&sites))).expect("a string takes it");
+    writeln!(text, "{}", describe(placement.next_step(&sites))).expect("a string takes it");
     let mut accepted = Placement::default();
-    writeln!(text, "another job: {}", word(accepted.next_step(&sites))).expect("a string takes it");
+    writeln!(
+        text,
+        "another job: {}",
+        describe(accepted.next_step(&sites))
+    )
+    .expect("a string takes it");
     accepted.handle_response(SiteResponse::Accepted);
     let taken_by = accepted.accepted_by().unwrap_or("nobody").to_owned();
-    let step = word(accepted.next_step(&sites));
+    let step = describe(accepted.next_step(&sites));
     writeln!(text, "  answer: accepted by {taken_by}\n{step}").expect("a string takes it");
     let mut alone = Placement::default();
-    writeln!(text, "no sites: {}", word(alone.next_step(&[]))).expect("a string takes it");
-    let unknown = [known("east", u64::MAX, MatchResult::Unknown)];
-    writeln!(text, "unknown site: {}", word(alone.next_step(&unknown))).expect("a string takes it");
-    assert_golden("hand_over", &text);
+    writeln!(text, "no sites: {}", describe(alone.next_step(&[]))).expect("a string takes it");
+    let unknown = [candidate("east", u64::MAX, MatchResult::Unknown)];
+    writeln!(
+        text,
+        "unknown site: {}",
+        describe(alone.next_step(&unknown))
+    )
+    .expect("a string takes it");
+    assert_golden("placement_steps", &text);
 }
--- a/crates/federation/tests/matching.rs
+++ b/crates/federation/tests/matching.rs
@@ -1,14 +1,14 @@
-//! The check of a manifest against a catalog.
+//! Tests of matching a manifest against a catalog.
 
 use marbledeck_federation::{check, Catalog, Manifest, MatchResult, Mismatch, MAX_ENTRIES};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-fn names(of: &[&str]) -> BTreeSet<String> {
-    of.iter().map(|name| (*name).to_owned()).collect()
+fn names(list: &[&str]) -> BTreeSet<String> {
+    list.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn site() -> Catalog {
+fn site_catalog() -> Catalog {
     Catalog {
         version: 1,
         classes: names(&["preview"]),
@@ -27,13 +27,13 @@
 #[test]
 fn a_manifest_with_an_unknown_key_is_rejected() {
     let read = serde_json::from_str::<Manifest>(r#"{"class":"preview","gpu":true}"#);
-    let why = read.expect_err("no such need").to_string();
-    assert!(why.contains("gpu"), "{why}");
+    let error = read.expect_err("no such need").to_string();
+    assert!(error.contains("gpu"), "{error}");
     assert!(serde_json::from_str::<Catalog>(r#"{"classes":[],"gpus":3}"#).is_err());
 }
 
 #[test]
-fn every_reason_is_named_and_each_says_what_to_do() {
+fn every_mismatch_is_reported_with_advice() {
     let manifest = Manifest {
         class: "sheet".into(),
         kinds: names(&["r9"]),
@@ -46,37 +46,37 @@
         key_window_ms: Some(5001),
         run_ms: Some(60_001),
     };
-    let MatchResult::Mismatches(why) = check(&manifest, Some(&site())) else {
-        panic!("it fits nowhere");
+    let MatchResult::Mismatches(mismatches) = check(&manifest, Some(&site_catalog())) else {
+        panic!("every key of the manifest is a mismatch");
     };
-    assert_eq!(why.len(), 10, "{why:?}");
-    let none = Catalog {
+    assert_eq!(mismatches.len(), 10, "{mismatches:?}");
+    let without_regions = Catalog {
         regions: BTreeSet::new(),
-        ..site()
+        ..site_catalog()
     };
-    let MatchResult::Mismatches(more) = check(&manifest, Some(&none)) else {
-        panic!("it fits nowhere");
+    let MatchResult::Mismatches(more_mismatches) = check(&manifest, Some(&without_regions)) else {
+        panic!("every key of the manifest is a mismatch");
     };
-    assert!(more.contains(&Mismatch::NoRegion));
-    for reason in why.iter().chain(&more) {
+    assert!(more_mismatches.contains(&Mismatch::NoRegion));
+    for reason in mismatches.iter().chain(&more_mismatches) {
         assert!(reason.advice().contains(' ') && !reason.to_string().is_empty());
     }
     assert_eq!(check(&manifest, None), MatchResult::Unknown);
 }
 
 #[test]
-fn values_over_the_bounds_are_named() {
-    let many = (0..=MAX_ENTRIES).map(|n| n.to_string()).collect();
-    let wrong = Catalog {
-        codecs: many,
-        ..site()
+fn bounds_errors_name_the_key() {
+    let too_many = (0..=MAX_ENTRIES).map(|n| n.to_string()).collect();
+    let result = Catalog {
+        codecs: too_many,
+        ..site_catalog()
     }
     .validate();
-    assert_eq!(wrong.expect_err("too many").key, "codecs");
+    assert_eq!(result.expect_err("too many").key, "codecs");
     assert_eq!(
         Catalog {
             slots: -1.0,
-            ..site()
+            ..site_catalog()
         }
         .validate()
         .expect_err("none")
@@ -89,29 +89,30 @@
     );
 }
 
-fn some() -> impl Strategy<Value = BTreeSet<String>> {
+fn name_set() -> impl Strategy<Value = BTreeSet<String>> {
     proptest::collection::btree_set("[a-e]", 0..4)
 }
 
 proptest! {
-    /// A site fits if and only if it offers each single need; and taking any need away never makes it unfit.
+    /// The check reports one mismatch for each need that the site lacks, and no others. Dropping the licences from a
+    /// manifest that matches never makes it a mismatch.
     #[test]
-    fn the_check_names_every_reason(
-        licences in some(), codecs in some(), formats in some(), there in some(), slots in 0.0..4.0f64,
+    fn the_check_reports_each_unmet_need(
+        licences in name_set(), codecs in name_set(), formats in name_set(), offered in name_set(), slots in 0.0..4.0f64,
     ) {
-        let catalog = Catalog { licences: there.clone(), codecs: there.clone(), formats: there.clone(), ..site() };
+        let catalog = Catalog { licences: offered.clone(), codecs: offered.clone(), formats: offered.clone(), ..site_catalog() };
         let manifest = Manifest { class: "preview".into(), licences, codecs, formats, slots: Some(slots), ..Manifest::default() };
         let wanted = [&manifest.licences, &manifest.codecs, &manifest.formats];
-        let missing: usize = wanted.iter().map(|set| set.difference(&there).count()).sum();
+        let missing: usize = wanted.iter().map(|set| set.difference(&offered).count()).sum();
         let reasons = missing + usize::from(slots > 2.0);
         match check(&manifest, Some(&catalog)) {
             MatchResult::Matches => prop_assert_eq!(reasons, 0),
-            MatchResult::Mismatches(why) => prop_assert_eq!(why.len(), reasons),
+            MatchResult::Mismatches(mismatches) => prop_assert_eq!(mismatches.len(), reasons),
             MatchResult::Unknown => prop_assert!(false, "the catalog is there"),
         }
-        let less = Manifest { licences: BTreeSet::new(), ..manifest.clone() };
+        let without_licences = Manifest { licences: BTreeSet::new(), ..manifest.clone() };
         if check(&manifest, Some(&catalog)) == MatchResult::Matches {
-            prop_assert_eq!(check(&less, Some(&catalog)), MatchResult::Matches);
+            prop_assert_eq!(check(&without_licences, Some(&catalog)), MatchResult::Matches);
         }
     }
 }
--- a/crates/federation/tests/placement.rs
+++ b/crates/federation/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which site is asked for a job, and what follows from its answers.
+//! Tests of the placement of a forwarded job: which site is asked, and what follows from its response.
 
 use marbledeck_federation::{
     CandidateSite, MatchResult, Mismatch, Placement, PlacementStep, SiteResponse,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_lost_answer_never_leads_to_a_second_site() {
+fn a_lost_response_never_leads_to_a_second_site() {
     let sites = [
         candidate("b", 3, MatchResult::Matches),
         candidate("c", 1, MatchResult::Matches),
@@ -30,7 +30,7 @@
     assert_eq!(placement.next_step(&sites), forward("b", 3));
     for _ in 0..5 {
         placement.handle_response(SiteResponse::NoAnswer);
-        // Not even when it is gone from the records: the same request, to the letter.
+        // The same request is repeated, even when the site is no longer in the records.
         assert_eq!(placement.next_step(&sites[1..]), forward("b", 3));
         assert!(placement.may_be_placed());
     }
@@ -41,13 +41,13 @@
         (placement.next_step(&sites), placement.accepted_by()),
         (PlacementStep::Wait, Some("c"))
     );
-    // A late answer of the first changes nothing.
+    // A late response of the first site changes nothing.
     placement.handle_response(SiteResponse::Rejected("late".into()));
     assert_eq!(placement.accepted_by(), Some("c"));
 }
 
 #[test]
-fn a_site_with_a_newer_catalog_is_asked_again_once_that_is_known() {
+fn an_outdated_site_is_asked_again_once_its_newer_catalog_is_known() {
     let mut placement = Placement::default();
     assert_eq!(
         placement.next_step(&[candidate("b", 1, MatchResult::Matches)]),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn unknown_catalogs_are_waited_for_and_mismatches_are_not() {
+fn a_placement_waits_for_unknown_catalogs_but_not_for_mismatches() {
     let mut placement = Placement::default();
     assert_eq!(
         placement.next_step(&[candidate("b", 1, MatchResult::Unknown)]),
@@ -78,7 +78,7 @@
         placement.next_step(&[]),
         PlacementStep::Rejected(_)
     ));
-    // All have put it off: another round, after a pause.
+    // All sites asked for a later retry: the next round begins after a pause.
     let one = [candidate("b", 1, MatchResult::Matches)];
     assert_eq!(placement.next_step(&one), forward("b", 1));
     placement.handle_response(SiteResponse::RetryLater);
@@ -89,20 +89,20 @@
 }
 
 proptest! {
-    /// Whatever the sites say, and whatever is known of them meanwhile: another site is asked only after the one before
-    /// has said that it does not have the job.
+    /// For any responses and any knowledge of the sites, another site is asked only after the previous one has responded
+    /// that it does not have the job.
     #[test]
-    fn one_site_at_a_time(answers in proptest::collection::vec((0..5u8, 0..8u8), 0..40)) {
+    fn one_site_is_asked_at_a_time(responses in proptest::collection::vec((0..5u8, 0..8u8), 0..40)) {
         let mut placement = Placement::default();
         let mut may_have: Option<String> = None;
-        for (answer, fits) in answers {
-            let result = |bit: u8| if fits & bit > 0 { MatchResult::Matches } else { MatchResult::Unknown };
+        for (response_kind, matching_sites) in responses {
+            let result = |bit: u8| if matching_sites & bit > 0 { MatchResult::Matches } else { MatchResult::Unknown };
             let sites = [candidate("a", 1, result(1)), candidate("b", 2, result(2)), candidate("c", 3, result(4))];
             let step = placement.next_step(&sites);
             if let PlacementStep::Forward { site, .. } = &step {
                 prop_assert!(may_have.is_none() || may_have.as_deref() == Some(site), "{may_have:?} {step:?}");
                 may_have = Some(site.clone());
-                let response = match answer {
+                let response = match response_kind {
                     0 => SiteResponse::Accepted,
                     1 => SiteResponse::Outdated(9),
                     2 => SiteResponse::Rejected("no".into()),
