--- a/crates/licensing/src/allocator.rs
+++ b/crates/licensing/src/allocator.rs
@@ -1,15 +1,16 @@
-//! Grants one node's own seats to its attempts. A grant reads a few numbers: no message, no memory allocation.
+//! Grants one node's seats to its attempts. A grant only compares and updates counters: it sends no message and allocates
+//! no memory.
 
 use crate::command::LedgerCommand;
 use crate::error::SeatError;
 use crate::tenant_seats::TenantSeats;
 use marbledeck_dispatcher::Micros;
 
-/// A licence, by its index in the node's settings.
+/// A licence, identified by its index in the node's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LicenceId(pub u16);
 
-/// The seats of one pool that a node holds for one tenant, as the fleet has agreed.
+/// The seats of one pool that a node holds for one tenant, by the agreed ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeatAllocation {
     /// The pool.
@@ -18,57 +19,58 @@
     pub tenant: String,
     /// The seats that this incarnation of the node holds.
     pub seats: u32,
-    /// How many of them it is to return as its attempts end.
+    /// How many of them the node has to return as its attempts end.
     pub recalled: u32,
 }
 
-/// What a node has read, under a lease, of the fleet's seats.
+/// What a node has read of the ledger under a lease.
 #[derive(Clone, Debug, Default)]
 pub struct ConfirmedSeats {
     /// When the lease expires.
     pub lease_expiry: Micros,
-    /// Number of this incarnation's last command that was applied; 0 for none.
+    /// Number of the last command of this incarnation that was applied; 0 for none.
     pub last_applied_command: u64,
-    /// What this incarnation holds.
+    /// The seats that this incarnation holds.
     pub allocations: Vec<SeatAllocation>,
-    /// The pools by name, with the longest run of an attempt.
+    /// The names of the pools, with the longest run of an attempt.
     pub pools: Vec<(String, Micros)>,
-    /// The seats of each pool that nobody holds.
+    /// The number of free seats of each pool.
     pub free_seats: Vec<(String, u32)>,
 }
 
-/// A command for the ledger. It is repeated with the same number until it was applied.
+/// A command for the ledger. A node repeats it with the same number until it is applied, so that a lost message
+/// does no harm and a repeated one has no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NumberedCommand {
-    /// Counts the commands of this incarnation, from 1.
+    /// Number of the command within this incarnation, from 1.
     pub number: u64,
     /// The command.
     pub command: LedgerCommand,
 }
 
-/// The seats of one pool and tenant at this node.
+/// How many seats of one pool a node holds for one tenant, and how many of them are in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeatUsage<'a> {
     /// The pool.
     pub pool: &'a str,
     /// The tenant; empty where there are no tenants.
     pub tenant: &'a str,
-    /// Seats that the node holds.
+    /// Number of seats that the node holds.
     pub held: u32,
-    /// Seats in use.
+    /// Number of seats in use.
     pub in_use: u32,
 }
 
 #[derive(Clone, Debug)]
 struct LocalPool {
     name: String,
-    /// Whether the fleet has this pool.
+    /// Whether the agreed records contain this pool.
     exists: bool,
-    /// The longest run of an attempt that may still be in flight.
+    /// The longest run of any attempt that may still be in flight.
     longest_run: Micros,
-    /// The seats that nobody held at the last update.
+    /// The number of free seats at the last update.
     free: u32,
-    /// By tenant, in the order of the settings.
+    /// The seats for each tenant, in the order of the settings.
     tenants: Vec<TenantSeats>,
 }
 
@@ -78,17 +80,18 @@
     tenants: Vec<String>,
     pools: Vec<LocalPool>,
     lease_expiry: Micros,
-    /// The command that was not applied yet.
+    /// The last command, until it is applied.
     command_in_flight: Option<NumberedCommand>,
     last_command_number: u64,
-    /// How long an idle period lasts, and when the current one began.
+    /// Length of an idle period, after which unused seats are returned.
     idle_period: Micros,
+    /// When the current idle period began.
     idle_period_start: Micros,
 }
 
 impl SeatAllocator {
-    /// An allocator for these licences and tenants, which holds no seats. Without tenants, all attempts belong to one with
-    /// an empty name. Seats that were not used for one to two times `idle_period` are returned.
+    /// An allocator for these licences and tenants, which holds no seats. If `tenants` is empty, all attempts belong to one
+    /// tenant with an empty name. Seats are returned after they were unused for one to two times `idle_period`.
     pub fn new(licences: Vec<String>, mut tenants: Vec<String>, idle_period: Micros) -> Self {
         if tenants.is_empty() {
             tenants.push(String::new());
@@ -117,7 +120,7 @@
         Some(LicenceId(index as u16))
     }
 
-    /// Applies what the node has read of the fleet's seats. It holds until the lease expires.
+    /// Applies what the node has read of the ledger, which is valid until the lease expires.
     pub fn apply_confirmed(&mut self, confirmed: &ConfirmedSeats) {
         self.lease_expiry = confirmed.lease_expiry;
         let is_applied =
@@ -132,7 +135,8 @@
         }
     }
 
-    /// Checks that an attempt of this tenant would be granted a seat of each of these licences now. Counts a denial.
+    /// Checks that an attempt of this tenant would be granted a seat of each of these licences now. A lack of free seats is
+    /// counted as a denial, which leads to a request for more.
     ///
     /// # Errors
     /// The first licence without a seat, and why.
@@ -181,8 +185,8 @@
         Ok(())
     }
 
-    /// Releases the seats of an attempt that was sent at `sent`. Where it is not known whether it has ended at its worker,
-    /// they stay in use until its longest run is over.
+    /// Releases the seats of an attempt that was sent at `sent`. If it is not known whether the attempt has ended at its
+    /// worker, the seats stay in use until the longest run has passed.
     pub fn release(
         &mut self,
         sent: Micros,
@@ -206,7 +210,8 @@
         }
     }
 
-    /// The command to send to the fleet: the same until it was applied. `None` where nothing is to change.
+    /// The command to send to a voter: the same one until it is applied. `None` where no seats are to be requested or
+    /// returned.
     pub fn poll_command(&mut self, now: Micros) -> Option<NumberedCommand> {
         if self.command_in_flight.is_none() {
             self.command_in_flight = self.next_command(now).map(|command| {
@@ -265,7 +270,7 @@
         let longest_run = pools.find(|(name, _)| *name == self.name);
         let longest_run = longest_run.map(|(_, longest_run)| *longest_run);
         self.exists = longest_run.is_some();
-        // An attempt in flight may run as long as was allowed when it began.
+        // An attempt in flight may run for as long as the pool allowed when it began.
         self.longest_run = self.longest_run.max(longest_run.unwrap_or_default());
         let mut free_seats = confirmed.free_seats.iter();
         let free = free_seats.find(|(name, _)| *name == self.name);
@@ -277,9 +282,9 @@
                 seats.reset_backoff();
             }
             let mut allocations = confirmed.allocations.iter();
-            let own = allocations
+            let allocation = allocations
                 .find(|allocation| allocation.pool == self.name && allocation.tenant == *tenant);
-            seats.apply_allocation(own);
+            seats.apply_allocation(allocation);
         }
     }
 }
--- a/crates/licensing/src/error.rs
+++ b/crates/licensing/src/error.rs
@@ -6,10 +6,10 @@
     /// All seats that this node holds are in use.
     #[error("no seat of '{0}' is free here")]
     NoneFree(String),
-    /// The node's lease on the fleet's records has expired.
+    /// The node's lease on the agreed records has expired.
     #[error("no voter has confirmed this node's seats of '{0}' lately")]
     Unconfirmed(String),
-    /// The fleet has no pool for this licence.
+    /// The agreed records contain no pool for this licence.
     #[error("there is no pool of seats '{0}'")]
     UnknownPool(String),
 }
--- a/crates/licensing/src/ledger.rs
+++ b/crates/licensing/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: what all nodes have agreed on about the seats of each pool.
+//! The ledger: the replicated state that records which node holds how many seats of each pool.
 
 use crate::command::LedgerCommand;
 use crate::pool::Pool;
@@ -22,11 +22,11 @@
     pub pool: String,
     /// The tenant; empty where there are no tenants.
     pub tenant: String,
-    /// How many.
+    /// The number of seats.
     pub seats: u32,
 }
 
-/// A draining lease with its place in the ledger.
+/// A draining lease, with its pool and number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainingSeats<'a> {
     /// The pool.
@@ -44,8 +44,8 @@
 }
 
 impl Ledger {
-    /// Applies a command of this incarnation of a node. `find_pool` finds a pool as it is configured now: where that has
-    /// fewer seats than are held, the holders keep theirs and nothing more is given.
+    /// Applies a command of this incarnation of a node. `find_pool` looks up the current configuration of a pool. If more
+    /// seats are held than the pool has, the holders keep theirs and no more are granted.
     pub fn apply<'a>(
         &mut self,
         node: u32,
@@ -59,7 +59,7 @@
                 tenant,
                 seats,
             } => {
-                // A restarted node does not know what attempts its earlier incarnations have in flight.
+                // Attempts of the node's earlier incarnations may still be in flight, and a restarted node does not know them.
                 self.drain(|holder| holder.node == node && holder.incarnation != incarnation);
                 if let Some(pool) = find_pool(name) {
                     let leases = self.pools.entry(name.clone()).or_default();
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Lets the leases of the selected holders drain, in all pools.
+    /// Drains the leases of the selected holders in all pools.
     fn drain(&mut self, is_selected: impl Fn(Holder) -> bool) {
         for leases in self.pools.values_mut() {
             leases.drain(|lease| {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// What an incarnation of a node holds.
+    /// The seats that an incarnation of a node holds.
     pub fn held_by(&self, node: u32, incarnation: u64) -> Vec<HeldSeats> {
         let mut held = Vec::new();
         for (pool, leases) in &self.pools {
@@ -116,13 +116,14 @@
         held
     }
 
-    /// How many seats a tenant is to return to a pool, since it holds more than its guarantee and others lack theirs.
+    /// How many seats of a pool a tenant has to return, since it holds more than its guarantee and other tenants have fewer
+    /// than theirs.
     pub fn recalled(&self, name: &str, pool: &Pool, tenant: &str) -> u32 {
         let leases = self.pools.get(name);
         leases.map_or(0, |leases| leases.recalled_from(pool, tenant))
     }
 
-    /// Every holder of a seat, in order and once each.
+    /// All holders of seats, sorted and without duplicates.
     pub fn holders(&self) -> Vec<Holder> {
         let leases = self.pools.values().flat_map(|pool| &pool.leases);
         let mut holders: Vec<Holder> = leases
--- a/crates/licensing/src/lib.rs
+++ b/crates/licensing/src/lib.rs
@@ -1,10 +1,10 @@
 //! Licence seats over all nodes of a fleet.
 //!
-//! The [`Ledger`] is the part of the replicated state that says how many seats of each pool every node holds. It is
-//! changed by [`LedgerCommand`]s in the same way at every voter, and reads no clock. A [`SeatAllocator`], one at each
-//! node, grants that node's seats to attempts without a message.
+//! The [`Ledger`] is the part of the replicated state that records how many seats of each pool every node holds. Every voter
+//! applies the same [`LedgerCommand`]s to it with the same result, since it reads no clock. Each node has a
+//! [`SeatAllocator`], which grants that node's seats to attempts without sending a message.
 //!
-//! No input or output. `docs/design/agreement.md` states the guarantees, 8 to 11.
+//! The crate does no input or output. `docs/design/agreement.md` states its guarantees, 8 to 11.
 #![forbid(unsafe_code)]
 
 mod allocator;
--- a/crates/licensing/src/pool_leases.rs
+++ b/crates/licensing/src/pool_leases.rs
@@ -1,4 +1,4 @@
-//! The leases on the seats of one pool.
+//! The leases on the seats of one pool: grants, returns, draining and recalls.
 
 use crate::pool::Pool;
 use serde::{Deserialize, Serialize};
@@ -10,26 +10,26 @@
 pub struct SeatLease {
     /// Number of the node.
     pub node: u32,
-    /// Its incarnation: after a restart, the node is another holder.
+    /// Its incarnation. After a restart, the node is a different holder.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// The tenant whose attempts use them; empty where there are no tenants.
+    /// The tenant whose attempts use the seats; empty where there are no tenants.
     pub tenant: String,
-    /// How many.
+    /// The number of seats.
     pub seats: u32,
 }
 
-/// Seats that a node does not hold any more, but that its attempts may still use.
+/// Seats that a node no longer holds, but that its attempts may still use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Ebb")]
 pub struct DrainingLease {
-    /// Number of the node that held them.
+    /// Number of the node that held the seats.
     pub node: u32,
-    /// The tenant that they were held for.
+    /// The tenant that the seats were held for.
     pub tenant: String,
-    /// How many.
+    /// The number of seats.
     pub seats: u32,
-    /// The longest run that the pool allowed while they were held, in milliseconds.
+    /// The longest run that the pool allowed while the seats were held, in milliseconds.
     pub longest_run_ms: u64,
 }
 
@@ -39,20 +39,20 @@
 pub(crate) struct PoolLeases {
     #[serde(rename = "blocks")]
     pub leases: Vec<SeatLease>,
-    /// By number.
+    /// The draining leases by their numbers.
     #[serde(rename = "ebbing")]
     pub draining: BTreeMap<u64, DrainingLease>,
     #[serde(rename = "next")]
     next_draining_id: u64,
-    /// The longest run that any holder may have read, in milliseconds.
+    /// The longest run of the pool that any holder may have read, in milliseconds.
     longest_run_ms: u64,
-    /// Seats that tenants requested within their guarantee and were not given, because other tenants hold them.
+    /// Seats that tenants requested within their guarantees but were not granted, because other tenants hold them.
     #[serde(rename = "owed")]
     shortfalls: BTreeMap<String, u32>,
 }
 
 impl PoolLeases {
-    /// Seats that are held for a tenant or drain after it.
+    /// Number of seats that are held for a tenant or draining after being held for it.
     fn taken_by(&self, tenant: &str) -> u32 {
         let held = self.leases.iter().filter(|lease| lease.tenant == tenant);
         let draining = self.draining.values();
@@ -65,13 +65,13 @@
         self.draining.values().map(|lease| lease.seats).sum()
     }
 
-    /// Seats that are held or drain.
+    /// Number of seats that are held or draining.
     pub fn taken(&self) -> u32 {
         let held: u32 = self.leases.iter().map(|lease| lease.seats).sum();
         held + self.draining_seats()
     }
 
-    /// Seats that a tenant can still be given: the free ones, less those that other tenants' guarantees need.
+    /// Number of seats that can still be granted to a tenant: the free ones, less those needed for other tenants' guarantees.
     fn available_to(&self, pool: &Pool, tenant: &str) -> u32 {
         let others = pool.guaranteed.iter().filter(|(name, _)| *name != tenant);
         let reserved =
@@ -80,7 +80,8 @@
         free.saturating_sub(reserved.sum())
     }
 
-    /// Gives a tenant as many of the requested seats as it can have, and notes what its guarantee lacks.
+    /// Grants a tenant as many of the requested seats as are available to it, and records how far it falls short of its
+    /// guarantee.
     pub fn request(&mut self, node: u32, incarnation: u64, tenant: &str, seats: u32, pool: &Pool) {
         self.longest_run_ms = self.longest_run_ms.max(pool.longest_run_ms);
         let granted = self.available_to(pool, tenant).min(seats);
@@ -98,18 +99,18 @@
         }
     }
 
-    /// Takes seats back that are not in use.
+    /// Releases seats that the holder no longer uses.
     pub fn release(&mut self, node: u32, incarnation: u64, tenant: &str, seats: u32) {
         let lease = self.lease_mut(node, incarnation, tenant);
         lease.seats = lease.seats.saturating_sub(seats);
         self.leases.retain(|lease| lease.seats > 0);
     }
 
-    /// Lets all leases drain that are selected.
+    /// Turns the selected leases into draining ones.
     pub fn drain(&mut self, is_selected: impl Fn(&SeatLease) -> bool) {
         let leases = std::mem::take(&mut self.leases);
-        let (ended, kept) = leases.into_iter().partition(is_selected);
-        self.leases = kept;
+        let (ended, active) = leases.into_iter().partition(is_selected);
+        self.leases = active;
         for lease in ended {
             if lease.seats == 0 {
                 continue;
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The lease of this holder and tenant; made with no seats where there is none.
+    /// The lease of this holder and tenant, which is created without seats if there is none.
     fn lease_mut(&mut self, node: u32, incarnation: u64, tenant: &str) -> &mut SeatLease {
         let is_own = |lease: &SeatLease| {
             lease.node == node && lease.incarnation == incarnation && lease.tenant == tenant
@@ -142,11 +143,11 @@
         &mut self.leases[index]
     }
 
-    /// Seats that a tenant is to return, for the guarantees of others.
+    /// Number of seats that a tenant has to return so that the guarantees of others can be met.
     pub fn recalled_from(&self, pool: &Pool, tenant: &str) -> u32 {
         let others = self.shortfalls.iter().filter(|(name, _)| *name != tenant);
         let missing: u32 = others.map(|(_, seats)| seats).sum();
-        // Draining and free seats meet a shortfall without a recall.
+        // Draining and free seats cover a shortfall without a recall.
         let free = pool.seats.saturating_sub(self.taken());
         let expected = self.draining_seats() + free;
         let beyond_guarantee = self
--- a/crates/licensing/src/tenant_seats.rs
+++ b/crates/licensing/src/tenant_seats.rs
@@ -1,4 +1,4 @@
-//! One node's seats of one pool, for one tenant.
+//! The seats of one pool that one node holds for one tenant: their use, and the requests and returns that follow from it.
 
 use crate::allocator::SeatAllocation;
 use crate::command::LedgerCommand;
@@ -6,38 +6,39 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Backoff between requests for seats of a pool that has none free.
+/// The shortest and the longest time between requests for seats of a pool that has none free.
 const MIN_REQUEST_BACKOFF: Micros = Micros(100_000);
 const MAX_REQUEST_BACKOFF: Micros = Micros(3_200_000);
 
-/// Seats held and in use, and when to request more.
+/// The counters of held and used seats, and the backoff of requests for more.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TenantSeats {
     /// Seats that the node holds.
     pub held: u32,
     /// How many of them are recalled.
     recalled: u32,
-    /// How many are returned by the command in flight.
+    /// How many are returned by the command in flight; they are not granted meanwhile.
     returning: u32,
-    /// How many are in use, those of `uncertain_ends` included.
+    /// How many are in use, including those in `uncertain_ends`.
     pub in_use: u32,
-    /// Attempts whose end is unknown, by the time when they have surely ended.
+    /// For each attempt whose end is unknown, the time by which it must have ended.
     uncertain_ends: BinaryHeap<Reverse<Micros>>,
-    /// Attempts that found no seat since the last command.
+    /// Number of attempts denied a seat since the last call of `poll_command`.
     denied: u32,
-    /// The most seats in use in the current idle period, and in the one before.
+    /// The most seats in use during the current idle period.
     peak_in_use: u32,
+    /// The most seats in use during the previous idle period.
     previous_peak_in_use: u32,
-    /// The backoff of requests: while a pool has nothing free, every node that lacks seats would request some at each
-    /// update.
+    /// The time between requests. Without a backoff, every node that lacks seats of an exhausted pool would send a request
+    /// at each update.
     request_backoff: Micros,
     next_request: Micros,
-    /// Seats held at the last request.
+    /// Number of seats held at the last request.
     held_at_request: u32,
 }
 
 impl TenantSeats {
-    /// Ends the use of seats whose attempts have surely ended.
+    /// Frees the seats of attempts with an unknown end that must have ended by now.
     pub fn expire_uncertain(&mut self, now: Micros) {
         let is_over = |Reverse(end): &Reverse<Micros>| *end <= now;
         while self.uncertain_ends.peek().is_some_and(is_over) {
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Seats that can be granted.
+    /// Number of seats that can be granted now.
     pub fn free(&self) -> u32 {
         self.held.saturating_sub(self.returning + self.in_use)
     }
 
-    /// Counts an attempt that found no seat.
+    /// Counts an attempt that was denied a seat.
     pub fn record_denied(&mut self) {
         self.denied += 1;
     }
@@ -62,28 +63,28 @@
         self.peak_in_use = self.peak_in_use.max(self.in_use);
     }
 
-    /// An attempt has ended: its seat is free.
+    /// Frees the seat of an attempt that has ended.
     pub fn release(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 
-    /// Whether an attempt has ended is unknown: its seat stays in use until `end`.
+    /// Keeps the seat of an attempt whose end is unknown in use until `end`.
     pub fn release_at(&mut self, end: Micros) {
         self.uncertain_ends.push(Reverse(end));
     }
 
-    /// The command in flight was applied.
+    /// The command in flight was applied: seats that it returned are no longer held.
     pub fn finish_return(&mut self) {
         self.returning = 0;
     }
 
-    /// The pool has more free seats than before: a request may succeed now.
+    /// Ends the backoff, since the pool has more free seats than before and a request may succeed now.
     pub fn reset_backoff(&mut self) {
         self.request_backoff = Micros(0);
         self.next_request = Micros(0);
     }
 
-    /// Applies what the fleet has agreed on; `None` where the node holds nothing.
+    /// Applies the node's allocation by the ledger; `None` where it holds no seats.
     pub fn apply_allocation(&mut self, allocation: Option<&SeatAllocation>) {
         self.held = allocation.map_or(0, |allocation| allocation.seats);
         self.recalled = allocation.map_or(0, |allocation| allocation.recalled);
@@ -95,8 +96,8 @@
         self.peak_in_use = self.in_use;
     }
 
-    /// A request for more seats, or the return of idle or recalled ones, if any is due. Idle seats are returned at the end
-    /// of an idle period only.
+    /// The command that is due, if any: a request for more seats, or the return of recalled or idle ones. Idle seats are
+    /// only returned at the end of an idle period.
     pub fn poll_command(
         &mut self,
         now: Micros,
@@ -119,7 +120,7 @@
             return Some(LedgerCommand::Request {
                 pool: pool.to_owned(),
                 tenant: tenant.to_owned(),
-                // Doubles the seats: a large need is met after few messages.
+                // Asks for as many seats as are in use, so that a large demand is met after a few requests.
                 seats: self.in_use.max(1),
             });
         }
--- a/crates/licensing/tests/golden.rs
+++ b/crates/licensing/tests/golden.rs
@@ -1,7 +1,6 @@
-//! Golden forms of pools, of the commands for seats as they are written into the log, and of the ledger in a snapshot.
+//! Golden tests of the JSON of pools, of the commands for seats in the log, and of the ledger in a snapshot of the state.
 //!
-//! The snapshots were written before any rename of the code. A test here may follow a renamed item; a snapshot that
-//! changes is a change of what is stored and sent.
+//! A rename in the code must not change a snapshot: a change to the JSON in one changes what is stored and sent.
 
 use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::{
@@ -27,7 +26,7 @@
     format!("{label}: {json}\n")
 }
 
-/// One line of a snapshot: what a given text is decoded to, encoded again, or the error.
+/// Two lines of a snapshot: the label and a JSON text, then its decoded value encoded again, or the error.
 fn decoded_line<T: Serialize + DeserializeOwned>(label: &str, json: &str) -> String {
     let outcome = match serde_json::from_str::<T>(json) {
         Ok(value) => serde_json::to_string(&value).expect("a value that can be encoded"),
@@ -39,7 +38,7 @@
 fn pool(seats: u32, guaranteed: &[(&str, u32)]) -> Pool {
     let guaranteed = guaranteed
         .iter()
-        .map(|(tenant, part)| ((*tenant).to_owned(), *part));
+        .map(|(tenant, seats)| ((*tenant).to_owned(), *seats));
     Pool {
         seats,
         guaranteed: guaranteed.collect(),
@@ -47,7 +46,7 @@
     }
 }
 
-fn want(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
+fn request(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
     LedgerCommand::Request {
         pool: pool.into(),
         tenant: tenant.into(),
@@ -55,7 +54,7 @@
     }
 }
 
-fn give_back(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
+fn return_seats(pool: &str, tenant: &str, seats: u32) -> LedgerCommand {
     LedgerCommand::Return {
         pool: pool.into(),
         tenant: tenant.into(),
@@ -86,7 +85,7 @@
 }
 
 #[test]
-fn moves_encode_and_decode() {
+fn commands_encode_and_decode() {
     let reclaim = LedgerCommand::Reclaim {
         node: 3,
         incarnation: u64::MAX,
@@ -108,13 +107,13 @@
         longest_run_ms: 90_000,
     };
     let lines = [
-        json_line("want", &want("av1", "news", 4)),
-        json_line("want, no tenant", &want("av1", "", u32::MAX)),
-        json_line("give back", &give_back("av1", "news", 2)),
+        json_line("request", &request("av1", "news", 4)),
+        json_line("request, no tenant", &request("av1", "", u32::MAX)),
+        json_line("return", &return_seats("av1", "news", 2)),
         json_line("reclaim", &reclaim),
-        json_line("free", &free),
-        json_line("block", &lease),
-        json_line("draining seats", &draining),
+        json_line("free drained", &free),
+        json_line("lease", &lease),
+        json_line("draining lease", &draining),
         decoded_line::<LedgerCommand>("unknown variant", r#"{"Lend":{"pool":"av1"}}"#),
         decoded_line::<LedgerCommand>(
             "unknown key",
@@ -122,29 +121,66 @@
         ),
         decoded_line::<LedgerCommand>("missing key", r#"{"Free":{"pool":"av1"}}"#),
     ];
-    assert_golden("moves", &lines.concat());
+    assert_golden("commands", &lines.concat());
 }
 
-/// The ledger after each command of a history, as a snapshot holds it; it must decode to an equal one, which goes on alike.
+/// The JSON of the ledger after each command of a history. The ledger decoded from it must be equal, and stay equal after
+/// the next command.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-fn ledger_after_each_move() {
-    let before = [("aac", pool(3, &[])), ("av1", pool(10, &[]))];
-    let after = [("aac", pool(3, &[])), ("av1", pool(10, &[("news", 4)]))];
+fn ledger_after_each_command() {
+    let initial_pools = [("aac", pool(3, &[])), ("av1", pool(10, &[]))];
+    let changed_pools = [("aac", pool(3, &[])), ("av1", pool(10, &[("news", 4)]))];
     let history = [
-        ("wants of av1", 1, 100, want("av1", "sport", 8), &before),
-        ("wants of aac", 2, 200, want("aac", "", 2), &before),
-        ("wants the rest", 2, 200, want("av1", "sport", 5), &before),
-        ("is owed seats", 2, 200, want("av1", "news", 3), &after),
         (
-            "gives some back",
+            "requests seats of av1",
             1,
             100,
-            give_back("av1", "sport", 1),
-            &after,
+            request("av1", "sport", 8),
+            &initial_pools,
+        ),
+        (
+            "requests seats of aac",
+            2,
+            200,
+            request("aac", "", 2),
+            &initial_pools,
+        ),
+        (
+            "requests more than are free",
+            2,
+            200,
+            request("av1", "sport", 5),
+            &initial_pools,
+        ),
+        (
+            "falls short of its guarantee",
+            2,
+            200,
+            request("av1", "news", 3),
+            &changed_pools,
+        ),
+        (
+            "returns a seat",
+            1,
+            100,
+            return_seats("av1", "sport", 1),
+            &changed_pools,
+        ),
+        (
+            "is granted the returned seat",
+            2,
+            200,
+            request("av1", "news", 1),
+            &changed_pools,
+        ),
+        (
+            "node 1 restarts",
+            1,
+            101,
+            request("aac", "", 1),
+            &changed_pools,
         ),
-        ("gets what was owed", 2, 200, want("av1", "news", 1), &after),
-        ("node 1 starts anew", 1, 101, want("aac", "", 1), &after),
         (
             "node 2 is reclaimed",
             0,
@@ -153,34 +189,40 @@
                 node: 2,
                 incarnation: 200,
             },
-            &after,
+            &changed_pools,
         ),
         (
-            "draining seats are free",
+            "a draining lease ends",
             0,
             0,
             LedgerCommand::FreeDrained {
                 pool: "av1".into(),
                 draining_id: 0,
             },
-            &after,
+            &changed_pools,
+        ),
+        (
+            "no such pool",
+            3,
+            300,
+            request("opus", "", 1),
+            &changed_pools,
         ),
-        ("no such pool", 3, 300, want("opus", "", 1), &after),
     ];
     let mut ledger = Ledger::default();
     let mut text = json_line("empty", &ledger);
     for (label, node, incarnation, command, pools) in history {
         let json = serde_json::to_string(&ledger).expect("encoded");
         let mut decoded: Ledger = serde_json::from_str(&json).expect("decoded");
-        let find = |name: &str| {
+        let find_pool = |name: &str| {
             let mut named = pools.iter().filter(|(pool, _)| *pool == name);
             named.next().map(|(_, pool)| pool)
         };
-        ledger.apply(node, incarnation, &command, find);
-        decoded.apply(node, incarnation, &command, find);
+        ledger.apply(node, incarnation, &command, find_pool);
+        decoded.apply(node, incarnation, &command, find_pool);
         assert!(
             decoded == ledger,
-            "{label}: the decoded one went another way"
+            "{label}: the decoded ledger differs after the command"
         );
         text += &json_line(label, &ledger);
         for (name, pool) in pools {
@@ -188,7 +230,7 @@
             let recalled = ledger.recalled(name, pool, "sport");
             writeln!(
                 text,
-                "  {name}: {free} free, {taken} taken, {recalled} asked back of sport"
+                "  {name}: {free} free, {taken} taken, {recalled} recalled from sport"
             )
             .expect("a string takes it");
         }
@@ -196,15 +238,15 @@
     assert_golden("ledger", &text);
 }
 
-/// What a node sends for its own seats, from the jobs that it has.
+/// The commands that a node sends for its own seats.
 #[test]
 fn commands_of_a_node() {
     let licences = vec!["av1".to_owned()];
     let tenants = vec!["news".to_owned(), "sport".to_owned()];
     let mut allocator = SeatAllocator::new(licences, tenants, Micros(1_000_000));
-    let confirmed = |done: u64, seats: u32, recalled: u32| ConfirmedSeats {
+    let confirmed = |last_applied_command: u64, seats: u32, recalled: u32| ConfirmedSeats {
         lease_expiry: Micros(60_000_000),
-        last_applied_command: done,
+        last_applied_command,
         allocations: vec![SeatAllocation {
             pool: "av1".into(),
             tenant: "news".into(),
@@ -215,7 +257,7 @@
         free_seats: vec![("av1".into(), 5)],
     };
     let mut text = String::new();
-    let mut record = |label: &str, command: Option<NumberedCommand>| {
+    let mut record_line = |label: &str, command: Option<NumberedCommand>| {
         let outcome = command.map_or(
             "nothing".to_owned(),
             |NumberedCommand { number, command }| {
@@ -229,27 +271,30 @@
         .find_licence("av1")
         .expect("a licence of the settings")];
     allocator.apply_confirmed(&confirmed(0, 0, 0));
-    record("at first", allocator.poll_command(Micros(1)));
+    record_line("at first", allocator.poll_command(Micros(1)));
     let _ = allocator.acquire(Micros(2), &licence, 0);
-    record("a job found no seat", allocator.poll_command(Micros(3)));
-    record("asked again", allocator.poll_command(Micros(4)));
+    record_line(
+        "an attempt was denied a seat",
+        allocator.poll_command(Micros(3)),
+    );
+    record_line("polled again", allocator.poll_command(Micros(4)));
     allocator.apply_confirmed(&confirmed(1, 4, 0));
-    record("carried out", allocator.poll_command(Micros(5)));
+    record_line("applied", allocator.poll_command(Micros(5)));
     allocator.apply_confirmed(&confirmed(1, 4, 3));
-    record("asked back", allocator.poll_command(Micros(6)));
+    record_line("recalled", allocator.poll_command(Micros(6)));
     assert_golden("node_commands", &text);
 }
 
 #[test]
-fn reasons_and_their_advice() {
-    let reasons = [
+fn seat_errors_and_their_advice_have_their_golden_texts() {
+    let errors = [
         SeatError::NoneFree("av1".into()),
         SeatError::Unconfirmed("av1".into()),
         SeatError::UnknownPool("av1".into()),
     ];
     let mut text = String::new();
-    for reason in reasons {
-        writeln!(text, "{reason}\n  advice: {}", reason.advice()).expect("a string takes it");
+    for error in errors {
+        writeln!(text, "{error}\n  advice: {}", error.advice()).expect("a string takes it");
     }
-    assert_golden("no_seat_texts", &text);
+    assert_golden("seat_error_texts", &text);
 }
--- a/crates/licensing/tests/seats.rs
+++ b/crates/licensing/tests/seats.rs
@@ -1,4 +1,4 @@
-//! Who holds which seats, and what a node grants of its own seats.
+//! Tests of the ledger, which records who holds which seats, and of the allocator, which grants a node's own seats.
 
 use marbledeck_dispatcher::Micros;
 use marbledeck_licensing::{
@@ -8,8 +8,11 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn pool(seats: u32, parts: &[(&str, u32)]) -> Pool {
-    let guaranteed = parts.iter().map(|(t, n)| ((*t).to_owned(), *n)).collect();
+fn pool(seats: u32, guarantees: &[(&str, u32)]) -> Pool {
+    let guaranteed = guarantees
+        .iter()
+        .map(|(t, n)| ((*t).to_owned(), *n))
+        .collect();
     Pool {
         seats,
         guaranteed,
@@ -17,7 +20,7 @@
     }
 }
 
-fn want(tenant: &str, seats: u32) -> LedgerCommand {
+fn request(tenant: &str, seats: u32) -> LedgerCommand {
     LedgerCommand::Request {
         pool: "av1".into(),
         tenant: tenant.into(),
@@ -25,7 +28,7 @@
     }
 }
 
-fn give_back(tenant: &str, seats: u32) -> LedgerCommand {
+fn return_seats(tenant: &str, seats: u32) -> LedgerCommand {
     LedgerCommand::Return {
         pool: "av1".into(),
         tenant: tenant.into(),
@@ -43,18 +46,18 @@
 
 const AV1: &[LicenceId] = &[LicenceId(0)];
 
-fn allocator(seats: u32, until: u64) -> SeatAllocator {
+fn allocator(seats: u32, lease_expiry: u64) -> SeatAllocator {
     let mut allocator = SeatAllocator::new(
         vec!["av1".into(), "aac".into()],
         Vec::new(),
         Micros(1_000_000),
     );
-    allocator.apply_confirmed(&confirmed(seats, until, 0));
+    allocator.apply_confirmed(&confirmed(seats, lease_expiry, 0));
     allocator
 }
 
-fn confirmed(seats: u32, until: u64, done: u64) -> ConfirmedSeats {
-    let part = |pool: &str| SeatAllocation {
+fn confirmed(seats: u32, lease_expiry: u64, last_applied_command: u64) -> ConfirmedSeats {
+    let allocation = |pool: &str| SeatAllocation {
         pool: pool.into(),
         tenant: String::new(),
         seats,
@@ -62,9 +65,9 @@
     };
     ConfirmedSeats {
         free_seats: Vec::new(),
-        lease_expiry: Micros(until),
-        last_applied_command: done,
-        allocations: vec![part("av1")],
+        lease_expiry: Micros(lease_expiry),
+        last_applied_command,
+        allocations: vec![allocation("av1")],
         pools: vec![
             ("av1".into(), Micros(1_000_000)),
             ("aac".into(), Micros(1_000_000)),
@@ -73,10 +76,10 @@
 }
 
 #[test]
-fn an_unknown_end_holds_its_seat_for_the_longest_run() {
+fn the_seat_of_an_unknown_end_stays_in_use_for_the_longest_run() {
     let mut allocator = allocator(1, 10_000_000);
     allocator.acquire(Micros(0), AV1, 0).expect("one is free");
-    // Its attempt timed out: it may still run.
+    // The attempt timed out and may still run.
     allocator.release(Micros(0), AV1, 0, false);
     assert_eq!(
         allocator.acquire(Micros(999_999), AV1, 0),
@@ -84,58 +87,58 @@
     );
     allocator
         .acquire(Micros(1_000_000), AV1, 0)
-        .expect("its run is over");
-    // The end is known: free at once.
+        .expect("the longest run has passed");
+    // A seat whose attempt is known to have ended is free at once.
     allocator.release(Micros(1_000_000), AV1, 0, true);
     allocator.acquire(Micros(1_000_001), AV1, 0).expect("free");
 }
 
 #[test]
-fn a_job_of_several_licences_gets_all_or_none() {
+fn an_attempt_acquires_all_its_licences_or_none() {
     let mut allocator = allocator(1, 10_000_000);
     let both = [LicenceId(0), LicenceId(1)];
     assert_eq!(
         allocator.acquire(Micros(0), &both, 0),
         Err(SeatError::NoneFree("aac".into()))
     );
-    // Nothing of it was taken.
+    // The denied attempt took no seat of the first licence either.
     allocator.acquire(Micros(0), AV1, 0).expect("free");
 }
 
 #[test]
-fn without_a_reading_there_are_no_new_seats() {
+fn no_seat_is_granted_after_the_lease_has_expired() {
     let mut allocator = allocator(5, 1_000);
     allocator.acquire(Micros(999), AV1, 0).expect("in time");
-    let late = allocator
+    let expired = allocator
         .acquire(Micros(1_000), AV1, 0)
         .expect_err("too late");
-    assert_eq!(late, SeatError::Unconfirmed("av1".into()));
-    for why in [
-        late,
+    assert_eq!(expired, SeatError::Unconfirmed("av1".into()));
+    for error in [
+        expired,
         SeatError::NoneFree(String::new()),
         SeatError::UnknownPool(String::new()),
     ] {
-        assert!(why.advice().contains(' ') && !why.to_string().is_empty());
+        assert!(error.advice().contains(' ') && !error.to_string().is_empty());
     }
 }
 
 #[test]
-fn what_is_given_back_is_not_granted_while_that_is_under_way() {
+fn seats_that_are_being_returned_are_not_granted() {
     let mut allocator = allocator(3, 60_000_000);
-    // Two idle periods.
-    let mut given = None;
+    // Idle seats are returned after two idle periods.
+    let mut return_command = None;
     for at in [1_000_000, 2_100_000, 3_200_000] {
-        given = given.or(allocator.poll_command(Micros(at)));
+        return_command = return_command.or(allocator.poll_command(Micros(at)));
     }
-    let given = given.expect("idle seats go back");
-    assert_eq!(given.command, give_back("", 3));
+    let return_command = return_command.expect("idle seats go back");
+    assert_eq!(return_command.command, return_seats("", 3));
     assert!(allocator.acquire(Micros(3_300_000), AV1, 0).is_err());
-    // The same command until it was applied.
+    // The same command is repeated until it is applied.
     assert_eq!(
         allocator.poll_command(Micros(3_400_000)),
-        Some(given.clone())
+        Some(return_command.clone())
     );
-    allocator.apply_confirmed(&confirmed(0, 60_000_000, given.number));
+    allocator.apply_confirmed(&confirmed(0, 60_000_000, return_command.number));
     assert!(allocator.acquire(Micros(3_500_000), AV1, 0).is_err());
     assert!(matches!(
         allocator.poll_command(Micros(3_600_000)),
@@ -147,20 +150,20 @@
 }
 
 #[test]
-fn lent_seats_come_back_to_a_guaranteed_part() {
+fn seats_beyond_a_guarantee_are_recalled_for_another_tenant() {
     let configured = pool(10, &[("au", 4)]);
     let (mut ledger, find) = (Ledger::default(), |_: &str| Some(&configured));
-    // What another tenant can have leaves au its guarantee.
-    ledger.apply(1, 1, &want("sued", 10), find);
+    // Another tenant is granted only the seats beyond the guarantee of au.
+    ledger.apply(1, 1, &request("sued", 10), find);
     assert_eq!(held_seats(&ledger, 1, 1), 6);
-    ledger.apply(2, 1, &want("au", 4), find);
+    ledger.apply(2, 1, &request("au", 4), find);
     assert_eq!(held_seats(&ledger, 2, 1), 4);
-    // au returns two, which another gets while the guarantee is lowered; then it is raised again.
-    ledger.apply(2, 1, &give_back("au", 2), find);
+    // au returns two seats. Another tenant gets them while the guarantee is lowered; then it is raised again.
+    ledger.apply(2, 1, &return_seats("au", 2), find);
     let lower = pool(10, &[("au", 2)]);
-    ledger.apply(1, 1, &want("sued", 2), |_| Some(&lower));
+    ledger.apply(1, 1, &request("sued", 2), |_| Some(&lower));
     assert_eq!(held_seats(&ledger, 1, 1), 8);
-    ledger.apply(2, 1, &want("au", 2), find);
+    ledger.apply(2, 1, &request("au", 2), find);
     assert_eq!(
         (
             held_seats(&ledger, 2, 1),
@@ -169,8 +172,8 @@
         (2, 2)
     );
     assert_eq!(ledger.recalled("av1", &configured, "au"), 0);
-    ledger.apply(1, 1, &give_back("sued", 2), find);
-    ledger.apply(2, 1, &want("au", 2), find);
+    ledger.apply(1, 1, &return_seats("sued", 2), find);
+    ledger.apply(2, 1, &request("au", 2), find);
     assert_eq!(
         (
             held_seats(&ledger, 2, 1),
@@ -181,11 +184,11 @@
 }
 
 #[test]
-fn a_restarted_node_does_not_count_its_old_calls_as_free() {
+fn seats_of_an_earlier_incarnation_drain_before_they_are_free() {
     let configured = pool(4, &[]);
     let (mut ledger, find) = (Ledger::default(), |_: &str| Some(&configured));
-    ledger.apply(1, 1, &want("", 3), find);
-    ledger.apply(1, 2, &want("", 4), find);
+    ledger.apply(1, 1, &request("", 3), find);
+    ledger.apply(1, 2, &request("", 4), find);
     assert_eq!(
         (
             held_seats(&ledger, 1, 1),
@@ -209,17 +212,17 @@
 }
 
 #[test]
-fn a_pool_that_shrinks_below_what_is_held_gives_nothing_until_it_fits() {
+fn a_pool_smaller_than_the_held_seats_grants_none_until_enough_are_returned() {
     let mut ledger = Ledger::default();
     let (large, small) = (pool(10, &[]), pool(4, &[]));
-    ledger.apply(1, 1, &want("", 8), |_| Some(&large));
-    ledger.apply(2, 1, &want("", 3), |_| Some(&small));
+    ledger.apply(1, 1, &request("", 8), |_| Some(&large));
+    ledger.apply(2, 1, &request("", 3), |_| Some(&small));
     assert_eq!(
         (held_seats(&ledger, 1, 1), held_seats(&ledger, 2, 1)),
         (8, 0)
     );
-    ledger.apply(1, 1, &give_back("", 6), |_| Some(&small));
-    ledger.apply(2, 1, &want("", 3), |_| Some(&small));
+    ledger.apply(1, 1, &return_seats("", 6), |_| Some(&small));
+    ledger.apply(2, 1, &request("", 3), |_| Some(&small));
     assert_eq!(
         (held_seats(&ledger, 1, 1), held_seats(&ledger, 2, 1)),
         (2, 2)
@@ -228,8 +231,8 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Want(u32, u64, usize, u32),
-    Back(u32, u64, usize, u32),
+    Request(u32, u64, usize, u32),
+    Return(u32, u64, usize, u32),
     Reclaim(u32, u64),
     Free(u64),
 }
@@ -237,45 +240,45 @@
 fn any_steps() -> impl Strategy<Value = Vec<Step>> {
     let step = (0..4u32, 1..3u64, 0..3usize, 0..9u32, 0..4u8).prop_map(
         |(node, incarnation, tenant, n, kind)| match kind {
-            0 => Step::Back(node, incarnation, tenant, n),
+            0 => Step::Return(node, incarnation, tenant, n),
             1 => Step::Reclaim(node, incarnation),
             2 => Step::Free(u64::from(n)),
-            _ => Step::Want(node, incarnation, tenant, n),
+            _ => Step::Request(node, incarnation, tenant, n),
         },
     );
     proptest::collection::vec(step, 0..60)
 }
 
 proptest! {
-    /// Whatever commands come: no more seats are given than exist, and guarantees can always be met.
+    /// For any commands, no more seats are taken than the pool has, and all guarantees can still be met.
     #[test]
-    fn seats_in_use_never_exceed_the_pool(steps in any_steps()) {
+    fn taken_seats_never_exceed_the_pool_or_break_a_guarantee(steps in any_steps()) {
         let tenants = ["au", "sued", "nord"];
         let configured = pool(12, &[("au", 4), ("sued", 3)]);
         let mut ledger = Ledger::default();
         for step in steps {
             let before = ledger.clone();
-            let of = |ledger: &Ledger, tenant: &str| -> u32 {
-                let mut sum: BTreeMap<String, u32> = BTreeMap::new();
+            let taken_by = |ledger: &Ledger, tenant: &str| -> u32 {
+                let mut seats_by_tenant: BTreeMap<String, u32> = BTreeMap::new();
                 for Holder { node, incarnation } in ledger.holders() {
                     for HeldSeats { tenant, seats, .. } in ledger.held_by(node, incarnation) {
-                        *sum.entry(tenant).or_default() += seats;
+                        *seats_by_tenant.entry(tenant).or_default() += seats;
                     }
                 }
                 for DrainingSeats { lease, .. } in ledger.draining() {
-                    *sum.entry(lease.tenant.clone()).or_default() += lease.seats;
+                    *seats_by_tenant.entry(lease.tenant.clone()).or_default() += lease.seats;
                 }
-                sum.get(tenant).copied().unwrap_or(0)
+                seats_by_tenant.get(tenant).copied().unwrap_or(0)
             };
             match step {
-                Step::Want(node, incarnation, tenant, n) => ledger.apply(node, incarnation, &want(tenants[tenant], n), |_| Some(&configured)),
-                Step::Back(node, incarnation, tenant, n) => ledger.apply(node, incarnation, &give_back(tenants[tenant], n), |_| Some(&configured)),
+                Step::Request(node, incarnation, tenant, n) => ledger.apply(node, incarnation, &request(tenants[tenant], n), |_| Some(&configured)),
+                Step::Return(node, incarnation, tenant, n) => ledger.apply(node, incarnation, &return_seats(tenants[tenant], n), |_| Some(&configured)),
                 Step::Reclaim(node, incarnation) => ledger.apply(0, 0, &LedgerCommand::Reclaim { node, incarnation }, |_| Some(&configured)),
                 Step::Free(draining_id) => ledger.apply(0, 0, &LedgerCommand::FreeDrained { pool: "av1".into(), draining_id }, |_| Some(&configured)),
             }
             prop_assert!(ledger.taken("av1") <= 12);
-            // The free seats suffice for what every guarantee lacks.
-            let lacking = 4u32.saturating_sub(of(&ledger, "au")) + 3u32.saturating_sub(of(&ledger, "sued"));
+            // The free seats suffice to meet every guarantee.
+            let lacking = 4u32.saturating_sub(taken_by(&ledger, "au")) + 3u32.saturating_sub(taken_by(&ledger, "sued"));
             prop_assert!(12 - ledger.taken("av1") >= lacking, "{before:?} -> {ledger:?}");
         }
     }
