--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -38,7 +38,7 @@
 /// The consensus service.
 pub struct Consensus {
     config: ConsensusConfig,
-    /// The service's id, which routes events of its sockets to it.
+    /// The tag of the service's sockets, by which their events are routed to the service.
     peer: Peer,
     /// The incarnation of this process. Later processes of the node have greater numbers.
     incarnation: u64,
--- a/crates/node/src/consensus/voting/disk.rs
+++ b/crates/node/src/consensus/voting/disk.rs
@@ -9,7 +9,7 @@
 pub(super) enum WriteKind {
     /// State of the voter, with the voter's own ticket.
     Voter(u64),
-    /// The store number of another voter, whose own number this is.
+    /// The store number of the other voter with this number.
     KnownStore(u64),
     /// The mark that all other voters have welcomed this store.
     Admission,
@@ -47,7 +47,10 @@
                 CompletionEvent::Persisted(ticket) => self.handle_written(now, ticket),
                 CompletionEvent::Stalled(e) => {
                     if !std::mem::replace(&mut self.is_stalled, true) {
-                        log::error!("agreement: {e}: {}", e.advice());
+                        log::error!(
+                            "agreement: the disk rejects writes, so this voter pauses: {e}: {}",
+                            e.advice()
+                        );
                     }
                     self.voter.suspend();
                 }
--- a/crates/node/src/federation/mod.rs
+++ b/crates/node/src/federation/mod.rs
@@ -55,7 +55,7 @@
 }
 
 impl Federation {
-    /// A service without connections. `peer` routes events of its sockets to it.
+    /// A service without connections. `peer` is the tag of its sockets, by which their events are routed to it.
     pub fn new(peer: Peer) -> Self {
         Federation {
             peer,
