--- a/crates/eureka/src/error.rs
+++ b/crates/eureka/src/error.rs
@@ -5,7 +5,7 @@
 
 /// What is wrong with an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum AnswerError {
+pub enum ResponseError {
     /// It is nested too deep.
     #[error("nested too deep")]
     TooDeep,
@@ -20,12 +20,12 @@
     Truncated,
     /// It is not in the form that was announced.
     #[error(transparent)]
-    Malformed(#[from] MalformedAnswer),
+    Malformed(#[from] MalformedResponse),
 }
 
 /// How an answer departs from its form.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum MalformedAnswer {
+pub enum MalformedResponse {
     /// It is not JSON.
     #[error("no JSON")]
     NotJson,
@@ -70,23 +70,23 @@
     },
 }
 
-impl MalformedAnswer {
+impl MalformedResponse {
     /// An instance that its parser rejects.
     pub(crate) fn instance(error: impl std::error::Error) -> Self {
-        MalformedAnswer::Instance {
+        MalformedResponse::Instance {
             detail: error.to_string(),
         }
     }
 }
 
-impl From<SplitError> for AnswerError {
+impl From<SplitError> for ResponseError {
     fn from(error: SplitError) -> Self {
         match error {
-            SplitError::TooDeep => AnswerError::TooDeep,
-            SplitError::ElementTooLong => AnswerError::TooLong,
-            SplitError::NotJson => MalformedAnswer::NotJson.into(),
-            SplitError::SeveralValues => MalformedAnswer::SeveralValues.into(),
-            SplitError::UnmatchedBrackets => MalformedAnswer::UnmatchedBrackets.into(),
+            SplitError::TooDeep => ResponseError::TooDeep,
+            SplitError::ElementTooLong => ResponseError::TooLong,
+            SplitError::NotJson => MalformedResponse::NotJson.into(),
+            SplitError::SeveralValues => MalformedResponse::SeveralValues.into(),
+            SplitError::UnmatchedBrackets => MalformedResponse::UnmatchedBrackets.into(),
         }
     }
 }
--- a/crates/eureka/src/instance_json.rs
+++ b/crates/eureka/src/instance_json.rs
@@ -1,6 +1,6 @@
 //! An instance as JSON has it. Registries of different versions write numbers as texts and texts as numbers.
 
-use crate::error::MalformedAnswer;
+use crate::error::MalformedResponse;
 use crate::instance::{DeltaAction, Instance, InstanceStatus};
 use serde::de::{Deserializer, Error};
 use serde::Deserialize;
@@ -107,8 +107,9 @@
 ///
 /// # Errors
 /// It is not JSON, a value has another type, or there is no id.
-pub(crate) fn parse(bytes: &[u8]) -> Result<Instance, MalformedAnswer> {
-    let parsed: JsonInstance = serde_json::from_slice(bytes).map_err(MalformedAnswer::instance)?;
+pub(crate) fn parse(bytes: &[u8]) -> Result<Instance, MalformedResponse> {
+    let parsed: JsonInstance =
+        serde_json::from_slice(bytes).map_err(MalformedResponse::instance)?;
     // Old servers know an instance by its host.
     let id = if parsed.instance_id.is_empty() {
         parsed.host_name
@@ -116,7 +117,7 @@
         parsed.instance_id
     };
     if id.is_empty() {
-        return Err(MalformedAnswer::NoId);
+        return Err(MalformedResponse::NoId);
     }
     Ok(Instance {
         id,
--- a/crates/eureka/src/instance_xml.rs
+++ b/crates/eureka/src/instance_xml.rs
@@ -1,6 +1,6 @@
 //! An instance as XML has it.
 
-use crate::error::MalformedAnswer;
+use crate::error::MalformedResponse;
 use crate::instance::{DeltaAction, Instance, InstanceStatus};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -51,16 +51,16 @@
 ///
 /// # Errors
 /// It is not XML in UTF-8, or there is no id.
-pub(crate) fn parse(bytes: &[u8]) -> Result<Instance, MalformedAnswer> {
-    let text = std::str::from_utf8(bytes).map_err(MalformedAnswer::instance)?;
-    let parsed: XmlInstance = quick_xml::de::from_str(text).map_err(MalformedAnswer::instance)?;
+pub(crate) fn parse(bytes: &[u8]) -> Result<Instance, MalformedResponse> {
+    let text = std::str::from_utf8(bytes).map_err(MalformedResponse::instance)?;
+    let parsed: XmlInstance = quick_xml::de::from_str(text).map_err(MalformedResponse::instance)?;
     let id = if parsed.instance_id.is_empty() {
         parsed.host_name
     } else {
         parsed.instance_id
     };
     if id.is_empty() {
-        return Err(MalformedAnswer::NoId);
+        return Err(MalformedResponse::NoId);
     }
     let number = |text: &str| text.trim().parse().unwrap_or(0);
     Ok(Instance {
--- a/crates/eureka/src/lease.rs
+++ b/crates/eureka/src/lease.rs
@@ -24,7 +24,7 @@
     pub timeout: Micros,
 }
 
-/// A request, to be answered by [`Lease::handle_answer`] or [`Lease::handle_failure`].
+/// A request, to be answered by [`Lease::handle_response`] or [`Lease::handle_failure`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRequest {
     /// Answers to an earlier request are dropped by this.
@@ -151,7 +151,7 @@
     }
 
     /// A request was answered with this status.
-    pub fn handle_answer(&mut self, now: Micros, number: u64, status: u16) {
+    pub fn handle_response(&mut self, now: Micros, number: u64, status: u16) {
         if !self.is_open(number) {
             return;
         }
--- a/crates/eureka/src/poll.rs
+++ b/crates/eureka/src/poll.rs
@@ -1,9 +1,9 @@
 //! What to request from a registry and when: one request at a time, over several registries with failover, each answer
 //! taken in the order of the requests.
 
-use crate::answer::{AnswerFormat, AnswerItem, AnswerReader, Encoding};
-use crate::error::AnswerError;
+use crate::error::ResponseError;
 use crate::instance::{DeltaAction, Instance, InstanceStatus, MetadataKeys};
+use crate::response::{Encoding, ResponseFormat, ResponseItem, ResponseReader};
 use marbledeck_dispatcher::Micros;
 use marbledeck_membership::{SourceReport, Status};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -26,14 +26,14 @@
     /// How long an answer may take.
     pub timeout: Micros,
     /// The least time between two whole reads that a wrong hash code asks for.
-    pub min_full_interval: Micros,
+    pub min_full_fetch_interval: Micros,
     /// Whole reads only.
     pub deltas: bool,
 }
 
 /// What is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadKind {
+pub enum FetchKind {
     /// The whole list.
     Full,
     /// What has changed lately.
@@ -51,7 +51,7 @@
     /// The path, from the root.
     pub path: String,
     /// What is read.
-    pub kind: ReadKind,
+    pub kind: FetchKind,
     /// When it is to be given up.
     pub deadline: Micros,
 }
@@ -60,13 +60,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A whole list begins,
-    Begin,
+    ListBegin,
     /// names these,
-    Part(Vec<SourceReport>),
+    ListPart(Vec<SourceReport>),
     /// and has ended: who was not named is missing.
-    End,
+    ListEnd,
     /// A worker is named.
-    Named(Box<SourceReport>),
+    Reported(Box<SourceReport>),
     /// A worker is no longer named.
     Removed {
         /// The worker.
@@ -87,7 +87,7 @@
 
 struct OpenRequest {
     request: PollRequest,
-    reader: Option<AnswerReader>,
+    reader: Option<ResponseReader>,
     hash_code: Option<String>,
     /// What a whole read has found.
     instances: HashMap<InstanceKey, KnownInstance>,
@@ -130,9 +130,9 @@
     /// Failures in a row.
     failures: u32,
     /// A whole read is needed.
-    needs_full: bool,
+    needs_full_fetch: bool,
     /// When the last whole read was requested.
-    last_full_at: Option<Micros>,
+    last_full_fetch_at: Option<Micros>,
     instances: HashMap<InstanceKey, KnownInstance>,
     /// How many of them have each status.
     status_counts: BTreeMap<&'static str, usize>,
@@ -157,8 +157,8 @@
             number: 0,
             registry: 0,
             failures: 0,
-            needs_full: true,
-            last_full_at: None,
+            needs_full_fetch: true,
+            last_full_fetch_at: None,
             instances: HashMap::new(),
             status_counts: BTreeMap::new(),
             applying: None,
@@ -197,21 +197,21 @@
         if now < self.next_at {
             return None;
         }
-        let delta = self.settings.deltas && self.settings.vip.is_none() && !self.needs_full;
+        let delta = self.settings.deltas && self.settings.vip.is_none() && !self.needs_full_fetch;
         let kind = if delta {
-            ReadKind::Delta
+            FetchKind::Delta
         } else {
-            ReadKind::Full
+            FetchKind::Full
         };
-        if kind == ReadKind::Full {
-            self.last_full_at = Some(now);
+        if kind == FetchKind::Full {
+            self.last_full_fetch_at = Some(now);
         }
         self.number += 1;
         let base = &self.settings.path;
         let path = match (&self.settings.vip, kind) {
             (Some(vip), _) => format!("{base}/vips/{vip}"),
-            (None, ReadKind::Delta) => format!("{base}/apps/delta"),
-            (None, ReadKind::Full) => format!("{base}/apps"),
+            (None, FetchKind::Delta) => format!("{base}/apps/delta"),
+            (None, FetchKind::Full) => format!("{base}/apps"),
         };
         let request = PollRequest {
             number: self.number,
@@ -243,7 +243,7 @@
         now: Micros,
         number: u64,
         status: u16,
-        format: AnswerFormat,
+        format: ResponseFormat,
         encoding: Encoding,
     ) {
         let Some(open) = self
@@ -255,14 +255,14 @@
         };
         match status {
             200 => {
-                open.reader = Some(AnswerReader::new(format, encoding));
-                if open.request.kind == ReadKind::Full {
-                    self.changes.push(Change::Begin);
+                open.reader = Some(ResponseReader::new(format, encoding));
+                if open.request.kind == FetchKind::Full {
+                    self.changes.push(Change::ListBegin);
                 }
             }
             // Deltas may be switched off.
-            403 | 404 if open.request.kind == ReadKind::Delta => {
-                self.needs_full = true;
+            403 | 404 if open.request.kind == FetchKind::Delta => {
+                self.needs_full_fetch = true;
                 self.handle_failure(now, number, "no deltas");
                 self.next_at = now;
             }
@@ -288,14 +288,14 @@
         }
     }
 
-    fn take_items(&mut self, items: Vec<AnswerItem>) {
+    fn take_items(&mut self, items: Vec<ResponseItem>) {
         let Some(open) = &mut self.open else {
             return;
         };
         for item in items {
             match item {
-                AnswerItem::Hash(hash) => open.hash_code = Some(hash),
-                AnswerItem::Instance(instance) if open.request.kind == ReadKind::Delta => {
+                ResponseItem::Hash(hash) => open.hash_code = Some(hash),
+                ResponseItem::Instance(instance) if open.request.kind == FetchKind::Delta => {
                     let worker = is_worker(&self.settings, &instance);
                     open.delta.push_back(DeltaEntry {
                         status: instance.status,
@@ -304,7 +304,7 @@
                         key: (instance.app, instance.id),
                     });
                 }
-                AnswerItem::Instance(instance) => {
+                ResponseItem::Instance(instance) => {
                     let key = (instance.app.clone(), instance.id.clone());
                     let report = is_worker(&self.settings, &instance)
                         .then(|| instance.source_report(&self.settings.keys));
@@ -316,7 +316,7 @@
                     open.part.extend(report);
                     if open.part.len() >= LIST_PART_SIZE {
                         self.changes
-                            .push(Change::Part(std::mem::take(&mut open.part)));
+                            .push(Change::ListPart(std::mem::take(&mut open.part)));
                     }
                 }
             }
@@ -330,7 +330,7 @@
         }
         let rest = match self.open.as_mut().and_then(|open| open.reader.as_mut()) {
             Some(reader) => reader.finish(),
-            None => Err(AnswerError::Truncated),
+            None => Err(ResponseError::Truncated),
         };
         match rest {
             Ok(items) => self.take_items(items),
@@ -343,7 +343,7 @@
         self.next_at = now + self.jittered(self.settings.interval);
         let announced = open.hash_code;
         match open.request.kind {
-            ReadKind::Full => {
+            FetchKind::Full => {
                 self.instances = open.instances;
                 self.status_counts.clear();
                 for known in self.instances.values() {
@@ -352,9 +352,9 @@
                         .entry(known.status.wire_name())
                         .or_default() += 1;
                 }
-                self.changes.push(Change::Part(open.part));
-                self.changes.push(Change::End);
-                self.needs_full = false;
+                self.changes.push(Change::ListPart(open.part));
+                self.changes.push(Change::ListEnd);
+                self.needs_full_fetch = false;
                 // A list that does not match its own code is taken all the same; the next delta shows whether it is right.
                 if announced.is_none_or(|announced| announced == self.hash_code()) {
                     self.mismatches = 0;
@@ -362,7 +362,7 @@
                     self.last_failure = Some(HASH_MISMATCH.to_owned());
                 }
             }
-            ReadKind::Delta => {
+            FetchKind::Delta => {
                 self.applying = Some(PendingDelta {
                     entries: open.delta,
                     hash_code: announced,
@@ -389,11 +389,11 @@
         let announced = delta.hash_code;
         if announced.is_some_and(|announced| announced != self.hash_code()) {
             self.mismatches += 1;
-            self.needs_full = true;
+            self.needs_full_fetch = true;
             self.last_failure = Some(HASH_MISMATCH.to_owned());
             let earliest = self
-                .last_full_at
-                .map_or(now, |last| last + self.settings.min_full_interval);
+                .last_full_fetch_at
+                .map_or(now, |last| last + self.settings.min_full_fetch_interval);
             self.next_at = earliest.max(now);
         } else {
             self.mismatches = 0;
@@ -433,7 +433,9 @@
         if let Some(id) = left.filter(|id| !same(id)) {
             self.changes.push(Change::Removed { id, explicit: true });
         }
-        let named = entry.report.map(|report| Change::Named(Box::new(report)));
+        let named = entry
+            .report
+            .map(|report| Change::Reported(Box::new(report)));
         self.changes.extend(named);
     }
 
@@ -463,7 +465,7 @@
         self.registry = (self.registry + 1) % self.settings.registries.max(1);
         if self.settings.registries > 1 {
             // What another registry reports may be older or newer than a delta of this one says.
-            self.needs_full = true;
+            self.needs_full_fetch = true;
         }
         // All registries are tried at once before it waits.
         let round = (self.failures - 1) / self.settings.registries.max(1) as u32;
--- a/crates/eureka/src/answer.rs
+++ b/crates/eureka/src/response.rs
@@ -1,16 +1,16 @@
 //! Reads a registry's answer as it comes: JSON or XML, plain or gzip.
 
-use crate::error::{AnswerError, MalformedAnswer};
-use crate::xml_splitter::{self, Found};
+use crate::error::{MalformedResponse, ResponseError};
+use crate::xml_splitter::{self, RawItem};
 use crate::{instance_json, instance_xml, Instance};
 use flate2::write::GzDecoder;
 use marbledeck_json_splitter::{Part, SplitError};
 use std::io::Write;
 
 /// The most bytes of an answer, unpacked: four times what 10,000 instances take.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 /// The most bytes of an instance.
-const MAX_INSTANCE: usize = 64 * 1024;
+const MAX_INSTANCE_BYTES: usize = 64 * 1024;
 /// The most instances of an answer.
 const MAX_INSTANCES: usize = 65_536;
 
@@ -21,7 +21,7 @@
 
 /// The format of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerFormat {
+pub enum ResponseFormat {
     /// JSON.
     Json,
     /// XML.
@@ -39,7 +39,7 @@
 
 /// A part of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AnswerItem {
+pub enum ResponseItem {
     /// An instance.
     Instance(Box<Instance>),
     /// The hash code of all that the registry holds.
@@ -52,24 +52,24 @@
 }
 
 /// Reads one answer.
-pub struct AnswerReader {
+pub struct ResponseReader {
     splitter: Splitter,
     gzip: Option<GzDecoder<Vec<u8>>>,
     bytes: usize,
     instances: usize,
 }
 
-impl AnswerReader {
+impl ResponseReader {
     /// A reader of an answer in this format.
-    pub fn new(format: AnswerFormat, encoding: Encoding) -> Self {
-        AnswerReader {
+    pub fn new(format: ResponseFormat, encoding: Encoding) -> Self {
+        ResponseReader {
             splitter: match format {
-                AnswerFormat::Json => Splitter::Json(marbledeck_json_splitter::Splitter::new(
+                ResponseFormat::Json => Splitter::Json(marbledeck_json_splitter::Splitter::new(
                     INSTANCES_KEY,
                     &[HASH_KEY],
-                    MAX_INSTANCE,
+                    MAX_INSTANCE_BYTES,
                 )),
-                AnswerFormat::Xml => Splitter::Xml(xml_splitter::Splitter::default()),
+                ResponseFormat::Xml => Splitter::Xml(xml_splitter::Splitter::default()),
             },
             gzip: (encoding == Encoding::Gzip).then(|| GzDecoder::new(Vec::new())),
             bytes: 0,
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// What is wrong with the answer: nothing more is to be pushed.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<AnswerItem>, AnswerError> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<ResponseItem>, ResponseError> {
         let Some(gzip) = &mut self.gzip else {
             return self.push_plain(bytes);
         };
@@ -90,13 +90,13 @@
         let mut pieces = Vec::new();
         for piece in bytes.chunks(512) {
             let wrote = gzip.write_all(piece);
-            wrote.map_err(|error| MalformedAnswer::Gzip {
+            wrote.map_err(|error| MalformedResponse::Gzip {
                 detail: error.to_string(),
             })?;
             pieces.push(std::mem::take(gzip.get_mut()));
             let unpacked: usize = pieces.iter().map(Vec::len).sum();
-            if self.bytes + unpacked > MAX_ANSWER {
-                return Err(AnswerError::TooLong);
+            if self.bytes + unpacked > MAX_RESPONSE_BYTES {
+                return Err(ResponseError::TooLong);
             }
         }
         for piece in pieces {
@@ -105,10 +105,10 @@
         Ok(items)
     }
 
-    fn push_plain(&mut self, bytes: &[u8]) -> Result<Vec<AnswerItem>, AnswerError> {
+    fn push_plain(&mut self, bytes: &[u8]) -> Result<Vec<ResponseItem>, ResponseError> {
         self.bytes += bytes.len();
-        if self.bytes > MAX_ANSWER {
-            return Err(AnswerError::TooLong);
+        if self.bytes > MAX_RESPONSE_BYTES {
+            return Err(ResponseError::TooLong);
         }
         let mut parts = Vec::new();
         match &mut self.splitter {
@@ -119,26 +119,26 @@
                 })?;
             }
             Splitter::Xml(splitter) => {
-                splitter.push(bytes, MAX_INSTANCE, |part: Found| parts.push(part))?;
+                splitter.push(bytes, MAX_INSTANCE_BYTES, |part: RawItem| parts.push(part))?;
             }
         }
         let mut items = Vec::with_capacity(parts.len());
         for part in parts {
             items.push(match part {
-                Found::Hash(hash) => AnswerItem::Hash(hash),
-                Found::Instance(bytes) => {
+                RawItem::Hash(hash) => ResponseItem::Hash(hash),
+                RawItem::Instance(bytes) => {
                     self.instances += 1;
                     if self.instances > MAX_INSTANCES {
-                        return Err(AnswerError::TooMany);
+                        return Err(ResponseError::TooMany);
                     }
-                    AnswerItem::Instance(Box::new(self.instance(&bytes)?))
+                    ResponseItem::Instance(Box::new(self.instance(&bytes)?))
                 }
             });
         }
         Ok(items)
     }
 
-    fn instance(&self, bytes: &[u8]) -> Result<Instance, MalformedAnswer> {
+    fn instance(&self, bytes: &[u8]) -> Result<Instance, MalformedResponse> {
         match self.splitter {
             Splitter::Json(_) => instance_json::parse(bytes),
             Splitter::Xml(_) => instance_xml::parse(bytes),
@@ -149,10 +149,10 @@
     ///
     /// # Errors
     /// It is not complete.
-    pub fn finish(&mut self) -> Result<Vec<AnswerItem>, AnswerError> {
+    pub fn finish(&mut self) -> Result<Vec<ResponseItem>, ResponseError> {
         let mut items = Vec::new();
         if let Some(mut gzip) = self.gzip.take() {
-            gzip.try_finish().map_err(|_| AnswerError::Truncated)?;
+            gzip.try_finish().map_err(|_| ResponseError::Truncated)?;
             let rest = std::mem::take(gzip.get_mut());
             items = self.push_plain(&rest)?;
         }
@@ -163,20 +163,20 @@
         if is_complete {
             Ok(items)
         } else {
-            Err(AnswerError::Truncated)
+            Err(ResponseError::Truncated)
         }
     }
 }
 
 /// What a part of an answer in JSON is, where it is of interest.
-fn from_json(part: Part) -> Option<Found> {
+fn from_json(part: Part) -> Option<RawItem> {
     match part {
-        Part::Element(bytes) => Some(Found::Instance(bytes.to_vec())),
+        Part::Element(bytes) => Some(RawItem::Instance(bytes.to_vec())),
         Part::Scalar {
             is_string: true,
             text,
             ..
-        } => Some(Found::Hash(String::from_utf8_lossy(text).into_owned())),
+        } => Some(RawItem::Hash(String::from_utf8_lossy(text).into_owned())),
         Part::Scalar { .. } | Part::UnexpectedScalar => None,
     }
 }
--- a/crates/eureka/src/xml_splitter.rs
+++ b/crates/eureka/src/xml_splitter.rs
@@ -1,7 +1,7 @@
 //! Finds the instances in a registry's XML as its bytes come, without holding more than one of them. What Eureka never
 //! sends, document types above all, is refused: entities are not to be had.
 
-use crate::error::{AnswerError, MalformedAnswer};
+use crate::error::{MalformedResponse, ResponseError};
 
 const MAX_DEPTH: usize = 64;
 /// The longest tag.
@@ -10,7 +10,7 @@
 const MAX_TEXT: usize = 4096;
 
 /// A part that was found.
-pub(crate) enum Found {
+pub(crate) enum RawItem {
     /// All bytes of an instance.
     Instance(Vec<u8>),
     /// The hash code of all that the registry holds.
@@ -58,12 +58,12 @@
         &mut self,
         bytes: &[u8],
         max_instance: usize,
-        mut found: impl FnMut(Found),
-    ) -> Result<(), AnswerError> {
+        mut found: impl FnMut(RawItem),
+    ) -> Result<(), ResponseError> {
         for byte in bytes {
             if let Some((_, captured)) = &mut self.capture {
                 if captured.len() >= max_instance {
-                    return Err(AnswerError::TooLong);
+                    return Err(ResponseError::TooLong);
                 }
                 captured.push(*byte);
             }
@@ -75,7 +75,7 @@
                 State::Text => {
                     let blank = byte.is_ascii_whitespace() || matches!(*byte, 0xef | 0xbb | 0xbf);
                     if self.depth == 0 && !blank {
-                        return Err(MalformedAnswer::NotXml.into());
+                        return Err(MalformedResponse::NotXml.into());
                     }
                     if let Some(hash) = self.hash.as_mut().filter(|hash| hash.len() < MAX_TEXT) {
                         hash.push(*byte);
@@ -98,7 +98,11 @@
         Ok(())
     }
 
-    fn push_in_tag(&mut self, byte: u8, found: &mut impl FnMut(Found)) -> Result<(), AnswerError> {
+    fn push_in_tag(
+        &mut self,
+        byte: u8,
+        found: &mut impl FnMut(RawItem),
+    ) -> Result<(), ResponseError> {
         if let Some(quote) = self.quote {
             if byte == quote {
                 self.quote = None;
@@ -106,26 +110,26 @@
         } else if byte == b'>' {
             return self.end_of_tag(found);
         } else if byte == b'<' {
-            return Err(MalformedAnswer::TagInTag.into());
+            return Err(MalformedResponse::TagInTag.into());
         } else if (byte == b'"' || byte == b'\'') && !self.tag.starts_with(b"!") {
             self.quote = Some(byte);
         }
         if self.tag.len() >= MAX_TAG {
-            return Err(AnswerError::TooLong);
+            return Err(ResponseError::TooLong);
         }
         self.tag.push(byte);
         match self.tag.as_slice() {
             b"!--" => (self.state, self.tail) = (State::Comment, [0; 2]),
             b"![CDATA[" if self.depth > 0 => (self.state, self.tail) = (State::Data, [0; 2]),
             [b'!', b'D' | b'E' | b'A' | b'N', ..] => {
-                return Err(MalformedAnswer::DocumentType.into())
+                return Err(MalformedResponse::DocumentType.into())
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn end_of_tag(&mut self, found: &mut impl FnMut(Found)) -> Result<(), AnswerError> {
+    fn end_of_tag(&mut self, found: &mut impl FnMut(RawItem)) -> Result<(), ResponseError> {
         self.state = State::Text;
         let tag = std::mem::take(&mut self.tag);
         let name_of = |tag: &[u8]| {
@@ -136,22 +140,22 @@
         };
         match tag.as_slice() {
             [b'?', ..] => Ok(()),
-            [b'!', ..] | [] => Err(MalformedAnswer::UnexpectedTag.into()),
+            [b'!', ..] | [] => Err(MalformedResponse::UnexpectedTag.into()),
             [b'/', name @ ..] => {
                 if self.depth == 0 {
-                    return Err(MalformedAnswer::UnmatchedTags.into());
+                    return Err(MalformedResponse::UnmatchedTags.into());
                 }
                 if let Some((depth, captured)) = self.capture.take() {
                     if depth != self.depth {
                         self.capture = Some((depth, captured));
                     } else if name_of(name) == b"instance" {
-                        found(Found::Instance(captured));
+                        found(RawItem::Instance(captured));
                     } else {
-                        return Err(MalformedAnswer::UnmatchedTags.into());
+                        return Err(MalformedResponse::UnmatchedTags.into());
                     }
                 }
                 if let Some(hash) = self.hash.take() {
-                    found(Found::Hash(
+                    found(RawItem::Hash(
                         String::from_utf8_lossy(&hash).trim().to_owned(),
                     ));
                 }
@@ -164,10 +168,10 @@
             }
             _ => {
                 if self.depth >= MAX_DEPTH {
-                    return Err(AnswerError::TooDeep);
+                    return Err(ResponseError::TooDeep);
                 }
                 if self.depth == 0 && self.has_begun {
-                    return Err(MalformedAnswer::SeveralDocuments.into());
+                    return Err(MalformedResponse::SeveralDocuments.into());
                 }
                 self.has_begun = true;
                 self.depth += 1;
--- a/crates/eureka/tests/golden.rs
+++ b/crates/eureka/tests/golden.rs
@@ -4,8 +4,8 @@
 use insta::assert_snapshot;
 use marbledeck_dispatcher::Micros;
 use marbledeck_eureka::{
-    AnswerFormat, AnswerItem, AnswerReader, Change, DeltaAction, Encoding, Instance,
-    InstanceStatus, Lease, LeaseSettings, MetadataKeys, Poll, PollRequest, PollSettings, ReadKind,
+    Change, DeltaAction, Encoding, FetchKind, Instance, InstanceStatus, Lease, LeaseSettings,
+    MetadataKeys, Poll, PollRequest, PollSettings, ResponseFormat, ResponseItem, ResponseReader,
 };
 use marbledeck_membership::{SourceReport, Status};
 use std::fmt::Write;
@@ -76,7 +76,7 @@
     }
     if let Some(status) = status {
         let _ = writeln!(text, "  answered with {status}");
-        lease.handle_answer(due, ask.number, status);
+        lease.handle_response(due, ask.number, status);
     }
 }
 
@@ -124,7 +124,7 @@
         keys: MetadataKeys::default(),
         interval: Micros(10_000_000),
         timeout: Micros(2_000_000),
-        min_full_interval: Micros(30_000_000),
+        min_full_fetch_interval: Micros(30_000_000),
         deltas: true,
     }
 }
@@ -200,8 +200,8 @@
     text
 }
 
-fn shown_answer(form: AnswerFormat, bytes: &[u8]) -> String {
-    let mut reader = AnswerReader::new(form, Encoding::Plain);
+fn shown_answer(form: ResponseFormat, bytes: &[u8]) -> String {
+    let mut reader = ResponseReader::new(form, Encoding::Plain);
     let read = reader.push(bytes).and_then(|mut items| {
         items.extend(reader.finish()?);
         Ok(items)
@@ -213,21 +213,21 @@
     items
         .iter()
         .map(|item| match item {
-            AnswerItem::Hash(hash) => format!("hash code {hash}\n"),
-            AnswerItem::Instance(instance) => shown_instance(instance),
+            ResponseItem::Hash(hash) => format!("hash code {hash}\n"),
+            ResponseItem::Instance(instance) => shown_instance(instance),
         })
         .collect()
 }
 
 #[test]
 fn an_answer_in_json() {
-    let text = shown_answer(AnswerFormat::Json, FULL_JSON.as_bytes());
+    let text = shown_answer(ResponseFormat::Json, FULL_JSON.as_bytes());
     assert_snapshot!("an_answer_in_json", text);
 }
 
 #[test]
 fn an_answer_in_xml() {
-    let text = shown_answer(AnswerFormat::Xml, FULL_XML.as_bytes());
+    let text = shown_answer(ResponseFormat::Xml, FULL_XML.as_bytes());
     assert_snapshot!("an_answer_in_xml", text);
 }
 
@@ -283,14 +283,14 @@
         let _ = write!(
             text,
             "JSON, {name}: {}",
-            shown_answer(AnswerFormat::Json, answer.as_bytes())
+            shown_answer(ResponseFormat::Json, answer.as_bytes())
         );
     }
     for (name, answer) in xml {
         let _ = write!(
             text,
             "XML, {name}: {}",
-            shown_answer(AnswerFormat::Xml, answer.as_bytes())
+            shown_answer(ResponseFormat::Xml, answer.as_bytes())
         );
     }
     assert_snapshot!("answers_that_are_refused", text);
@@ -318,8 +318,8 @@
             self.now = self.now.max(self.poll.next_wake());
             if let Some(ask) = self.poll.next_request(self.now) {
                 let what = match ask.kind {
-                    ReadKind::Full => "full",
-                    ReadKind::Delta => "delta",
+                    FetchKind::Full => "full",
+                    FetchKind::Delta => "delta",
                 };
                 let _ = writeln!(
                     self.text,
@@ -332,7 +332,7 @@
         panic!("nothing is asked");
     }
 
-    fn answer(&mut self, ask: &PollRequest, status: u16, form: AnswerFormat, body: &str) {
+    fn answer(&mut self, ask: &PollRequest, status: u16, form: ResponseFormat, body: &str) {
         let _ = writeln!(self.text, "  answered with {status}");
         let (now, number) = (self.now, ask.number);
         self.poll
@@ -345,14 +345,14 @@
         }
         for change in self.poll.take_changes() {
             let shown = match change {
-                Change::Begin => "list begins".to_owned(),
-                Change::Part(words) => words
+                Change::ListBegin => "list begins".to_owned(),
+                Change::ListPart(words) => words
                     .iter()
                     .map(shown_word)
                     .collect::<Vec<_>>()
                     .join("\n  "),
-                Change::End => "list ends".to_owned(),
-                Change::Named(word) => format!("named: {}", shown_word(&word)),
+                Change::ListEnd => "list ends".to_owned(),
+                Change::Reported(word) => format!("named: {}", shown_word(&word)),
                 Change::Removed { id, explicit } => format!("removed: {id}, explicit {explicit}"),
             };
             let _ = writeln!(self.text, "  {shown}");
@@ -383,19 +383,19 @@
         ..settings()
     });
     let ask = t.ask();
-    t.answer(&ask, 200, AnswerFormat::Json, FULL_JSON);
+    t.answer(&ask, 200, ResponseFormat::Json, FULL_JSON);
     let ask = t.ask();
     let changes = [
         ("c", "UP", "ADDED"),
         ("c", "DOWN", "MODIFIED"),
         ("h9", "UP", "DELETED"),
     ];
-    t.answer(&ask, 200, AnswerFormat::Json, &delta("none", &changes));
+    t.answer(&ask, 200, ResponseFormat::Json, &delta("none", &changes));
     let ask = t.ask();
-    t.answer(&ask, 200, AnswerFormat::Xml, FULL_XML);
+    t.answer(&ask, 200, ResponseFormat::Xml, FULL_XML);
     let ask = t.ask();
     let gone = [("h1:render:8000", "UP", "DELETED")];
-    t.answer(&ask, 200, AnswerFormat::Json, &delta("UP_1_", &gone));
+    t.answer(&ask, 200, ResponseFormat::Json, &delta("UP_1_", &gone));
     for (status, body) in [
         (404, ""),
         (503, ""),
@@ -403,12 +403,12 @@
         (200, &*delta("UP_1_", &[])),
     ] {
         let ask = t.ask();
-        t.answer(&ask, status, AnswerFormat::Json, body);
+        t.answer(&ask, status, ResponseFormat::Json, body);
     }
     let ask = t.ask();
     t.now = ask.deadline;
     let ask = t.ask();
-    t.answer(&ask, 200, AnswerFormat::Json, &delta("", &[]));
+    t.answer(&ask, 200, ResponseFormat::Json, &delta("", &[]));
     assert_snapshot!("a_poll", t.text);
 }
 
@@ -434,11 +434,11 @@
     ] {
         let mut t = Transcript::new(settings);
         let ask = t.ask();
-        t.answer(&ask, 200, AnswerFormat::Json, FULL_JSON);
+        t.answer(&ask, 200, ResponseFormat::Json, FULL_JSON);
         let ask = t.ask();
-        t.answer(&ask, 500, AnswerFormat::Json, "");
+        t.answer(&ask, 500, ResponseFormat::Json, "");
         let ask = t.ask();
-        t.answer(&ask, 200, AnswerFormat::Json, FULL_JSON);
+        t.answer(&ask, 200, ResponseFormat::Json, FULL_JSON);
         let _ = writeln!(text, "{}", t.text);
     }
     assert_snapshot!("other_polls", text);
--- a/crates/eureka/tests/lease.rs
+++ b/crates/eureka/tests/lease.rs
@@ -22,7 +22,7 @@
 fn step(lease: &mut Lease, status: u16) -> (Micros, String) {
     let now = lease.next_wake().expect("it goes on");
     let request = lease.next_request(now).expect("it is due");
-    lease.handle_answer(now, request.number, status);
+    lease.handle_response(now, request.number, status);
     (now, format!("{} {}", request.method, request.path))
 }
 
@@ -66,10 +66,10 @@
         .next_request(request.deadline + RETRY_PAUSE)
         .expect("due");
     assert_eq!((request.registry, next.registry), (0, 1));
-    lease.handle_answer(Micros(1), request.number, 204);
+    lease.handle_response(Micros(1), request.number, 204);
     let still_open = lease.next_wake() == Some(next.deadline);
     assert!(still_open, "an answer to an earlier request");
-    lease.handle_answer(next.deadline, next.number, 503);
+    lease.handle_response(next.deadline, next.number, 503);
     let retry = lease.next_request(next.deadline + RETRY_PAUSE);
     let retry = retry.expect("due");
     assert_eq!(
--- a/crates/eureka/tests/poll.rs
+++ b/crates/eureka/tests/poll.rs
@@ -12,7 +12,7 @@
         keys: MetadataKeys::default(),
         interval: Micros(10_000_000),
         timeout: Micros(2_000_000),
-        min_full_interval: Micros(30_000_000),
+        min_full_fetch_interval: Micros(30_000_000),
         deltas: true,
     }
 }
@@ -59,7 +59,7 @@
             self.now,
             request.number,
             200,
-            AnswerFormat::Json,
+            ResponseFormat::Json,
             Encoding::Plain,
         );
         for part in text.as_bytes().chunks(50) {
@@ -76,8 +76,8 @@
 
 fn ids(changes: &[Change]) -> Vec<String> {
     let id = |change: &Change| match change {
-        Change::Part(words) => words.iter().map(|word| word.id.clone()).collect(),
-        Change::Named(word) => vec![word.id.clone()],
+        Change::ListPart(words) => words.iter().map(|word| word.id.clone()).collect(),
+        Change::Reported(word) => vec![word.id.clone()],
         Change::Removed { id, explicit } => vec![format!("-{id} {explicit}")],
         _ => vec![],
     };
@@ -91,7 +91,7 @@
     let request = w.next_request();
     assert_eq!(
         (request.path.as_str(), request.kind),
-        ("/eureka/apps", ReadKind::Full)
+        ("/eureka/apps", FetchKind::Full)
     );
     let changes = w.answer(
         &request,
@@ -102,13 +102,13 @@
     );
     assert_eq!(
         (changes.first(), changes.last()),
-        (Some(&Change::Begin), Some(&Change::End))
+        (Some(&Change::ListBegin), Some(&Change::ListEnd))
     );
     assert_eq!(ids(&changes), ["a", "b"]);
     let request = w.next_request();
     assert_eq!(
         (request.path.as_str(), request.kind),
-        ("/eureka/apps/delta", ReadKind::Delta)
+        ("/eureka/apps/delta", FetchKind::Delta)
     );
     assert!((5_000_000..=10_000_000).contains(&w.now.0));
     let delta = [
@@ -132,7 +132,7 @@
     let mut fulls = Vec::new();
     for _ in 0..40 {
         let request = w.next_request();
-        if request.kind == ReadKind::Full {
+        if request.kind == FetchKind::Full {
             fulls.push(w.now);
         }
         w.answer(&request, &body("UP_9_", &[instance("a", "UP", "MODIFIED")]));
@@ -186,11 +186,11 @@
         w.now,
         request.number,
         503,
-        AnswerFormat::Json,
+        ResponseFormat::Json,
         Encoding::Plain,
     );
     let request = w.next_request();
-    assert_eq!((request.registry, request.kind), (1, ReadKind::Full));
+    assert_eq!((request.registry, request.kind), (1, FetchKind::Full));
 }
 
 /// An answer that comes after its time, and an old list after a newer request, count for nothing; nor does a delta that
@@ -223,7 +223,7 @@
     let request = w.next_request();
     let text = body("UP_1_", &[instance("a", "UP", "ADDED")]);
     let changes = w.answer(&request, &text[..text.len() - 2]);
-    assert!(!changes.contains(&Change::End));
+    assert!(!changes.contains(&Change::ListEnd));
     let request = w.next_request();
     w.answer(&request, &text);
     let request = w.next_request();
@@ -231,10 +231,10 @@
         w.now,
         request.number,
         404,
-        AnswerFormat::Json,
+        ResponseFormat::Json,
         Encoding::Plain,
     );
-    assert_eq!(w.next_request().kind, ReadKind::Full);
+    assert_eq!(w.next_request().kind, FetchKind::Full);
 }
 
 #[test]
--- a/crates/eureka/tests/wire.rs
+++ b/crates/eureka/tests/wire.rs
@@ -36,12 +36,12 @@
 <status>SLEEPING</status></instance></application></applications>"#;
 
 fn read(
-    form: AnswerFormat,
+    form: ResponseFormat,
     encoding: Encoding,
     bytes: &[u8],
     piece: usize,
-) -> Result<Vec<AnswerItem>, AnswerError> {
-    let mut reader = AnswerReader::new(form, encoding);
+) -> Result<Vec<ResponseItem>, ResponseError> {
+    let mut reader = ResponseReader::new(form, encoding);
     let mut items = Vec::new();
     for part in bytes.chunks(piece.max(1)) {
         items.extend(reader.push(part)?);
@@ -68,18 +68,18 @@
 /// Both forms come to the same, in whatever pieces they come.
 #[test]
 fn json_and_xml_give_the_same_instances() {
-    for (form, text) in [(AnswerFormat::Json, JSON), (AnswerFormat::Xml, XML)] {
+    for (form, text) in [(ResponseFormat::Json, JSON), (ResponseFormat::Xml, XML)] {
         let whole = read(form, Encoding::Plain, text.as_bytes(), usize::MAX).unwrap();
         assert_eq!(whole.len(), 4, "{form:?}");
         assert_eq!(
             whole[0],
-            AnswerItem::Hash("UP_2_OUT_OF_SERVICE_1_".to_owned())
+            ResponseItem::Hash("UP_2_OUT_OF_SERVICE_1_".to_owned())
         );
         let instances: Vec<&Instance> = whole
             .iter()
             .filter_map(|item| match item {
-                AnswerItem::Instance(instance) => Some(&**instance),
-                AnswerItem::Hash(_) => None,
+                ResponseItem::Instance(instance) => Some(&**instance),
+                ResponseItem::Hash(_) => None,
             })
             .collect();
         let word = instances[0].source_report(&keys());
@@ -122,7 +122,7 @@
 /// Cut anywhere, an answer is a failed read and nothing worse.
 #[test]
 fn answers_truncated_at_every_byte() {
-    for (form, text) in [(AnswerFormat::Json, JSON), (AnswerFormat::Xml, XML)] {
+    for (form, text) in [(ResponseFormat::Json, JSON), (ResponseFormat::Xml, XML)] {
         for cut in 0..text.len() {
             assert!(
                 read(form, Encoding::Plain, &text.as_bytes()[..cut], 64).is_err(),
@@ -142,28 +142,29 @@
 /// Depth, length, bombs: each breaks a bound and ends the read.
 #[test]
 fn hostile_answers_are_rejected() {
-    let json =
-        |text: &str| read(AnswerFormat::Json, Encoding::Plain, text.as_bytes(), 4096).unwrap_err();
+    let json = |text: &str| {
+        read(ResponseFormat::Json, Encoding::Plain, text.as_bytes(), 4096).unwrap_err()
+    };
     let xml =
-        |text: &str| read(AnswerFormat::Xml, Encoding::Plain, text.as_bytes(), 4096).unwrap_err();
-    assert_eq!(json(&"[".repeat(100_000)), AnswerError::TooDeep);
-    assert_eq!(xml(&"<a>".repeat(100_000)), AnswerError::TooDeep);
+        |text: &str| read(ResponseFormat::Xml, Encoding::Plain, text.as_bytes(), 4096).unwrap_err();
+    assert_eq!(json(&"[".repeat(100_000)), ResponseError::TooDeep);
+    assert_eq!(xml(&"<a>".repeat(100_000)), ResponseError::TooDeep);
     let long = "x".repeat(70_000);
     assert_eq!(
         json(&format!(r#"{{"instance":{{"instanceId":"{long}"}}}}"#)),
-        AnswerError::TooLong
+        ResponseError::TooLong
     );
     assert_eq!(
         xml(&format!(
             "<a><instance><instanceId>{long}</instanceId></instance></a>"
         )),
-        AnswerError::TooLong
+        ResponseError::TooLong
     );
     let bomb = r#"<!DOCTYPE a [<!ENTITY x "xxxxxxxx">]><a><instance><instanceId>&x;</instanceId></instance></a>"#;
-    assert!(matches!(xml(bomb), AnswerError::Malformed(_)));
+    assert!(matches!(xml(bomb), ResponseError::Malformed(_)));
     assert!(matches!(
         xml("<a><instance><instanceId>&lol;</instanceId></instance></a>"),
-        AnswerError::Malformed(_)
+        ResponseError::Malformed(_)
     ));
     for wrong in [
         "",
@@ -175,7 +176,7 @@
         r#"{"instance":{"a":1e}}"#,
     ] {
         assert!(
-            read(AnswerFormat::Json, Encoding::Plain, wrong.as_bytes(), 9).is_err(),
+            read(ResponseFormat::Json, Encoding::Plain, wrong.as_bytes(), 9).is_err(),
             "{wrong}"
         );
     }
@@ -183,15 +184,15 @@
         "[{}]",
         vec![r#"{"instance":{"instanceId":"i","port":99999999999999999999}}"#; 70_000].join(",")
     );
-    assert_eq!(json(&many), AnswerError::TooMany);
+    assert_eq!(json(&many), ResponseError::TooMany);
     // 60 MB and more in a few kilobytes.
     let blank = zipped(&format!("[{}]", " ".repeat(70 << 20)));
     assert!(blank.len() < 1 << 20);
     assert_eq!(
-        read(AnswerFormat::Json, Encoding::Gzip, &blank, 1 << 16),
-        Err(AnswerError::TooLong)
+        read(ResponseFormat::Json, Encoding::Gzip, &blank, 1 << 16),
+        Err(ResponseError::TooLong)
     );
-    assert!(read(AnswerFormat::Json, Encoding::Gzip, b"not gzip at all", 4).is_err());
+    assert!(read(ResponseFormat::Json, Encoding::Gzip, b"not gzip at all", 4).is_err());
 }
 
 proptest! {
@@ -200,7 +201,7 @@
     /// Mutated in any way, an answer panics nowhere.
     #[test]
     fn mutated_answers_do_not_panic(xml in any::<bool>(), piece in 1..500usize, cuts in proptest::collection::vec((0..4000usize, any::<u8>()), 0..8)) {
-        let (form, text) = if xml { (AnswerFormat::Xml, XML) } else { (AnswerFormat::Json, JSON) };
+        let (form, text) = if xml { (ResponseFormat::Xml, XML) } else { (ResponseFormat::Json, JSON) };
         let mut bytes = text.as_bytes().to_vec();
         for (at, byte) in cuts {
             let at = at % bytes.len();
--- a/crates/node/src/eureka/config.rs
+++ b/crates/node/src/eureka/config.rs
@@ -3,7 +3,7 @@
 use crate::config_error::{ConfigError, ConfigProblem};
 use crate::config_file::{check_ranges, parse_address, seconds, RangeCheck};
 use marbledeck_dispatcher::Micros;
-use marbledeck_eureka::{AnswerFormat, MetadataKeys};
+use marbledeck_eureka::{MetadataKeys, ResponseFormat};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -125,7 +125,7 @@
     /// Whether deltas are fetched between complete lists.
     pub deltas: bool,
     /// The encoding that is asked for.
-    pub form: AnswerFormat,
+    pub form: ResponseFormat,
     /// The metadata keys that describe a worker.
     pub keys: MetadataKeys,
     /// The node's own entry; none where it is not to register.
@@ -228,10 +228,10 @@
     Ok(parsed)
 }
 
-fn parse_form(source: &str, form: &str) -> Result<AnswerFormat, ConfigError> {
+fn parse_form(source: &str, form: &str) -> Result<ResponseFormat, ConfigError> {
     match form {
-        "json" => Ok(AnswerFormat::Json),
-        "xml" => Ok(AnswerFormat::Xml),
+        "json" => Ok(ResponseFormat::Json),
+        "xml" => Ok(ResponseFormat::Xml),
         _ => Err(ConfigError::new(
             format!("{source}: form"),
             "want json or xml",
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -11,7 +11,9 @@
 use crate::service::Service;
 use config::EurekaConfig;
 use marbledeck_dispatcher::Micros;
-use marbledeck_eureka::{AnswerFormat, Change, Encoding, Lease, LeaseSettings, Poll, PollSettings};
+use marbledeck_eureka::{
+    Change, Encoding, Lease, LeaseSettings, Poll, PollSettings, ResponseFormat,
+};
 use marbledeck_membership::{MembershipChange, SourceId};
 use own_entry::OwnEntry;
 use std::collections::VecDeque;
@@ -22,7 +24,7 @@
 /// Workers that are looked at in one turn for being missing from a list.
 const SWEPT_PER_TURN: usize = 500;
 /// The longest answer, packed or not, in bytes.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// A call to the registry that is not answered yet.
 struct Call {
@@ -49,7 +51,7 @@
     /// The replicas of the registry.
     registries: Vec<SocketAddr>,
     /// The encoding that is asked for.
-    form: AnswerFormat,
+    form: ResponseFormat,
     /// For whom events of its sockets are.
     peer: Peer,
     call: Option<Call>,
@@ -73,7 +75,7 @@
             keys: config.keys,
             interval: config.poll,
             timeout: config.timeout,
-            min_full_interval: config.full,
+            min_full_fetch_interval: config.full,
             deltas: config.deltas,
         };
         let own_entry = config.register.map(|entry| {
@@ -130,8 +132,8 @@
 
     fn request(&self, path: &str, registry: SocketAddr) -> Vec<u8> {
         let accept = match self.form {
-            AnswerFormat::Json => "application/json",
-            AnswerFormat::Xml => "application/xml",
+            ResponseFormat::Json => "application/json",
+            ResponseFormat::Xml => "application/xml",
         };
         format!(
             "GET {path} HTTP/1.1\r\nHost: {registry}\r\nAccept: {accept}\r\nAccept-Encoding: gzip\r\n\
@@ -186,7 +188,7 @@
                 let form = answer_form(&head).unwrap_or(self.form);
                 self.poll
                     .handle_head(now, call.number, head.status, form, encoding(&head));
-                let body = Body::of_long_response(&head, MAX_ANSWER)?;
+                let body = Body::of_long_response(&head, MAX_RESPONSE_BYTES)?;
                 call.head = Some((head, body));
             }
         }
@@ -239,17 +241,17 @@
             applied += 1;
             let members = &mut fleet.members;
             match change {
-                Change::Begin => members.begin_full_list(self.source),
-                Change::Part(reports) => {
+                Change::ListBegin => members.begin_full_list(self.source),
+                Change::ListPart(reports) => {
                     // A part is a turn's work.
                     applied = CHANGES_PER_TURN;
                     update.append(members.apply_list_part(now, self.source, reports));
                 }
-                Change::End => {
+                Change::ListEnd => {
                     self.sweep = Sweep::After(None);
                     break;
                 }
-                Change::Named(report) => {
+                Change::Reported(report) => {
                     update.append(members.apply_report(now, self.source, *report));
                 }
                 Change::Removed { id, explicit } => {
@@ -280,12 +282,12 @@
 }
 
 /// The form that an answer states.
-fn answer_form(head: &ResponseHead) -> Option<AnswerFormat> {
+fn answer_form(head: &ResponseHead) -> Option<ResponseFormat> {
     let content_type = head.fields.get("Content-Type")?;
     if content_type.contains("xml") {
-        Some(AnswerFormat::Xml)
+        Some(ResponseFormat::Xml)
     } else if content_type.contains("json") {
-        Some(AnswerFormat::Json)
+        Some(ResponseFormat::Json)
     } else {
         None
     }
--- a/crates/node/src/eureka/own_entry.rs
+++ b/crates/node/src/eureka/own_entry.rs
@@ -78,7 +78,7 @@
                 if !(200..300).contains(&head.status) {
                     log::warn!("eureka: status {} on the node's own entry", head.status);
                 }
-                self.lease.handle_answer(now, call.number, head.status);
+                self.lease.handle_response(now, call.number, head.status);
             }
             _ => self.lease.handle_failure(now, call.number),
         }
