--- a/crates/node/src/handover/connect.rs
+++ b/crates/node/src/handover/connect.rs
@@ -1,5 +1,5 @@
-//! The start of a process that may replace another: it connects to the socket where that one would listen, and takes
-//! over its listeners and its state.
+//! The handover as seen by a starting process: it connects to the Unix socket of the process that it replaces, and
+//! receives its listening sockets and its state.
 
 use super::{HEAD_LENGTH, MAX_STATE_LENGTH};
 use crate::net::PASSED;
@@ -12,37 +12,40 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long the running process may take to answer: one that hangs must not keep the new one from serving.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A read timeout of zero would stand for none.
+/// The time limit for receiving the state. A running process that hangs must not keep the new one from serving.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The shortest read timeout. The operating system takes zero as no timeout at all.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// What the running process has passed on.
+/// The link to the running process, and what it has passed on.
 pub struct PredecessorLink<T> {
-    /// The connection, over which messages follow.
+    /// The connection, over which messages are exchanged from now on.
     pub stream: UnixStream,
-    /// Its listening sockets.
+    /// The listening sockets of the running process.
     pub listeners: Vec<OwnedFd>,
-    /// Its state.
+    /// The state of the running process.
     pub state: T,
 }
 
-/// Connects to the running process of this node, if there is one.
+/// Connects to the running process of this node, if there is one. After an error this process starts on its own.
 pub fn connect<T: DeserializeOwned>(path: &Path) -> Option<PredecessorLink<T>> {
     match try_connect(path) {
         Ok(link) => Some(link),
         Err(e) if e.kind() == io::ErrorKind::NotFound => None,
         Err(e) => {
-            log::warn!("{}: {e}; starting without it", path.display());
+            log::warn!(
+                "cannot take over from the running process at {}: {e}; starting without its sockets and state",
+                path.display()
+            );
             None
         }
     }
 }
 
 fn try_connect<T: DeserializeOwned>(path: &Path) -> io::Result<PredecessorLink<T>> {
-    let deadline = Instant::now() + ANSWER_TIMEOUT;
+    let deadline = Instant::now() + RECEIVE_TIMEOUT;
     let stream = UnixStream::connect(path)?;
-    // No byte more than the state: what follows are messages for the event loop.
+    // Reads exactly the head and the state. The bytes after them are messages for the event loop.
     let mut head = [0; HEAD_LENGTH];
     set_read_deadline(&stream, deadline)?;
     let listeners = receive_head(&stream, &mut head)?;
@@ -57,6 +60,7 @@
     })
 }
 
+/// The length of the state; none if the head is malformed or the state too long.
 fn parse_length(head: &[u8; HEAD_LENGTH]) -> Option<usize> {
     let text = std::str::from_utf8(head).ok()?;
     let length = usize::from_str_radix(text.trim_end(), 16).ok()?;
@@ -76,13 +80,13 @@
     Ok(body)
 }
 
-/// Has the next read wait no longer than to the deadline.
+/// Sets the read timeout to the time left until the deadline.
 fn set_read_deadline(stream: &UnixStream, deadline: Instant) -> io::Result<()> {
     let left = deadline.saturating_duration_since(Instant::now());
     stream.set_read_timeout(Some(left.max(MIN_READ_TIMEOUT)))
 }
 
-/// Reads the head, and takes the descriptors that come with it.
+/// Reads the head and the file descriptors that are sent with it.
 fn receive_head(stream: &UnixStream, head: &mut [u8; HEAD_LENGTH]) -> io::Result<Vec<OwnedFd>> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(PASSED))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
--- a/crates/node/src/handover/message.rs
+++ b/crates/node/src/handover/message.rs
@@ -1,9 +1,9 @@
-//! What the two processes of one node say to each other, one JSON value a line.
+//! The messages between two processes of one node, each sent as a line of JSON.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Which of the two partners.
+/// The role of the other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The process that this one replaces.
@@ -17,36 +17,36 @@
     pub const BOTH: [Side; 2] = [Side::Predecessor, Side::Successor];
 }
 
-/// A message of one process to the other.
+/// A message to the other process.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Word", rename_all = "snake_case")]
 pub enum Message {
-    /// An operator has taken the worker of this id out of service.
+    /// An operator has taken the worker with this id out of service.
     #[serde(rename = "out")]
     WorkerOut(String),
-    /// An operator has put the worker of this id back into service.
+    /// An operator has put the worker with this id back into service.
     #[serde(rename = "back")]
     WorkerBack(String),
-    /// The new process can serve: the old one need accept nothing more.
+    /// The new process can serve, so the old one may stop accepting connections.
     Serving,
     /// The old process has begun its graceful shutdown.
     #[serde(rename = "ending")]
     ShuttingDown,
-    /// The names of the services that the new process has; sent only to one that has named its own.
+    /// The names of the new process's services. It is sent only to a process whose state lists its own services.
     #[serde(rename = "parties")]
     Services(Vec<String>),
-    /// A message for the service of this name.
+    /// A message for the service with this name.
     #[serde(rename = "party")]
     Service(String, Value),
 }
 
-/// What has happened on a link to another process of this node.
+/// An event on a link to another process of this node.
 #[derive(Debug, PartialEq, Eq)]
 pub enum HandoverEvent {
-    /// A process has come to replace this one; it waits for [the state](super::Handover::send_state).
+    /// A process that is to replace this one has connected, and waits for [the state](super::Handover::send_state).
     SuccessorConnected(crate::net::Token),
-    /// A partner has sent a message.
+    /// The process with this role has sent a message.
     Received(Side, Message),
-    /// A partner is gone.
+    /// The link to the process with this role is closed.
     Lost(Side),
 }
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -1,9 +1,10 @@
-//! The link between two processes of one node while one replaces the other: over a Unix socket in `$TMPDIR`, named
-//! after the node.
+//! The link between two processes of one node during an upgrade, in which the successor replaces the predecessor. It is
+//! a Unix socket in `$TMPDIR` that is named after the node.
 //!
-//! The running process passes on its listening sockets, so that both accept connections from one queue and none is lost
-//! when it closes its own end; with them goes what operators and discovery have stated. After that, the processes
-//! exchange [`Message`]s. Nothing here may keep a process from serving: whatever fails, it goes on alone.
+//! The predecessor passes on its listening sockets, so that both processes accept from the same queues and no connection
+//! is lost when it closes them. With the sockets it sends its state: the workers known from discovery and other sources,
+//! and the operators' changes. Then the processes exchange [`Message`]s. A failure of the link never keeps a process from
+//! serving: the link is closed, and the process continues alone.
 
 mod connect;
 mod message;
@@ -19,37 +20,37 @@
 use std::os::unix::net::UnixListener;
 use std::path::Path;
 
-/// The state begins with its length: eight hexadecimal digits and a line's end.
+/// The length of the head before the state: eight hexadecimal digits of the state's length, and a line feed.
 const HEAD_LENGTH: usize = 9;
-/// The longest state, in bytes: the lists of the largest fleet from several sources, several times over.
+/// The longest state in bytes: several times the lists of the largest fleet from several sources.
 const MAX_STATE_LENGTH: usize = 8 * 1024 * 1024;
-/// What a link between two processes holds each way: the state with its head, or a job with its input and its result,
-/// both escaped.
+/// The size of the buffers of a link in bytes, in each direction. It holds the state with its head, or a job with its
+/// escaped input and result.
 pub const LINK_BUFFER: usize = MAX_STATE_LENGTH + 4096;
-/// Messages for a partner wait while more bytes than this are still to be sent to it.
+/// Messages of services are not queued while more bytes than this are still to be sent to a process.
 const MAX_BACKLOG: usize = 64 * 1024;
-/// Only the node's own user may connect.
+/// The permissions of the socket: only the node's own user may connect.
 const SOCKET_MODE: u32 = 0o600;
 
-/// The process that this one replaces.
+/// The state of the process that this one replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Predecessor {
-    /// There is none, or no more.
+    /// There is none, or the link to it is closed.
     None,
     /// It may still accept work.
     Serving(Token),
-    /// It accepts nothing more.
+    /// It accepts no more work.
     ShuttingDown(Token),
 }
 
-/// The process that replaces this one.
+/// The state of the process that replaces this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Successor {
-    /// There is none, or no more.
+    /// There is none, or the link to it is closed.
     None,
     /// It cannot serve yet.
     Starting(Token),
-    /// It serves.
+    /// It accepts work.
     Serving(Token),
 }
 
@@ -79,13 +80,17 @@
 }
 
 impl Handover {
-    /// Listens at this path for the process that will replace this one. `predecessor` is the link to the one that it
-    /// replaces.
+    /// Listens at this path for a successor. `predecessor` is the link to the process that this one replaces, if there is
+    /// one.
     pub fn new(path: Option<&Path>, predecessor: Option<Token>, net: &mut Net) -> Self {
         let listener = path.and_then(|path| match listen(path, net) {
             Ok(token) => Some(token),
             Err(e) => {
-                log::warn!("{}: {e}; an upgrade will not be seamless", path.display());
+                log::warn!(
+                    "cannot listen for a successor at {}: {e}; \
+                     an upgrade will not take over sockets and state",
+                    path.display()
+                );
                 None
             }
         });
@@ -96,22 +101,22 @@
         }
     }
 
-    /// Whether another process of this node runs.
+    /// Whether there is a link to another process of this node.
     pub fn has_partner(&self) -> bool {
         self.predecessor != Predecessor::None || self.successor != Successor::None
     }
 
-    /// Whether there is a successor that serves.
+    /// Whether there is a successor that accepts work.
     pub fn has_serving_successor(&self) -> bool {
         matches!(self.successor, Successor::Serving(_))
     }
 
-    /// Whether jobs may be coming to both processes.
+    /// Whether another process of this node may accept work beside this one.
     pub fn shares_jobs(&self) -> bool {
         matches!(self.predecessor, Predecessor::Serving(_)) || self.has_serving_successor()
     }
 
-    /// Accepts a process that comes to replace this one; the last to come is the one that does.
+    /// Accepts the connection of a successor. It replaces an earlier successor, whose link is closed.
     pub fn accept(&mut self, net: &mut Net) -> Option<HandoverEvent> {
         let token = net.accept(self.listener?).ok().flatten()?;
         let earlier = std::mem::replace(&mut self.successor, Successor::Starting(token));
@@ -121,7 +126,7 @@
         Some(HandoverEvent::SuccessorConnected(token))
     }
 
-    /// Passes these listeners and the state on to the successor.
+    /// Sends the listening sockets and the state to the successor. If that fails, the link is closed.
     pub fn send_state(
         &mut self,
         successor: Token,
@@ -130,15 +135,15 @@
         net: &mut Net,
     ) {
         let body = serde_json::to_string(state).unwrap_or_default();
-        log::debug!("handover: a state of {} bytes", body.len());
+        log::debug!("handover: sending a state of {} bytes", body.len());
         let message = format!("{:08x}\n{body}", body.len());
         if let Err(e) = net.send_listeners(successor, message.as_bytes(), listeners) {
-            log::warn!("handover: {e}");
+            log::warn!("handover: cannot send the state to the successor: {e}; closing its link");
             self.drop_link(successor, net);
         }
     }
 
-    /// Something has come over a link: the next event there, until there is none.
+    /// Returns the next event on a link, or none if no complete message was received.
     pub fn next_event(&mut self, token: Token, net: &mut Net) -> Option<HandoverEvent> {
         loop {
             let Some(side) = self.side_of(token) else {
@@ -151,7 +156,7 @@
             };
             let bytes = conn.input.all();
             let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
-                // A message has its end within the ring; one that has not is none.
+                // A message that does not fit into the input buffer is invalid.
                 if conn.eof || conn.broken || conn.input.is_full() {
                     self.drop_link(token, net);
                     return Some(HandoverEvent::Lost(side));
@@ -162,14 +167,16 @@
             conn.input.consume(end + 1);
             net.touch(token);
             match message {
-                // Only a successor's beginning to serve has a meaning.
+                // Ignored: a predecessor was serving before this process started.
                 Ok(Message::Serving) if side == Side::Predecessor => {}
                 Ok(message) => {
-                    self.note_state(side, &message);
+                    self.update_state(side, &message);
                     return Some(HandoverEvent::Received(side, message));
                 }
                 Err(e) => {
-                    log::warn!("handover: {e}");
+                    log::warn!(
+                        "handover: invalid message from the other process: {e}; closing the link"
+                    );
                     self.drop_link(token, net);
                     return Some(HandoverEvent::Lost(side));
                 }
@@ -177,20 +184,21 @@
         }
     }
 
-    /// Sends to every partner; one that reads nothing is dropped.
+    /// Sends a message to the predecessor and the successor, as far as they exist. A link whose buffer is full is closed.
     pub fn send_to_all(&mut self, message: &Message, net: &mut Net) {
         for side in Side::BOTH {
             self.send_to(side, message, net);
         }
     }
 
-    /// Whether there is such a partner, and it has read enough to be sent one more message.
+    /// Whether there is a process with this role, and it has read enough for one more message of a service.
     pub fn has_room(&self, side: Side, net: &mut Net) -> bool {
         self.token_of(side)
             .is_some_and(|token| net.has_room(token, MAX_BACKLOG))
     }
 
-    /// Sends to one partner, if there is one; one that reads nothing is dropped, and the result is false.
+    /// Sends a message to the process with this role, if there is one. If the link's buffer is full, closes the link and
+    /// returns false.
     pub fn send_to(&mut self, side: Side, message: &Message, net: &mut Net) -> bool {
         let Some(token) = self.token_of(side) else {
             return true;
@@ -204,13 +212,13 @@
         fits
     }
 
-    /// Whether all that was sent to the successor has left.
+    /// Whether all bytes for the successor were written to the socket.
     pub fn is_flushed(&self, net: &mut Net) -> bool {
         let successor = self.successor.token().and_then(|token| net.get(token));
         successor.is_none_or(|conn| conn.output.is_empty())
     }
 
-    /// Closes the link to a partner: this process goes on alone.
+    /// Closes a link. This process continues without the other one.
     pub fn drop_link(&mut self, token: Token, net: &mut Net) {
         net.close(token);
         if self.successor.token() == Some(token) {
@@ -220,7 +228,8 @@
         }
     }
 
-    fn note_state(&mut self, side: Side, message: &Message) {
+    /// Updates the state of the other process after its message.
+    fn update_state(&mut self, side: Side, message: &Message) {
         match (message, side, self.predecessor, self.successor) {
             (Message::Serving, Side::Successor, _, Successor::Starting(token)) => {
                 self.successor = Successor::Serving(token);
@@ -250,14 +259,14 @@
     }
 }
 
-/// Listens beside the path and then takes its place: whatever stood there, a stale file or the listener of the process
-/// that is replaced, there is always one or the other.
+/// Binds a socket to a temporary path and renames it to `path`. The renaming atomically replaces a stale socket, or the
+/// socket of the predecessor, so that there is no time without a socket.
 fn listen(path: &Path, net: &mut Net) -> io::Result<Token> {
-    let beside = path.with_extension(std::process::id().to_string());
-    let _ = std::fs::remove_file(&beside);
-    let listener = UnixListener::bind(&beside)?;
+    let temporary_path = path.with_extension(std::process::id().to_string());
+    let _ = std::fs::remove_file(&temporary_path);
+    let listener = UnixListener::bind(&temporary_path)?;
     listener.set_nonblocking(true)?;
-    std::fs::set_permissions(&beside, Permissions::from_mode(SOCKET_MODE))?;
-    std::fs::rename(&beside, path)?;
+    std::fs::set_permissions(&temporary_path, Permissions::from_mode(SOCKET_MODE))?;
+    std::fs::rename(&temporary_path, path)?;
     net.add_listener(listener.into(), Peer::Partner)
 }
--- a/crates/node/src/submission/config.rs
+++ b/crates/node/src/submission/config.rs
@@ -1,4 +1,4 @@
-//! The settings of the server for batch submission.
+//! The configuration of the batch submission server.
 
 use crate::config_error::ConfigError;
 use crate::config_file::{check_ranges, parse_toml, read_text, RangeCheck};
@@ -11,43 +11,43 @@
 const SECONDS_PER_DAY: u64 = 86_400;
 const SECONDS_PER_WEEK: usize = 604_800;
 
-/// The part `[submission]` of the operator file, or a file of its own.
+/// The table `[submission]` of the operator file, or a file with only its keys.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SubmissionConfig {
-    /// Where submitters connect.
+    /// The address that submitters connect to.
     pub listen: SocketAddr,
-    /// The ids of the workers that are spoken to by submission.
+    /// The ids of the workers that take attempts by the submission protocol.
     #[serde(default)]
     pub workers: Vec<String>,
-    /// The longest line, in bytes.
+    /// The longest line that a submitter may send, in bytes.
     #[serde(default = "default_max_line")]
     pub max_line: usize,
-    /// Jobs that are remembered, running and ended ones together.
+    /// The maximum number of jobs that are stored, running and ended ones together.
     #[serde(default = "default_max_jobs")]
     pub max_jobs: usize,
-    /// Bytes that the templates and results of these may take together.
+    /// The maximum total size of the templates and results of these jobs, in bytes.
     #[serde(default = "default_max_bytes")]
     pub max_bytes: usize,
-    /// Jobs of one `runBulkJobs`.
+    /// The maximum number of jobs of one `runBulkJobs`.
     #[serde(default = "default_max_bulk")]
     pub max_bulk: usize,
-    /// Job sessions.
+    /// The maximum number of job sessions.
     #[serde(default = "default_max_sessions")]
     pub max_sessions: usize,
-    /// Events that a session remembers.
+    /// The number of events that a session stores.
     #[serde(default = "default_history")]
     pub history: usize,
-    /// Submitters connected at a time.
+    /// The maximum number of connected submitters.
     #[serde(default = "default_max_submitters")]
     pub max_submitters: usize,
-    /// How many seconds an ended job can still be asked for.
+    /// The seconds for which an ended job is stored.
     #[serde(default = "default_retain_s")]
     pub retain_s: u64,
-    /// How many seconds a job may wait before it is handed to the dispatcher.
+    /// The maximum seconds for which a job may be held before it is passed to the dispatcher.
     #[serde(default = "one_day_s")]
     pub hold_s: u64,
-    /// How many seconds a session is remembered that has neither jobs nor readers.
+    /// The seconds for which a session without jobs and readers is stored.
     #[serde(default = "one_day_s")]
     pub session_s: u64,
 }
@@ -89,10 +89,10 @@
 }
 
 impl SubmissionConfig {
-    /// Reads a file that holds these keys alone.
+    /// Reads a file that contains only these keys.
     ///
     /// # Errors
-    /// The file cannot be read, or a key of it is wrong.
+    /// The file cannot be read, or one of its keys is invalid.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let (source, text) = read_text(path)?;
         let config: Self = parse_toml(&source, &text)?;
@@ -100,12 +100,12 @@
         Ok(config)
     }
 
-    /// Checks the values; `source` names the file and the part.
+    /// Checks the values. `source` names the file and the table in errors.
     ///
     /// # Errors
     /// A value is out of its range.
     pub fn check(&self, source: &str) -> Result<(), ConfigError> {
-        let a_day = SECONDS_PER_DAY as usize;
+        let seconds_per_day = SECONDS_PER_DAY as usize;
         let checks = [
             RangeCheck::new("max_line", self.max_line, KIB, 160 * KIB),
             RangeCheck::new("max_jobs", self.max_jobs, 1, 262_144),
@@ -114,7 +114,7 @@
             RangeCheck::new("max_sessions", self.max_sessions, 1, 4096),
             RangeCheck::new("history", self.history, 16, 65_536),
             RangeCheck::new("max_submitters", self.max_submitters, 1, 256),
-            RangeCheck::new("retain_s", self.retain_s as usize, 1, a_day),
+            RangeCheck::new("retain_s", self.retain_s as usize, 1, seconds_per_day),
             RangeCheck::new("hold_s", self.hold_s as usize, 1, SECONDS_PER_WEEK),
             RangeCheck::new("session_s", self.session_s as usize, 1, SECONDS_PER_WEEK),
         ];
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -1,5 +1,5 @@
-//! Batch submission in DRMAA terms, as `docs/submission.md` describes it: carries lines between submitters'
-//! connections and the protocol's server, which `marbledeck-submission` has without sockets.
+//! The service for batch submission by the DRMAA protocol that `docs/submission.md` describes. It passes lines between
+//! the submitters' connections and the protocol's server, which the crate `marbledeck-submission` implements without I/O.
 
 pub(crate) mod config;
 mod scheduler;
@@ -22,51 +22,51 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Connections accepted in one turn.
-const MAX_ACCEPTS: usize = 16;
-/// Lines of one connection handled in one turn.
-const MAX_LINES: usize = 64;
-/// A line is written only when no more than this is still to be sent.
+/// The maximum number of connections that are accepted in one turn.
+const MAX_ACCEPTS_PER_TURN: usize = 16;
+/// The maximum number of lines of one connection that are handled in one turn.
+const MAX_LINES_PER_TURN: usize = 64;
+/// A line is written to a connection only if at most this many bytes are still to be sent.
 const MAX_BACKLOG: usize = 16 * 1024;
-/// When a submitter is to come back that is one too many.
+/// The delay in milliseconds after which a submitter may connect again that was rejected because there are too many.
 const RETRY_AFTER_MS: u64 = 1000;
 
 /// One submitter's connection.
 struct Submitter {
     token: Token,
-    /// It has lines that were not handled yet.
+    /// Whether received lines may be waiting to be handled.
     has_more: bool,
 }
 
-/// The front for batch submission.
+/// Accepts submitters and runs the server for batch submission.
 pub struct Submissions {
     server: Server,
     /// The longest line that a submitter may send, in bytes.
     max_line: usize,
     max_submitters: usize,
     acceptor: Acceptor,
-    /// The address that it listens at.
+    /// The listening address.
     pub addr: SocketAddr,
-    /// The submitters, by the numbers of their tokens.
+    /// The submitters by the numbers of their tokens.
     submitters: HashMap<u64, Submitter>,
-    /// Those with lines that have come and were not handled in their turn.
+    /// The submitters whose lines are to be handled in the next turn.
     deferred: Vec<u64>,
 }
 
 impl Submissions {
-    /// Listens where the file says, on the socket that was handed on for it if there is one. `prefix` begins the ids
-    /// of this process's jobs, so that they differ from those of any other.
+    /// Listens at the configured address, or on `inherited`, the predecessor's listening socket for it. `prefix` is the
+    /// prefix of the ids of this process's jobs, which makes them unique among all processes.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The node cannot listen at the address.
     pub fn new(
         config: SubmissionConfig,
-        handed: Option<OwnedFd>,
+        inherited: Option<OwnedFd>,
         prefix: String,
         peer: Peer,
         net: &mut Net,
     ) -> io::Result<Self> {
-        let (listener, addr) = net.listen(config.listen, handed, peer)?;
+        let (listener, addr) = net.listen(config.listen, inherited, peer)?;
         let secs = |s: u64| Micros(s * 1_000_000);
         let limits = Limits {
             max_jobs: config.max_jobs,
@@ -89,9 +89,10 @@
         })
     }
 
+    /// Accepts the waiting connections, and rejects those above the limit.
     fn accept(&mut self, now: Micros, context: &mut Context) {
         let net = &mut context.net;
-        for _ in 0..MAX_ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             match self.acceptor.accept(now, net) {
                 Ok(None) => return,
                 Ok(Some(token)) if self.submitters.len() < self.max_submitters => {
@@ -107,119 +108,125 @@
                     let _ = net.write(token, &frame::encode_line(&problem));
                     net.finish(token);
                 }
-                Err(error) => return log::warn!("accept: {error}"),
+                Err(error) => {
+                    return log::warn!(
+                        "submission: cannot accept a connection: {error}; pausing the listener"
+                    )
+                }
             }
         }
     }
 
-    fn forget(&mut self, now: Micros, peer: u64) -> Option<Submitter> {
-        self.server.handle_disconnect(now, peer);
-        self.submitters.remove(&peer)
+    /// Removes a submitter whose connection is closed or about to be closed. Its jobs continue.
+    fn remove_submitter(&mut self, now: Micros, client: u64) -> Option<Submitter> {
+        self.server.handle_disconnect(now, client);
+        self.submitters.remove(&client)
     }
 
-    /// Handles the lines that have come, as long as their answers leave.
-    fn read(&mut self, now: Micros, peer: u64, context: &mut Context) {
-        for _ in 0..MAX_LINES {
-            self.flush(now, peer, context);
-            let Some(submitter) = self.submitters.get_mut(&peer) else {
+    /// Handles received lines as long as the server accepts more from this submitter. Lines beyond the limit per turn are
+    /// deferred to the next one.
+    fn read(&mut self, now: Micros, client: u64, context: &mut Context) {
+        for _ in 0..MAX_LINES_PER_TURN {
+            self.flush(now, client, context);
+            let Some(submitter) = self.submitters.get_mut(&client) else {
                 return;
             };
             let Some(conn) = context.net.get(submitter.token) else {
                 return;
             };
-            if !self.server.accepts_line(peer) {
-                // Goes on once it has been answered, or has read.
+            if !self.server.accepts_line(client) {
+                // Continues once earlier lines are answered, or the submitter has read its responses.
                 submitter.has_more = !conn.input.is_empty();
                 return;
             }
-            let (full, eof) = (conn.input.is_full(), conn.eof);
-            let held = conn.input.all();
-            match frame::find_line(held, self.max_line, full) {
+            let (is_full, eof) = (conn.input.is_full(), conn.eof);
+            let received = conn.input.all();
+            match frame::find_line(received, self.max_line, is_full) {
                 Ok(None) => {
                     if eof {
-                        // A last line without its end is none.
+                        // Drops an incomplete last line.
                         conn.input.consume(usize::MAX);
                     }
                     submitter.has_more = false;
-                    return self.close_if_done(now, peer, context);
+                    return self.close_if_done(now, client, context);
                 }
                 Ok(Some(length)) => {
-                    let line = held[..length].trim_ascii().to_vec();
+                    let line = received[..length].trim_ascii().to_vec();
                     conn.input.consume(length + 1);
                     context.net.touch(submitter.token);
                     if !line.is_empty() {
                         self.server
-                            .handle_line(now, peer, &line, &mut NodeScheduler(context));
+                            .handle_line(now, client, &line, &mut NodeScheduler(context));
                     }
                 }
                 Err(TooLong) => {
-                    // Where the next line begins is not known.
+                    // The connection is closed: the start of the next line is unknown.
                     let problem = Problem::invalid_argument("the line is too long");
                     let token = submitter.token;
                     let _ = context.net.write(token, &frame::encode_line(&problem));
-                    self.forget(now, peer);
+                    self.remove_submitter(now, client);
                     return context.net.finish(token);
                 }
             }
         }
-        if let Some(submitter) = self.submitters.get_mut(&peer) {
+        if let Some(submitter) = self.submitters.get_mut(&client) {
             submitter.has_more = true;
         }
-        self.deferred.push(peer);
+        self.deferred.push(client);
     }
 
-    /// Writes what the submitter is to be sent, as far as it takes it.
-    fn flush(&mut self, now: Micros, peer: u64, context: &mut Context) {
-        let submitter = self.submitters.get(&peer);
+    /// Writes lines to a submitter as long as it reads them.
+    fn flush(&mut self, now: Micros, client: u64, context: &mut Context) {
+        let submitter = self.submitters.get(&client);
         let Some(token) = submitter.map(|submitter| submitter.token) else {
             return;
         };
         while context.net.has_room(token, MAX_BACKLOG) {
-            let Some(line) = self.server.next_line(peer) else {
+            let Some(line) = self.server.next_line(client) else {
                 return;
             };
             if !context.net.write(token, &line) {
-                log::warn!("a response to a submitter does not fit");
-                self.forget(now, peer);
+                log::warn!("submission: a line to a submitter does not fit its buffer; closing its connection");
+                self.remove_submitter(now, client);
                 return context.net.close(token);
             }
         }
     }
 
-    /// Closes on a submitter that sends nothing more and is owed nothing more.
-    fn close_if_done(&mut self, now: Micros, peer: u64, context: &mut Context) {
-        let Some(submitter) = self.submitters.get(&peer) else {
+    /// Closes the connection of a submitter that has sent its last line and has received all responses.
+    fn close_if_done(&mut self, now: Micros, client: u64, context: &mut Context) {
+        let Some(submitter) = self.submitters.get(&client) else {
             return;
         };
         let token = submitter.token;
         let conn = context.net.get(token);
         let has_ended = conn.is_some_and(|conn| conn.eof && conn.input.is_empty());
-        if has_ended && self.server.is_done_with(peer) {
-            self.forget(now, peer);
+        if has_ended && self.server.is_done_with(client) {
+            self.remove_submitter(now, client);
             context.net.finish(token);
         }
     }
 
-    /// Writes to all submitters that have something to read, and goes on with their lines.
+    /// Writes to all submitters for which there are lines, and continues to handle their own.
     fn flush_all(&mut self, now: Micros, context: &mut Context) {
-        for peer in self.server.take_readable_clients() {
-            self.flush(now, peer, context);
-            if !self.server.accepts_line(peer) {
+        for client in self.server.take_readable_clients() {
+            self.flush(now, client, context);
+            if !self.server.accepts_line(client) {
                 continue;
             }
-            let Some(submitter) = self.submitters.get_mut(&peer) else {
+            let Some(submitter) = self.submitters.get_mut(&client) else {
                 continue;
             };
             if std::mem::take(&mut submitter.has_more) {
-                self.deferred.push(peer);
+                self.deferred.push(client);
             } else {
-                self.close_if_done(now, peer, context);
+                self.close_if_done(now, client, context);
             }
         }
     }
 }
 
-/// The other process, as the server names it.
+/// The submission server's name for the role of the other process.
 fn partner(side: handover::Side) -> Partner {
     match side {
         handover::Side::Predecessor => Partner::Predecessor,
@@ -236,17 +243,17 @@
         vec![self.acceptor.listener()]
     }
 
-    /// Something has come from a submitter, or can be sent to it, or it is lost. Its jobs go on all the same.
+    /// Reads from and writes to a submitter, or removes it if its connection is lost.
     fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         if event.listener {
             return self.accept(now, context);
         }
-        let peer = event.token.number();
-        let known = self.submitters.contains_key(&peer);
+        let client = event.token.number();
+        let known = self.submitters.contains_key(&client);
         match context.net.get(event.token) {
-            Some(conn) if known && !conn.broken => self.read(now, peer, context),
+            Some(conn) if known && !conn.broken => self.read(now, client, context),
             _ => {
-                self.forget(now, peer);
+                self.remove_submitter(now, client);
                 context.net.close(event.token);
             }
         }
@@ -265,8 +272,8 @@
         if was_paused && !self.server.is_paused() {
             self.deferred.extend(self.submitters.keys());
         }
-        for peer in std::mem::take(&mut self.deferred) {
-            self.read(now, peer, context);
+        for client in std::mem::take(&mut self.deferred) {
+            self.read(now, client, context);
         }
     }
 
@@ -300,8 +307,8 @@
         worker: WorkerId,
         context: &Context,
     ) {
-        let place = context.fleet.endpoint(worker);
-        let name = place.map(|place| Rc::from(place.name.as_str()));
+        let endpoint = context.fleet.endpoint(worker);
+        let name = endpoint.map(|endpoint| Rc::from(endpoint.name.as_str()));
         self.server.handle_started(now, id, name);
     }
 
@@ -331,13 +338,13 @@
         if self.server.is_sending_handover() {
             return;
         }
-        log::info!("submissions: handed over to the other process");
+        log::info!("submission: handing the jobs over to the successor and closing the submitters' connections");
         self.flush_all(now, context);
         self.server.begin_handover();
-        // Their jobs go on there: the submitters are to connect again.
-        for peer in self.submitters.keys().copied().collect::<Vec<_>>() {
-            self.flush(now, peer, context);
-            if let Some(submitter) = self.forget(now, peer) {
+        // The jobs continue at the successor, to which the submitters connect again.
+        for client in self.submitters.keys().copied().collect::<Vec<_>>() {
+            self.flush(now, client, context);
+            if let Some(submitter) = self.remove_submitter(now, client) {
                 context.net.finish(submitter.token);
             }
         }
@@ -369,7 +376,9 @@
                     self.deferred.extend(self.submitters.keys());
                 }
             }
-            Err(error) => log::warn!("submissions: a message of the other process: {error}"),
+            Err(error) => log::warn!(
+                "submission: ignoring an invalid message from the other process: {error}"
+            ),
         }
     }
 
--- a/crates/node/src/submission/scheduler.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -1,4 +1,4 @@
-//! The core and the workers as the submission server sees them.
+//! The interface of the submission server to the node's core and workers.
 
 use crate::context::Context;
 use crate::core::{NewRequest, Payload, RequestError};
@@ -8,12 +8,13 @@
 use marbledeck_submission::message::{ErrorId, Machine, Problem, Queue};
 use marbledeck_submission::{ClassProperties, JobRequest, Placement, Scheduler, Template};
 
-/// When a submitter is to come back where there is no capacity.
+/// The delay in milliseconds after which a submitter may retry a job that was rejected for lack of capacity.
 const RETRY_AFTER_MS: u64 = 1000;
 
-/// Lends the node's parts to the server for one step.
+/// Gives the server access to the node for the duration of one call.
 pub struct NodeScheduler<'a>(pub &'a mut Context);
 
+/// The error that a submitter receives for a request that the core rejects.
 fn problem(error: RequestError) -> Problem {
     match error {
         RequestError::TooMany | RequestError::NoSeat(_) => {
@@ -37,9 +38,12 @@
         })
     }
 
-    fn check(&self, class: &str, tenant: Option<&str>, keyed: bool) -> Result<(), Problem> {
+    fn check(&self, class: &str, tenant: Option<&str>, has_key: bool) -> Result<(), Problem> {
         let names = self.0.core.names();
-        names.check(class, tenant, keyed).map(drop).map_err(problem)
+        names
+            .check(class, tenant, has_key)
+            .map(drop)
+            .map_err(problem)
     }
 
     fn place(&self, template: &Template) -> Result<Placement, Problem> {
@@ -62,26 +66,26 @@
         }
     }
 
-    fn submit(&mut self, now: Micros, order: JobRequest) -> Result<RequestId, Problem> {
-        if let (Placement::Remote, Some(jobs)) = (order.placement, &mut self.0.forwarded_jobs) {
-            return Ok(jobs.forward(now, &order));
+    fn submit(&mut self, now: Micros, job: JobRequest) -> Result<RequestId, Problem> {
+        if let (Placement::Remote, Some(jobs)) = (job.placement, &mut self.0.forwarded_jobs) {
+            return Ok(jobs.forward(now, &job));
         }
-        let manifest = order.template.manifest.as_ref();
+        let manifest = job.template.manifest.as_ref();
         let licences = manifest.into_iter().flat_map(|manifest| &manifest.licences);
         let licences = licences.map(String::as_str).collect();
         let payload = Payload {
-            transaction_id: order.job_id,
-            key: order.key,
+            transaction_id: job.job_id,
+            key: job.key,
             method: "POST".to_owned(),
-            target: order.target,
-            body: order.body,
+            target: job.target,
+            body: job.body,
         };
         let request = NewRequest {
-            class: order.class,
-            tenant: order.tenant,
-            time_left: order.time_left,
+            class: job.class,
+            tenant: job.tenant,
+            time_left: job.time_left,
             cost_hint: None,
-            slots: order.slots,
+            slots: job.slots,
             memory: 0.0,
             licences,
             payload,
