--- a/crates/node/src/eureka/config.rs
+++ b/crates/node/src/eureka/config.rs
@@ -117,19 +117,19 @@
     /// The virtual address (VIP) whose instances are workers; none for those of `apps`.
     pub vip: Option<String>,
     /// The longest interval between two polls; the shortest is half of it.
-    pub poll: Micros,
+    pub poll_interval: Micros,
     /// The time limit of a request.
     pub timeout: Micros,
     /// The minimum interval between full fetches after a hash code mismatch.
-    pub full: Micros,
+    pub min_full_fetch_interval: Micros,
     /// Whether deltas are fetched between full lists.
     pub deltas: bool,
     /// The format of the responses to request.
-    pub form: ResponseFormat,
+    pub format: ResponseFormat,
     /// The metadata keys of a worker's attributes.
     pub keys: MetadataKeys,
     /// The registration of the node itself; none if it does not register.
-    pub register: Option<Registration>,
+    pub registration: Option<Registration>,
 }
 
 /// The registration of the node itself.
@@ -142,7 +142,7 @@
     /// The address at which clients reach the node.
     pub addr: SocketAddr,
     /// The interval between renewals of the lease.
-    pub renew: Micros,
+    pub renewal_interval: Micros,
 }
 
 impl EurekaSection {
@@ -164,18 +164,18 @@
                 "want a plain word",
             ));
         }
-        let form = parse_form(source, &self.form)?;
-        let register = self.register.map(|section| section.check(source));
+        let format = parse_format(source, &self.form)?;
+        let registration = self.register.map(|section| section.check(source));
         Ok(EurekaConfig {
-            register: register.transpose()?,
+            registration: registration.transpose()?,
             urls,
             apps: self.apps,
             vip: self.vip,
-            poll: seconds(self.poll_s),
+            poll_interval: seconds(self.poll_s),
             timeout: seconds(self.timeout_s),
-            full: seconds(self.full_s),
+            min_full_fetch_interval: seconds(self.full_s),
             deltas: self.deltas,
-            form,
+            format,
             keys: MetadataKeys {
                 id: self.id_key,
                 zone: self.zone_key,
@@ -206,7 +206,7 @@
             addr: parse_address(format!("{source}: address"), &self.address)?,
             app: self.app,
             id: self.id,
-            renew: seconds(self.renew_s),
+            renewal_interval: seconds(self.renew_s),
         })
     }
 }
@@ -229,8 +229,8 @@
     Ok(parsed)
 }
 
-fn parse_form(source: &str, form: &str) -> Result<ResponseFormat, ConfigError> {
-    match form {
+fn parse_format(source: &str, format: &str) -> Result<ResponseFormat, ConfigError> {
+    match format {
         "json" => Ok(ResponseFormat::Json),
         "xml" => Ok(ResponseFormat::Xml),
         _ => Err(ConfigError::new(
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -73,19 +73,19 @@
             apps: config.apps,
             vip: config.vip,
             keys: config.keys,
-            interval: config.poll,
+            interval: config.poll_interval,
             timeout: config.timeout,
-            min_full_fetch_interval: config.full,
+            min_full_fetch_interval: config.min_full_fetch_interval,
             deltas: config.deltas,
         };
-        let lease_client = config.register.map(|registration| {
+        let lease_client = config.registration.map(|registration| {
             let lease_settings = LeaseSettings {
                 registries: settings.registries,
                 path: settings.path.clone(),
                 app: registration.app,
                 id: registration.id,
                 address: registration.addr,
-                renewal_interval: registration.renew,
+                renewal_interval: registration.renewal_interval,
                 timeout: settings.timeout,
             };
             LeaseClient::new(Lease::new(lease_settings, now))
@@ -95,7 +95,7 @@
             source,
             poll: Poll::new(settings, now, seed),
             registries,
-            format: config.form,
+            format: config.format,
             peer,
             call: None,
             backlog: VecDeque::new(),
--- a/crates/node/tests/golden/operator_file.rs
+++ b/crates/node/tests/golden/operator_file.rs
@@ -442,20 +442,28 @@
     }
     let _ = writeln!(text, "eureka.apps: {}", eureka.apps.join(", "));
     let _ = writeln!(text, "eureka.vip: {}", or_none(&eureka.vip));
-    let _ = writeln!(text, "eureka.poll_s: {} us", eureka.poll.0);
+    let _ = writeln!(text, "eureka.poll_s: {} us", eureka.poll_interval.0);
     let _ = writeln!(text, "eureka.timeout_s: {} us", eureka.timeout.0);
-    let _ = writeln!(text, "eureka.full_s: {} us", eureka.full.0);
+    let _ = writeln!(
+        text,
+        "eureka.full_s: {} us",
+        eureka.min_full_fetch_interval.0
+    );
     let _ = writeln!(text, "eureka.deltas: {}", eureka.deltas);
     let _ = writeln!(text, "eureka.secure: {}", eureka.keys.secure);
     let _ = writeln!(text, "eureka.id_key: {}", or_none(&eureka.keys.id));
     let _ = writeln!(text, "eureka.zone_key: {}", or_none(&eureka.keys.zone));
     let _ = writeln!(text, "eureka.kind_key: {}", or_none(&eureka.keys.kind));
     let _ = writeln!(text, "eureka.rack_key: {}", or_none(&eureka.keys.rack));
-    if let Some(entry) = &eureka.register {
+    if let Some(entry) = &eureka.registration {
         let _ = writeln!(text, "eureka.register.app: {}", entry.app);
         let _ = writeln!(text, "eureka.register.id: {}", entry.id);
         let _ = writeln!(text, "eureka.register.address: {}", entry.addr);
-        let _ = writeln!(text, "eureka.register.renew_s: {} us", entry.renew.0);
+        let _ = writeln!(
+            text,
+            "eureka.register.renew_s: {} us",
+            entry.renewal_interval.0
+        );
     }
 }
 
