--- a/crates/eureka/src/lease.rs
+++ b/crates/eureka/src/lease.rs
@@ -1,5 +1,5 @@
-//! The state machine of the node's own lease: it registers the node, renews the lease, registers again if the registry no
-//! longer knows the instance, and cancels the lease at shutdown.
+//! The state machine of the node's own lease: it registers the node, renews the lease, registers again if the registry
+//! no longer knows the instance, and cancels the lease at shutdown.
 
 use marbledeck_dispatcher::Micros;
 use serde_json::json;
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Stops all requests because another process of this node renews the lease, or registers again because that process
-    /// was lost.
+    /// Stops all requests because another process of this node renews the lease, or registers again because that
+    /// process was lost.
     pub fn set_handed_over(&mut self, now: Micros, handed_over: bool) {
         match (handed_over, self.state) {
             (true, State::Unregistered | State::Registered) => {
--- a/crates/eureka/src/lib.rs
+++ b/crates/eureka/src/lib.rs
@@ -5,8 +5,8 @@
 //! - [`Poll`] decides when to send which request, and turns the responses into changes of the membership.
 //! - [`Lease`] registers the node's own instance, renews its lease and cancels it.
 //!
-//! No input from a registry causes a panic, and memory use is bounded: the nesting depth, the length of an instance, the
-//! number of instances and the length of a response all have limits.
+//! No input from a registry causes a panic, and memory use is bounded: the nesting depth, the length of an instance,
+//! the number of instances and the length of a response all have limits.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/eureka/src/poll.rs
+++ b/crates/eureka/src/poll.rs
@@ -371,8 +371,8 @@
                 self.changes.push(Change::ListPart(open.part));
                 self.changes.push(Change::ListEnd);
                 self.needs_full_fetch = false;
-                // A full list that does not match its own hash code is still used. The check after the next delta decides
-                // whether to fetch it again.
+                // A full list that does not match its own hash code is still used. The check after the next delta
+                // decides whether to fetch it again.
                 if announced.is_none_or(|announced| announced == self.hash_code()) {
                     self.mismatches = 0;
                 } else {
@@ -388,8 +388,8 @@
         }
     }
 
-    /// Applies some entries of the pending delta. After the last one, compares the hash codes and schedules a full fetch
-    /// if they differ.
+    /// Applies some entries of the pending delta. After the last one, compares the hash codes and schedules a full
+    /// fetch if they differ.
     fn apply_delta(&mut self, now: Micros) {
         let Some(mut delta) = self.applying.take() else {
             return;
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -1,5 +1,6 @@
-//! The service that reads workers from a Eureka registry. It sends the requests that `marbledeck-eureka` decides on, feeds
-//! it the responses as they arrive, and applies a bounded number of the resulting changes to the membership in each turn.
+//! The service that reads workers from a Eureka registry. It sends the requests that `marbledeck-eureka` decides on,
+//! feeds it the responses as they arrive, and applies a bounded number of the resulting changes to the membership in
+//! each turn.
 
 pub(crate) mod config;
 mod lease_client;
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -1,10 +1,10 @@
 //! The link between two processes of one node during an upgrade, in which the successor replaces the predecessor. It is
 //! a Unix socket in `$TMPDIR` that is named after the node.
 //!
-//! The predecessor passes on its listening sockets, so that both processes accept from the same queues and no connection
-//! is lost when it closes them. With the sockets it sends its state: the workers known from discovery and other sources,
-//! and the operators' changes. Then the processes exchange [`Message`]s. A failure of the link never keeps a process from
-//! serving: the link is closed, and the process continues alone.
+//! The predecessor passes on its listening sockets, so that both processes accept from the same queues and no
+//! connection is lost when it closes them. With the sockets it sends its state: the workers known from discovery and
+//! other sources, and the operators' changes. Then the processes exchange [`Message`]s. A failure of the link never
+//! keeps a process from serving: the link is closed, and the process continues alone.
 
 mod connect;
 mod message;
@@ -80,8 +80,8 @@
 }
 
 impl Handover {
-    /// Listens at this path for a successor. `predecessor` is the link to the process that this one replaces, if there is
-    /// one.
+    /// Listens at this path for a successor. `predecessor` is the link to the process that this one replaces, if there
+    /// is one.
     pub fn new(path: Option<&Path>, predecessor: Option<Token>, net: &mut Net) -> Self {
         let listener = path.and_then(|path| match listen(path, net) {
             Ok(token) => Some(token),
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Sends a message to the predecessor and the successor, as far as they exist. A link whose buffer is full is closed.
+    /// Sends a message to the predecessor and the successor, as far as they exist. A link whose buffer is full is
+    /// closed.
     pub fn send_to_all(&mut self, message: &Message, net: &mut Net) {
         for side in Side::BOTH {
             self.send_to(side, message, net);
@@ -197,8 +198,8 @@
             .is_some_and(|token| net.has_room(token, MAX_BACKLOG))
     }
 
-    /// Sends a message to the process with this role, if there is one. If the link's buffer is full, closes the link and
-    /// returns false.
+    /// Sends a message to the process with this role, if there is one. If the link's buffer is full, closes the link
+    /// and returns false.
     pub fn send_to(&mut self, side: Side, message: &Message, net: &mut Net) -> bool {
         let Some(token) = self.token_of(side) else {
             return true;
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -1,5 +1,6 @@
 //! The service for batch submission by the DRMAA protocol that `docs/submission.md` describes. It passes lines between
-//! the submitters' connections and the protocol's server, which the crate `marbledeck-submission` implements without I/O.
+//! the submitters' connections and the protocol's server, which the crate `marbledeck-submission` implements without
+//! I/O.
 
 pub(crate) mod config;
 mod scheduler;
@@ -123,8 +124,8 @@
         self.submitters.remove(&client)
     }
 
-    /// Handles received lines as long as the server accepts more from this submitter. Lines beyond the limit per turn are
-    /// deferred to the next one.
+    /// Handles received lines as long as the server accepts more from this submitter. Lines beyond the limit per turn
+    /// are deferred to the next one.
     fn read(&mut self, now: Micros, client: u64, context: &mut Context) {
         for _ in 0..MAX_LINES_PER_TURN {
             self.flush(now, client, context);
