--- a/crates/node/src/core/accounting.rs
+++ b/crates/node/src/core/accounting.rs
@@ -1,44 +1,44 @@
-//! Stage 6, accounting: the one final answer of each request, and the totals since the start.
+//! Stage 6, accounting: gives each request its one final answer and counts outcomes since the process started.
 
 use super::{Command, Core, FinalAnswer};
 use marbledeck_dispatcher::{ClassId, Outcome, RequestId};
 use std::fmt;
 
-/// Totals of one class since the start.
+/// Totals of one class since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
     /// Requests answered with a worker's result.
     pub served: u64,
-    /// Requests rejected: a retry by the client is harmless.
+    /// Requests rejected before they ran: the client can safely retry.
     pub rejected: u64,
-    /// Requests that ended without a result and without such a promise.
+    /// Requests that ended without a result or a guarantee that they did not run: a retry may run them twice.
     pub failed: u64,
-    /// Attempts whose last byte has left for the worker.
+    /// Attempts whose last byte was written to the worker's connection.
     pub written: u64,
 }
 
-/// Totals since the start: what operators are shown and what is logged are the same counts.
+/// Totals since the process started, for both the operators' `vars` and the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// The totals of each class, in the order of the settings.
     pub classes: Vec<ClassCounts>,
     /// Requests accepted for processing.
     pub accepted: u64,
-    /// Requests whose client left before the answer.
+    /// Requests whose client disconnected before the answer.
     pub clients_left: u64,
-    /// Attempts started, whether or not they were ever written.
+    /// Attempts started, including those withdrawn before they were written.
     pub attempts: u64,
     /// Attempts that their worker rejected.
     pub rejected_attempts: u64,
-    /// Attempts whose worker could not be connected.
+    /// Attempts that could not connect to their worker, or were cut off before the request was written.
     pub connect_failures: u64,
     /// Attempts whose connection broke after the request was written.
     pub resets: u64,
-    /// Attempts that reached their deadline.
+    /// Attempts that reached their deadline without a result.
     pub timeouts: u64,
     /// Attempts that their worker reported as failed.
     pub errors: u64,
-    /// Resubmissions that joined an earlier job.
+    /// Resubmissions that were merged with an earlier job.
     pub duplicates: u64,
 }
 
@@ -84,7 +84,8 @@
 }
 
 impl Core {
-    /// Gives the final answer unless the request has had one or its client has left. Returns whether it was given.
+    /// Gives the final answer, unless the request already has one or its client has disconnected. Returns whether it
+    /// was given.
     pub(super) fn finish(&mut self, id: RequestId, answer: FinalAnswer) -> bool {
         if !self.table.close(id) {
             return false;
@@ -109,7 +110,7 @@
         true
     }
 
-    /// Counts an attempt whose last byte has been written to its worker: only then can the worker have it.
+    /// Counts an attempt whose last byte was written to its worker; before that, the worker can't have run it.
     pub fn handle_attempt_written(&mut self, id: RequestId) {
         let class = self.table.get(id).map(|request| request.class);
         if let Some(counts) = class.and_then(|class| self.counts.class_mut(class)) {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The totals of each class, in one line for the log.
+    /// Formats the totals of each class as one log line.
     pub fn class_summary(&self) -> String {
         let classes = self.names.class_names().zip(&self.counts.classes);
         let parts = classes.map(|(name, counts)| {
@@ -128,7 +129,7 @@
         parts.collect::<Vec<_>>().join("; ")
     }
 
-    /// Counts a resubmission that a front has joined to an earlier job.
+    /// Counts a resubmission that a front end merged with an earlier job.
     pub fn count_duplicate(&mut self) {
         self.counts.duplicates += 1;
     }
--- a/crates/node/src/core/admission.rs
+++ b/crates/node/src/core/admission.rs
@@ -1,6 +1,7 @@
-//! Stage 2, admission: the dispatcher's decision on a request that it does not serve is carried out at once. The node
-//! neither overrides nor delays it. Here, too, are the ways in which a request ends without a worker: its client
-//! leaves, it is cancelled, or the process is about to end.
+//! Stage 2, admission: carries out the dispatcher's decision to reject or fail a request, immediately and unchanged.
+//!
+//! Also ends requests for reasons other than a worker's response: the client disconnects, the request is cancelled, or
+//! the process is about to exit.
 
 use super::{Core, FinalAnswer};
 use marbledeck_dispatcher::{Event, Micros, RequestId, WorkerListKind};
@@ -14,8 +15,8 @@
         self.finish(id, FinalAnswer::Failed);
     }
 
-    /// The client has left: no answer is owed any more. Attempts in flight end as they will. Returns when the last
-    /// attempt was sent that may have run.
+    /// Closes a request whose client has disconnected; it gets no answer, and attempts in flight are left to
+    /// finish. Returns the start time of the last attempt that may have run.
     pub fn handle_client_left(&mut self, now: Micros, id: RequestId) -> Option<Micros> {
         let last_attempt_sent_at = self
             .table
@@ -30,7 +31,7 @@
         last_attempt_sent_at
     }
 
-    /// Cancels a request for which no attempt was ever made; it gets no answer. Returns whether it was cancelled.
+    /// Cancels a request that is open and has had no attempt; it gets no answer. Returns whether it was cancelled.
     pub fn cancel_if_unsent(&mut self, now: Micros, id: RequestId) -> bool {
         let unsent = self
             .table
@@ -42,9 +43,8 @@
         unsent
     }
 
-    /// Ends every open request, since the process is about to be killed: a client that gets an answer can come back
-    /// to the process that has replaced this one. The dispatcher decides how each ends, as it does where no worker is
-    /// left.
+    /// Ends every open request because the process is about to be killed. Clients that get an answer can retry at the
+    /// successor process. The dispatcher decides how each request ends, as it does when no worker is left.
     pub fn end_open_requests(&mut self, now: Micros) {
         self.apply_worker_list(now, WorkerListKind::Full, Vec::new());
         for id in self.table.open_requests() {
@@ -55,17 +55,17 @@
             for attempt in 0..attempts as u32 {
                 self.time_out(now, id, attempt);
             }
-            // A request that was never sent waits for this timer.
+            // A request that was never sent is only ended by its dispatcher timer.
             self.pending.push_back(Event::TimerExpired(id.into()));
             self.decide(now);
         }
     }
 
-    /// Fails a request that has no answer after its deadline. The attempts' timeouts, due before, have let the
-    /// dispatcher answer; this guards the rule that each accepted request gets an answer.
+    /// Fails a request that still has no answer after its deadline. The attempts' timeouts expire earlier and normally
+    /// let the dispatcher answer; this is a safeguard so that each accepted request gets an answer.
     pub(super) fn fail_overdue(&mut self, id: RequestId) {
         if self.finish(id, FinalAnswer::Failed) {
-            log::error!("request {} had no answer at its deadline", id.0);
+            log::error!("request {} had no answer by its deadline; failing it", id.0);
             self.pending.push_back(Event::ClientLeft(id));
         }
     }
--- a/crates/node/src/core/attempts.rs
+++ b/crates/node/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Stage 4, attempts: hands an attempt to the worker links, and ends it when its time is up or it is withdrawn.
+//! Stage 4, attempts: passes an attempt to the worker connections, and ends it when it times out or is cancelled.
 
 use super::responses::AttemptEnd;
 use super::timers::Timer;
--- a/crates/node/src/core/commands.rs
+++ b/crates/node/src/core/commands.rs
@@ -1,15 +1,15 @@
-//! What the core hands to the fronts and the worker links.
+//! Commands from the core to the front ends and the worker connections.
 
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use std::fmt;
 use std::rc::Rc;
 
-/// What a worker gets of a request, unchanged by the node.
+/// The parts of a request that are forwarded to a worker unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Payload {
-    /// The client's id of this request.
+    /// The client's id for this request.
     pub transaction_id: String,
-    /// The idempotency key, by which workers drop repeats.
+    /// The idempotency key, which workers use to drop duplicates.
     pub key: Option<String>,
     /// The method of the request; opaque to the core.
     pub method: String,
@@ -22,11 +22,11 @@
 /// The final answer of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// The result that a worker made.
+    /// The result from a worker.
     Served(Vec<u8>),
-    /// A retry is harmless, perhaps after this time.
+    /// The request did not run, so a retry is safe; the client should wait this long first, if given.
     Rejected(Option<Micros>),
-    /// No result, and no promise that a retry is harmless.
+    /// No result, and no guarantee that the request did not run: a retry may run it twice.
     Failed,
 }
 
@@ -41,53 +41,53 @@
     }
 }
 
-/// An attempt that the worker links are to make.
+/// An attempt to be made over a worker connection.
 #[derive(Clone, Debug)]
 pub struct AttemptCommand {
     /// The request that it belongs to.
     pub request: RequestId,
     /// The number of the attempt; the first is 0.
     pub attempt: u32,
-    /// Where it goes.
+    /// The worker to send it to.
     pub worker: WorkerId,
-    /// What the worker gets.
+    /// The request's content for the worker.
     pub payload: Rc<Payload>,
     /// When the client stops waiting.
     pub deadline: Micros,
-    /// Its last byte has to leave before this time, if it is to leave at all.
+    /// The attempt is withdrawn unless its last byte is written before this time.
     pub send_before: Option<Micros>,
 }
 
-/// What the fronts and the worker links are to do.
+/// A command for the front ends, the worker connections or discovery.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Make an attempt; [`Core::handle_attempt_ended`](super::Core::handle_attempt_ended) is called once for it.
+    /// Make an attempt, and call [`Core::handle_attempt_ended`](super::Core::handle_attempt_ended) once when it ends.
     StartAttempt(AttemptCommand),
-    /// Stop waiting for an attempt. Nothing more is to be reported of it.
+    /// Abandon an attempt, and report nothing more about it.
     CancelAttempt {
         /// The request that it belongs to.
         request: RequestId,
         /// The number of the attempt.
         attempt: u32,
     },
-    /// Ask a worker for its load; [`Core::handle_probe_result`](super::Core::handle_probe_result) is called once for
-    /// it.
+    /// Ask a worker for its load, and call [`Core::handle_probe_result`](super::Core::handle_probe_result) once with
+    /// the result.
     ProbeWorker(WorkerId),
-    /// An attempt at this worker has ended, in whatever way.
+    /// An attempt at this worker has ended, whatever its outcome.
     AttemptEnded(WorkerId),
     /// Watch discovery for changes.
     WatchWorkers,
-    /// Give the final answer; once for each request.
+    /// Give the final answer. Issued at most once for each request.
     Answer {
         /// The request.
         request: RequestId,
         /// Its answer.
         answer: FinalAnswer,
-        /// When the last attempt was sent that may have run.
+        /// The start time of the last attempt that may have run.
         last_attempt_sent_at: Option<Micros>,
     },
-    /// This worker has begun to run the request.
+    /// This worker has started to run the request.
     RequestRunning(RequestId, WorkerId),
-    /// The request ran and has no final answer, and no worker runs it now.
+    /// An attempt that was running has ended without a final answer, and no worker runs the request now.
     RequestRequeued(RequestId),
 }
--- a/crates/node/src/core/licensing.rs
+++ b/crates/node/src/core/licensing.rs
@@ -1,6 +1,6 @@
-//! Licence seats on the way of a request: one whose licences have no seat is not accepted, and an attempt for which
-//! there is none is one that could not be made. Which worker, whether to retry and what to reject stays with the
-//! dispatcher.
+//! Licence seats of requests and attempts. A request is not accepted when its licences have no free seat, and an
+//! attempt without a seat is reported to the dispatcher as not sent. Selecting workers, retrying and rejecting are left
+//! to the dispatcher.
 
 use super::{Core, NameRegistry, RequestError};
 use crate::licensing_config::LicensingConfig;
@@ -13,28 +13,28 @@
 #[error("seats: classes.{0}: the settings have no such class")]
 pub struct UnknownClassError(String);
 
-/// The seats of this node.
+/// This node's licence seats.
 pub struct Licensing {
-    /// Grants this node's part of the seats.
+    /// Allocates this node's share of the seats.
     pub allocator: SeatAllocator,
-    /// The licences that each class needs, whatever its requests name.
-    pub by_class: Vec<Vec<LicenceId>>,
+    /// The licences that each class needs, in addition to those that a request names.
+    pub class_licences: Vec<Vec<LicenceId>>,
 }
 
-/// What each attempt of a request needs.
+/// The licences that each attempt of a request needs.
 #[derive(Clone, Debug, Default)]
 pub struct LicenceNeeds {
-    /// The licences, each once and in one order.
+    /// The licences, sorted and without duplicates.
     pub licences: Rc<[LicenceId]>,
     /// The index of the request's tenant.
     pub tenant: usize,
 }
 
 impl Licensing {
-    /// The seats as the operator file has them.
+    /// Creates the seats that the operator file configures.
     ///
     /// # Errors
-    /// It names a class that the platform's settings do not have.
+    /// The file names a class that the platform's settings do not have.
     pub fn new(config: LicensingConfig, names: &NameRegistry) -> Result<Self, UnknownClassError> {
         let LicensingConfig {
             licences,
@@ -52,21 +52,21 @@
                 .filter_map(|name| allocator.find_licence(name))
                 .collect()
         };
-        let by_class = names.class_names().map(licences_of).collect();
+        let class_licences = names.class_names().map(licences_of).collect();
         Ok(Licensing {
             allocator,
-            by_class,
+            class_licences,
         })
     }
 
-    /// The licences of a request: those of its class, and those that it names. Each once and in one order.
+    /// The licences of a request's class and those that it names, sorted and without duplicates.
     fn needs(
         &self,
         class: ClassId,
         tenant: TenantId,
         named: &[&str],
     ) -> Result<LicenceNeeds, RequestError> {
-        let of_class = self.by_class.get(class.0 as usize);
+        let of_class = self.class_licences.get(class.0 as usize);
         let mut licences = of_class.cloned().unwrap_or_default();
         for name in named {
             let licence = self.allocator.find_licence(name);
@@ -82,11 +82,13 @@
 }
 
 impl Core {
-    /// Checks whether a request may be accepted as far as its licences go. Returns what its attempts need.
+    /// Checks that a request's licences are known and have free seats. Returns what its attempts need.
+    ///
+    /// No seat is reserved yet: while the request waits for a worker, a reserved seat would be withheld from another
+    /// request that already has a worker.
     ///
     /// # Errors
-    /// A licence that is unknown, or one that has no seat now: nothing is held for it, since it would wait for a
-    /// worker and keep a seat from another request that has one.
+    /// A licence is unknown or has no free seat now.
     pub(super) fn check_seats(
         &mut self,
         now: Micros,
@@ -108,8 +110,8 @@
         Ok(needs)
     }
 
-    /// Takes the seats of an attempt that is about to start. Returns whether it may.
-    pub(super) fn take_seats(&mut self, now: Micros, needs: &LicenceNeeds) -> bool {
+    /// Acquires the seats for an attempt that is about to start. Returns whether all were free.
+    pub(super) fn acquire_seats(&mut self, now: Micros, needs: &LicenceNeeds) -> bool {
         if needs.licences.is_empty() {
             return true;
         }
@@ -120,14 +122,14 @@
             .allocator
             .acquire(now, &needs.licences, needs.tenant);
         if let Err(error) = &taken {
-            log::debug!("seats: {error}");
+            log::debug!("no licence seats for an attempt, not sending it: {error}");
         }
         taken.is_ok()
     }
 
-    /// Returns the seats of an attempt that has ended. Only some ends show that its worker has ended it, too: one that
-    /// was cancelled may still run.
-    pub(super) fn return_seats(&mut self, sent: Micros, needs: &LicenceNeeds, outcome: Outcome) {
+    /// Releases the seats of an attempt that has ended. Only some outcomes show that the worker has ended it, too: a
+    /// cancelled attempt, for example, may still be running there.
+    pub(super) fn release_seats(&mut self, sent: Micros, needs: &LicenceNeeds, outcome: Outcome) {
         if needs.licences.is_empty() {
             return;
         }
@@ -151,7 +153,8 @@
         request.is_some_and(|request| !request.needs.licences.is_empty())
     }
 
-    /// Until when attempts that need seats may start; none where the site has no seats.
+    /// When this node's lease on its seats expires, and with it the right to start attempts that need one; none where
+    /// no seats are configured.
     pub fn seats_valid_until(&self) -> Option<Micros> {
         let licensing = self.licensing.as_ref();
         licensing.map(|licensing| licensing.allocator.lease_expiry())
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! The node without its sockets: it owns the dispatcher, the requests, their timers and ids. Fronts and worker links
-//! report events to it and carry out its commands.
+//! The node's request handling, without I/O: owns the dispatcher, the requests, their timers and ids. Front ends and
+//! worker connections report events to it and carry out its commands.
 //!
-//! A request passes the stages in the order of these modules, each a unit of its own: `validation`, `admission`,
-//! `routing`, `attempts`, `responses` and `accounting`.
+//! A request passes through these stages, one module each: `validation`, `admission`, `routing`, `attempts`,
+//! `responses` and `accounting`.
 
 mod accounting;
 mod admission;
@@ -32,32 +32,33 @@
 use table::Table;
 use timers::{Timer, Timers};
 
-/// All that the node decides and remembers of its requests.
+/// The state of all requests, and the dispatcher that decides on them.
 pub struct Core {
     dispatcher: Dispatcher,
     names: NameRegistry,
-    /// The most attempts of one request.
+    /// The maximum number of attempts of one request.
     max_attempts: u32,
     table: Table,
     timers: Timers,
     counts: Counts,
-    /// Whether any worker has been named yet.
+    /// Whether any worker list so far named a worker.
     has_workers: bool,
-    /// Events that the dispatcher is still to handle, in order.
+    /// Events that the dispatcher has not handled yet, oldest first.
     pending: VecDeque<Event>,
-    /// The dispatcher's actions; empty between two calls of it, kept for its allocation.
+    /// Buffer for the dispatcher's actions; empty between calls, and kept to reuse its allocation.
     actions: Vec<Action>,
     commands: VecDeque<Command>,
-    /// Requests of which an attempt that ran has ended without the final answer.
-    returned: Vec<RequestId>,
-    /// Licence seats, where the site has any.
+    /// Open requests of which a running attempt has ended; each is reported as requeued unless it was answered or runs
+    /// elsewhere.
+    requeue_candidates: Vec<RequestId>,
+    /// Licence seats, if any are configured.
     pub licensing: Option<licensing::Licensing>,
-    /// Probes that wait for the count of attempts that all nodes have in flight.
+    /// Probes that wait for the number of attempts in flight from all nodes.
     pending_probes: HashMap<WorkerId, PendingProbe>,
 }
 
 impl Core {
-    /// A core with these settings; `seed` is that of all random draws.
+    /// Creates a core with these settings; `seed` seeds all of the dispatcher's random choices.
     ///
     /// # Errors
     /// The dispatcher does not accept the settings.
@@ -83,23 +84,23 @@
             pending: VecDeque::new(),
             actions: Vec::new(),
             commands: VecDeque::new(),
-            returned: Vec::new(),
+            requeue_candidates: Vec::new(),
             licensing: None,
             pending_probes: HashMap::new(),
         })
     }
 
-    /// Sets the tenants' quotas, in requests a second over all nodes and in the order of the settings.
+    /// Sets the tenants' quotas, in requests per second over all nodes and in the order of the settings.
     pub fn set_quotas(&mut self, now: Micros, quotas: &[Option<f64>]) {
         self.dispatcher.set_quotas(now, quotas);
     }
 
-    /// The tenants' quotas as they are now.
+    /// The tenants' current quotas.
     pub fn quotas(&self) -> Vec<Option<f64>> {
         self.dispatcher.quotas()
     }
 
-    /// Queues the final answer of a request that another site was asked to run, for the front that accepted it.
+    /// Queues the final answer of a request that was forwarded to another site, for the front end that accepted it.
     pub fn push_answer(&mut self, id: RequestId, answer: FinalAnswer) {
         self.commands.push_back(Command::Answer {
             request: id,
@@ -108,12 +109,12 @@
         });
     }
 
-    /// Removes the next command, if there is one.
+    /// Removes and returns the next command, if any.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// When [`Core::wake`] is next wanted.
+    /// When to call [`Core::wake`] next.
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next()
     }
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Applies a full list of workers, a change of it, or the failure to get one.
+    /// Applies a full worker list, a change to it, or a failure to fetch one.
     pub fn apply_worker_list(
         &mut self,
         now: Micros,
@@ -147,22 +148,22 @@
         self.decide(now);
     }
 
-    /// Whether any worker has been named yet.
+    /// Whether any worker list so far named a worker.
     pub fn has_workers(&self) -> bool {
         self.has_workers
     }
 
-    /// Whether a request has had its answer, or its client has left.
+    /// Whether a request was answered or its client has disconnected.
     pub fn is_closed(&self, id: RequestId) -> bool {
         self.table.is_closed(id)
     }
 
-    /// Whether no request waits for its final answer.
+    /// Whether no request is waiting for its final answer.
     pub fn is_idle(&self) -> bool {
         self.unanswered() == 0
     }
 
-    /// How many requests wait for their final answer.
+    /// How many requests are waiting for their final answer.
     pub fn unanswered(&self) -> usize {
         self.table.unanswered()
     }
@@ -172,37 +173,38 @@
         self.dispatcher.set_processes(now, processes);
     }
 
-    /// Whether the dispatcher sends nothing to this worker for now because of its failures.
+    /// Whether the dispatcher has ejected this worker for now because of its failures.
     pub fn is_ejected(&self, now: Micros, worker: WorkerId) -> bool {
         self.dispatcher.is_ejected(now, worker)
     }
 
-    /// How many bytes the bodies of the requests take that are not done.
+    /// The total size in bytes of the bodies of all requests in the table.
     pub fn body_bytes(&self) -> usize {
         self.table.body_bytes()
     }
 
-    /// The classes and tenants by their names.
+    /// The names of the classes and tenants.
     pub fn names(&self) -> &NameRegistry {
         &self.names
     }
 
-    /// The totals since the start.
+    /// The totals since the process started.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// Lets the dispatcher handle what is pending and carries out its actions, until it has no more of either.
+    /// Runs the dispatcher on the pending events and executes its actions until no event is left. Then reports the
+    /// requests that no worker runs any more.
     fn decide(&mut self, now: Micros) {
         while let Some(event) = self.pending.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.dispatcher.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action);
+                self.execute(now, action);
             }
             self.actions = actions;
         }
-        for id in std::mem::take(&mut self.returned) {
+        for id in std::mem::take(&mut self.requeue_candidates) {
             let request = self.table.get(id);
             if request.is_some_and(|request| !request.closed && !request.is_running()) {
                 self.commands.push_back(Command::RequestRequeued(id));
@@ -210,7 +212,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: Micros, action: Action) {
+    fn execute(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send {
                 request,
--- a/crates/node/src/core/names.rs
+++ b/crates/node/src/core/names.rs
@@ -1,10 +1,10 @@
-//! The classes and tenants of the platform's settings by their names.
+//! Looks up the classes and tenants of the platform's settings by name.
 
 use super::RequestError;
 use marbledeck_dispatcher::{Class, ClassId, Idempotency, Micros, Settings, TenantId};
 use marbledeck_platform_settings::PlatformSettings;
 
-/// The classes and tenants by their names, and how many requests may be open.
+/// The names of the classes and tenants, and the limit of open requests.
 #[derive(Clone, Debug, Default)]
 pub struct NameRegistry {
     classes: Vec<(String, Class)>,
@@ -13,7 +13,7 @@
 }
 
 impl NameRegistry {
-    /// The names of these platform settings, with the classes as the dispatcher has them.
+    /// Combines the names in the platform settings with the dispatcher's settings of the classes.
     pub fn new(platform: &PlatformSettings, settings: &Settings) -> Self {
         let names = platform.classes.iter().map(|class| class.name.clone());
         let classes = settings.classes.iter().cloned();
@@ -26,21 +26,22 @@
         }
     }
 
-    /// The classes' names, in the order of the settings.
+    /// The names of the classes, in the order of the settings.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.classes.iter().map(|(name, _)| name.as_str())
     }
 
-    /// The id of a class, and its settings.
+    /// The id and settings of a class.
     pub fn class(&self, name: &str) -> Option<(ClassId, &Class)> {
         let index = self.classes.iter().position(|(known, _)| known == name)?;
         Some((ClassId(index as u32), &self.classes[index].1))
     }
 
-    /// The ids of a request's class and tenant. `has_key` says whether it has an idempotency key.
+    /// Resolves the names of a request's class and tenant to ids. `has_key` says whether the request has an idempotency
+    /// key.
     ///
     /// # Errors
-    /// The class or tenant is unknown, or the class needs a key and the request has none.
+    /// The class or tenant is unknown, or the class requires a key and the request has none.
     pub fn check(
         &self,
         class: &str,
@@ -57,7 +58,7 @@
         Ok((id, tenant))
     }
 
-    /// The tenants' names, in the order of the settings.
+    /// The names of the tenants, in the order of the settings.
     pub fn tenants(&self) -> &[String] {
         &self.tenants
     }
@@ -68,7 +69,7 @@
         deadlines.max().unwrap_or_default()
     }
 
-    /// The id of a tenant; a platform without tenants takes any name.
+    /// The id of a tenant. A platform without tenants accepts any name, and none.
     pub fn tenant(&self, name: Option<&str>) -> Option<TenantId> {
         if self.tenants.is_empty() {
             return Some(TenantId(0));
--- a/crates/node/src/core/probes.rs
+++ b/crates/node/src/core/probes.rs
@@ -1,28 +1,28 @@
-//! Load probes: the worker's answer is joined with the count of attempts that all nodes have in flight there, where a
-//! peer is asked for it, and goes to the dispatcher as one report.
+//! Load probes: combines a worker's load report with the number of attempts in flight there from all nodes, if a peer
+//! node is asked for that number, into one report for the dispatcher.
 
 use super::responses::FreeSlots;
 use super::Core;
 use marbledeck_dispatcher::{Event, LoadReport, Micros, Outcome, WorkerId};
 
-/// A worker's answer to a probe.
+/// A worker's response to a probe.
 #[derive(Clone, Copy)]
 struct ProbeResult {
     outcome: Outcome,
     report: Option<LoadReport>,
 }
 
-/// A count of attempts in flight over all nodes, as far as it has come.
+/// A peer's count of the attempts in flight from all nodes.
 #[derive(Clone, Copy, Default)]
 enum FleetCount {
     /// The peer has not answered yet.
     #[default]
-    Awaited,
-    /// The peer's answer; none where nobody knows.
+    Pending,
+    /// The peer's answer; none if the count is unknown.
     Received(Option<u8>),
 }
 
-/// The first of the two answers: the dispatcher gets both at once.
+/// A probe for which the worker's response or the peer's count is still missing: the dispatcher gets both at once.
 #[derive(Default)]
 pub(super) struct PendingProbe {
     result: Option<ProbeResult>,
@@ -30,8 +30,8 @@
 }
 
 impl PendingProbe {
-    /// The result of the probe with the count in flight, once both are there.
-    fn joined(&self) -> Option<ProbeResult> {
+    /// The result of the probe with the count in flight, once both have arrived.
+    fn combined(&self) -> Option<ProbeResult> {
         let result = self.result?;
         let FleetCount::Received(count) = self.in_flight else {
             return None;
@@ -45,7 +45,7 @@
 }
 
 impl Core {
-    /// A probe of a worker has ended.
+    /// Handles the end of a probe.
     pub fn handle_probe_result(
         &mut self,
         now: Micros,
@@ -61,12 +61,13 @@
         self.finish_probe(now, worker);
     }
 
-    /// Makes the probe of this worker wait for [`Core::set_fleet_in_flight`], which is to come once and soon.
+    /// Holds back the result of this worker's probe until [`Core::set_fleet_in_flight`] is called, which the caller
+    /// must do once and soon.
     pub fn await_fleet_in_flight(&mut self, worker: WorkerId) {
         self.pending_probes.insert(worker, PendingProbe::default());
     }
 
-    /// How many attempts all nodes together have in flight at this worker; none where nobody knows.
+    /// Sets how many attempts are in flight at this worker from all nodes; none if that is unknown.
     pub fn set_fleet_in_flight(&mut self, now: Micros, worker: WorkerId, count: Option<u8>) {
         if let Some(pending) = self.pending_probes.get_mut(&worker) {
             pending.in_flight = FleetCount::Received(count);
@@ -74,10 +75,10 @@
         self.finish_probe(now, worker);
     }
 
-    /// Reports a probe to the dispatcher once both answers are there.
+    /// Reports a probe to the dispatcher once both answers have arrived.
     fn finish_probe(&mut self, now: Micros, worker: WorkerId) {
         let pending = self.pending_probes.get(&worker);
-        if let Some(result) = pending.and_then(PendingProbe::joined) {
+        if let Some(result) = pending.and_then(PendingProbe::combined) {
             self.pending_probes.remove(&worker);
             self.report_probe(worker, result);
         }
--- a/crates/node/src/core/responses.rs
+++ b/crates/node/src/core/responses.rs
@@ -1,4 +1,4 @@
-//! Stage 5, responses: what comes back from the workers goes to the dispatcher, and a result to the client.
+//! Stage 5, responses: reports the progress and end of attempts to the dispatcher, and passes a result to the client.
 
 use super::table::AttemptState;
 use super::{Command, Core, FinalAnswer};
@@ -8,11 +8,11 @@
 /// How an attempt has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// What became of it.
+    /// The kind of end.
     pub outcome: Outcome,
-    /// What the worker made; only with [`Outcome::Served`].
+    /// The worker's result; only with [`Outcome::Served`].
     pub result: Option<Vec<u8>>,
-    /// The worker's load, where it reported it with the end.
+    /// The worker's load, if it was reported with the end.
     pub report: Option<LoadReport>,
 }
 
@@ -42,12 +42,12 @@
             None => f.write_str("-")?,
         }
         let in_flight = self.0.and_then(|report| report.in_flight);
-        in_flight.map_or(Ok(()), |count| write!(f, ", held {count}"))
+        in_flight.map_or(Ok(()), |count| write!(f, ", in flight {count}"))
     }
 }
 
 impl Core {
-    /// A worker has begun to run an attempt.
+    /// Records that a worker has started to run an attempt.
     pub fn handle_attempt_started(&mut self, now: Micros, id: RequestId, attempt: u32) {
         let Some(in_flight) = self.table.in_flight(id, attempt) else {
             return;
@@ -66,7 +66,7 @@
         self.decide(now);
     }
 
-    /// An attempt has ended. A second end, or the end of an attempt that was cancelled, is ignored.
+    /// Handles the end of an attempt. A second end, or the end of a cancelled attempt, is ignored.
     pub fn handle_attempt_ended(
         &mut self,
         now: Micros,
@@ -114,13 +114,13 @@
         );
         let needs = self.table.get(id).map(|request| request.needs.clone());
         if let Some(needs) = needs {
-            self.return_seats(now - latency, &needs, outcome);
+            self.release_seats(now - latency, &needs, outcome);
         }
         let request_closed = self.table.is_closed(id);
         self.counts.record_outcome(outcome);
         self.commands.push_back(Command::AttemptEnded(worker));
         if started.is_some() && !request_closed {
-            self.returned.push(id);
+            self.requeue_candidates.push(id);
         }
         self.pending.push_back(Event::AttemptEnded(AttemptEnded {
             request: id,
--- a/crates/node/src/core/routing.rs
+++ b/crates/node/src/core/routing.rs
@@ -1,12 +1,12 @@
-//! Stage 3, routing: checks that a send which the dispatcher wants can still be made, and numbers the attempt.
+//! Stage 3, routing: checks that an attempt chosen by the dispatcher can still be made, and numbers it.
 
 use super::table::{Attempt, AttemptState};
 use super::Core;
 use marbledeck_dispatcher::{AttemptEnded, Event, Micros, Outcome, RequestId, WorkerId};
 
 impl Core {
-    /// Starts an attempt at this worker. One that can no longer be made is reported as not sent: the dispatcher hears
-    /// of exactly one end for each send.
+    /// Starts an attempt at this worker. One that can no longer be made is reported as not sent, since the dispatcher
+    /// expects exactly one end for each send.
     pub(super) fn route(
         &mut self,
         now: Micros,
@@ -16,14 +16,17 @@
     ) {
         let max_attempts = self.max_attempts as usize;
         let Some(request) = self.table.get(id) else {
-            return log::error!("a send for request {}, which is over", id.0);
+            return log::error!(
+                "request {} is no longer in the table; ignoring a send for it",
+                id.0
+            );
         };
         let number = request.attempts.len() as u32;
         let is_open = !request.closed && now < request.deadline;
         let allowed = is_open && request.attempts.len() < max_attempts;
         let needs = request.needs.clone();
-        // An attempt without a licence seat ends like one without a worker: the dispatcher goes on from there.
-        let allowed = allowed && self.take_seats(now, &needs);
+        // An attempt without a licence seat is not sent; the dispatcher then decides how the request continues.
+        let allowed = allowed && self.acquire_seats(now, &needs);
         let Some(request) = self.table.get(id) else {
             return;
         };
--- a/crates/node/src/core/table.rs
+++ b/crates/node/src/core/table.rs
@@ -1,4 +1,4 @@
-//! The request table: each request is kept until it has its final answer and all of its attempts have ended.
+//! The request table: keeps each request until it is closed and all of its attempts have ended.
 
 use super::licensing::LicenceNeeds;
 use super::Payload;
@@ -6,26 +6,26 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Sent; its worker has not said that it runs.
+    /// Sent; its worker has not reported that it is running.
     InFlight,
-    /// Its worker runs it since this time.
+    /// Running at its worker since this time.
     Running(Micros),
-    /// It has ended, and may have run.
+    /// Ended, and may have run.
     Ended,
-    /// It has ended, or was never sent, and is known not to have run.
+    /// Ended or never sent, and known not to have run.
     NeverRan,
 }
 
 /// One attempt of a request.
 pub struct Attempt {
-    /// Where it was sent.
+    /// The worker that it was sent to.
     pub worker: WorkerId,
-    /// When it was handed to the worker links.
+    /// When it was passed to the worker connections.
     pub sent: Micros,
-    /// How far it has come.
+    /// Its progress.
     pub state: AttemptState,
 }
 
@@ -43,27 +43,27 @@
 pub struct Request {
     /// The class that it belongs to.
     pub class: ClassId,
-    /// What workers get.
+    /// The content that workers get.
     pub payload: Rc<Payload>,
     /// When its client stops waiting.
     pub deadline: Micros,
-    /// It has had its final answer, or its client has left.
+    /// Whether it was answered or its client has disconnected.
     pub closed: bool,
-    /// The licence seats that each of its attempts takes.
+    /// The licences that each of its attempts needs.
     pub needs: LicenceNeeds,
     /// Its attempts, by number.
     pub attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// Whether a worker runs one of its attempts.
+    /// Whether a worker is running one of its attempts.
     pub fn is_running(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| matches!(attempt.state, AttemptState::Running(_)))
     }
 
-    /// When the last attempt was sent that may have run.
+    /// The start time of the last attempt that may have run.
     pub fn last_attempt_sent_at(&self) -> Option<Micros> {
         let may_have_run = self
             .attempts
@@ -73,15 +73,15 @@
     }
 }
 
-/// All requests that are not done.
+/// All requests that are open or have an attempt in flight.
 #[derive(Default)]
 pub struct Table {
     requests: HashMap<RequestId, Request>,
     next_id: u64,
     unanswered: usize,
-    /// The clients' transaction ids of all requests held.
+    /// The transaction ids of all requests in the table.
     transaction_ids: HashSet<String>,
-    /// Bytes of all bodies held.
+    /// The total size in bytes of the bodies of all requests in the table.
     body_bytes: usize,
 }
 
@@ -111,19 +111,19 @@
         id
     }
 
-    /// The request of this id, unless it is done.
+    /// The request with this id, if it is in the table.
     pub fn get(&mut self, id: RequestId) -> Option<&mut Request> {
         self.requests.get_mut(&id)
     }
 
-    /// The attempt of this number, as long as it is in flight.
+    /// The attempt with this number, if it is in flight.
     pub fn in_flight(&mut self, id: RequestId, attempt: u32) -> Option<&mut Attempt> {
         let attempts = &mut self.requests.get_mut(&id)?.attempts;
         let attempt = attempts.get_mut(attempt as usize);
         attempt.filter(|attempt| attempt.is_in_flight())
     }
 
-    /// Marks a request as closed. Returns false where it is unknown or was closed before: an answer is given once.
+    /// Marks a request as closed. Returns false if it is unknown or already closed: an answer is given only once.
     pub fn close(&mut self, id: RequestId) -> bool {
         let open = self.requests.get_mut(&id);
         let Some(request) = open.filter(|request| !request.closed) else {
@@ -134,7 +134,7 @@
         true
     }
 
-    /// Whether a request has had its answer, or needs none.
+    /// Whether a request is closed or no longer in the table.
     pub fn is_closed(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_none_or(|request| request.closed)
     }
@@ -153,17 +153,17 @@
         }
     }
 
-    /// Whether a request of this transaction id is held.
+    /// Whether a request with this transaction id is in the table.
     pub fn has_transaction(&self, transaction_id: &str) -> bool {
         self.transaction_ids.contains(transaction_id)
     }
 
-    /// How many bytes the bodies of all requests held take.
+    /// The total size in bytes of the bodies of all requests in the table.
     pub fn body_bytes(&self) -> usize {
         self.body_bytes
     }
 
-    /// The requests without a final answer, in the order in which they came.
+    /// The open requests, in the order in which they arrived.
     pub fn open_requests(&self) -> Vec<RequestId> {
         let open = self.requests.iter().filter(|(_, request)| !request.closed);
         let mut open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
@@ -171,7 +171,7 @@
         open
     }
 
-    /// How many requests have no final answer yet.
+    /// How many requests are open.
     pub fn unanswered(&self) -> usize {
         self.unanswered
     }
--- a/crates/node/src/core/timers.rs
+++ b/crates/node/src/core/timers.rs
@@ -1,17 +1,17 @@
-//! Timers, earliest first. They are not withdrawn: one that no longer matters is ignored when it expires.
+//! Timers, ordered by expiry. They can't be cancelled: one that is no longer relevant is ignored when it expires.
 
 use marbledeck_dispatcher::{Micros, RequestId, TimerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What a timer stands for.
+/// What happens when a timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Set by the dispatcher.
+    /// A timer of the dispatcher expires.
     Dispatcher(TimerId),
-    /// The attempt of this number has reached its deadline.
+    /// The attempt with this number reaches its deadline.
     Attempt(RequestId, u32),
-    /// The client waits no longer.
+    /// The request is overdue: its deadline has passed, and it is failed if it has no answer.
     Deadline(RequestId),
 }
 
@@ -19,15 +19,15 @@
 #[derive(Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<(Micros, u64, Timer)>>,
-    /// How many were ever added: timers of the same time expire in the order in which they were added.
-    added: u64,
+    /// The sequence number of the next timer: timers with the same expiry are handled in the order they were added.
+    next_sequence: u64,
 }
 
 impl Timers {
     /// Adds a timer that expires at this time.
     pub fn add(&mut self, at: Micros, timer: Timer) {
-        self.heap.push(Reverse((at, self.added, timer)));
-        self.added += 1;
+        self.heap.push(Reverse((at, self.next_sequence, timer)));
+        self.next_sequence += 1;
     }
 
     /// When the next timer expires.
@@ -35,7 +35,7 @@
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Removes the earliest timer, if it has expired.
+    /// Removes and returns the earliest timer, if it has expired.
     pub fn pop_expired(&mut self, now: Micros) -> Option<Timer> {
         self.next().filter(|at| *at <= now)?;
         self.heap.pop().map(|Reverse((.., timer))| timer)
--- a/crates/node/src/core/validation.rs
+++ b/crates/node/src/core/validation.rs
@@ -1,4 +1,4 @@
-//! Stage 1, validation: what a front hands over is checked against the settings' names and entered in the table.
+//! Stage 1, validation: checks a new request against the settings and adds it to the request table.
 
 use super::licensing::LicenceNeeds;
 use super::timers::Timer;
@@ -7,19 +7,20 @@
 use marbledeck_dispatcher::{ClassId, Event, Job, Micros, RequestId, TenantId};
 use marbledeck_licensing::SeatError;
 
-/// How long after its deadline a request without an answer is failed: well within the time still accepted.
+/// How long after its deadline a request without an answer is failed. Later than the attempts' timeouts, and still
+/// within the tolerance for late answers.
 const OVERDUE_AFTER: Micros = millis(2);
 
-/// A request as a front hands it over.
+/// A request as a front end received it.
 #[derive(Debug, Default)]
 pub struct NewRequest<'a> {
     /// The name of its class.
     pub class: &'a str,
     /// The name of its tenant.
     pub tenant: Option<&'a str>,
-    /// How long the client waits.
+    /// How long the client will wait.
     pub time_left: Micros,
-    /// How much work the client expects it to be.
+    /// The client's estimate of the run time.
     pub cost_hint: Option<Micros>,
     /// The slots that it needs on a worker.
     pub slots: f64,
@@ -27,44 +28,44 @@
     pub memory: f64,
     /// Licences that it needs besides those of its class.
     pub licences: Vec<&'a str>,
-    /// What workers get.
+    /// The content that workers get.
     pub payload: Payload,
 }
 
-/// Why a request was not accepted. Nothing of it has run.
+/// Why a request was not accepted. It has not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The settings have no class of this name.
+    /// The settings have no class with this name.
     #[error("unknown class '{0}'")]
     UnknownClass(String),
-    /// The settings have no tenant of this name.
+    /// The settings have no tenant with this name.
     #[error("unknown tenant '{0}'")]
     UnknownTenant(String),
-    /// The class needs an idempotency key.
+    /// The class requires an idempotency key.
     #[error("this class needs a key")]
     MissingKey,
-    /// The client waits no longer.
+    /// The client's deadline has passed.
     #[error("no time is left")]
     NoTimeLeft,
-    /// Another request of this transaction id is open.
+    /// Another request with this transaction id is open.
     #[error("this id is open")]
     IdOpen,
-    /// As many requests are open as the settings allow.
+    /// The limit of open requests is reached.
     #[error("too many invocations are open")]
     TooMany,
-    /// No pool of seats has this name.
+    /// No seat pool is configured for this licence.
     #[error("unknown licence '{0}'")]
     UnknownLicence(String),
-    /// A licence has no seat now.
+    /// A licence has no free seat now.
     #[error(transparent)]
     NoSeat(SeatError),
 }
 
 impl Core {
-    /// Accepts a request. From here on it gets exactly one final answer.
+    /// Accepts a request, which then gets exactly one final answer unless its client disconnects.
     ///
     /// # Errors
-    /// The request makes no sense with the settings, its id is open, or there is no capacity for it now.
+    /// The request does not match the settings, its transaction id is open, or there is no capacity for it now.
     pub fn accept_request(
         &mut self,
         now: Micros,
@@ -75,7 +76,7 @@
         if request.time_left == Micros(0) {
             return Err(RequestError::NoTimeLeft);
         }
-        // Workers know a request by its transaction id: a second one would be taken for a copy of the first.
+        // Workers identify a request by its transaction id, and would take a second one for a duplicate of the first.
         if self.table.has_transaction(&request.payload.transaction_id) {
             return Err(RequestError::IdOpen);
         }
@@ -83,13 +84,13 @@
         let deadline = now + request.time_left;
         let transaction_id = request.payload.transaction_id.clone();
         let id = self.table.insert(class, request.payload, deadline, needs);
-        // After the attempts' timeouts, which let the dispatcher answer.
+        // Expires after the attempts' timeouts, which let the dispatcher answer first.
         self.timers
             .add(deadline + OVERDUE_AFTER, Timer::Deadline(id));
         self.counts.accepted += 1;
         let (ClassId(c), TenantId(t), left) = (class, tenant, request.time_left.0);
         log::trace!(
-            "job {} is {transaction_id:?} class {c} tenant {t}: {left} us left",
+            "job {} accepted: transaction {transaction_id:?} class {c} tenant {t}, {left} us left",
             id.0
         );
         self.pending.push_back(Event::JobReceived(Job {
@@ -105,8 +106,8 @@
         Ok(id)
     }
 
-    /// Checks the limit of open requests and the licence seats. What has no capacity is answered as a rejection, and
-    /// so counted as one.
+    /// Checks the limit of open requests and the licence seats. Lack of capacity is counted as a rejection, since that
+    /// is what the client gets.
     fn check_capacity(
         &mut self,
         now: Micros,
--- a/crates/node/src/workers/connection.rs
+++ b/crates/node/src/workers/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a worker: what it is used for now, and how far that has come.
+//! A connection to a worker: its current use and the progress of its request.
 
 use super::exchange::{Exchange, ReadProgress};
 use crate::core::{AttemptCommand, Core};
@@ -23,11 +23,11 @@
     Attempt(AttemptId),
     /// Asks the worker for its load.
     LoadProbe,
-    /// Asks whether a suspected worker is there.
+    /// Asks whether a suspected worker is still up.
     HealthCheck,
-    /// The end is known; the rest of the response is still to be read.
+    /// The attempt or probe has ended, but the rest of the response has not been read yet.
     Remainder,
-    /// Nothing: kept for the next request.
+    /// No request; kept open for the next one.
     Idle,
 }
 
@@ -45,11 +45,11 @@
     }
 }
 
-/// An attempt as it was written to a connection's buffer.
+/// An attempt whose request was encoded into a connection's buffer.
 pub struct EncodedAttempt {
     /// The attempt.
     pub command: AttemptCommand,
-    /// The time by which its bytes say how long the client still waits.
+    /// When it was encoded; the remaining time in its bytes is relative to this.
     pub encoded_at: Micros,
 }
 
@@ -57,32 +57,32 @@
 pub struct WorkerConnection {
     /// The worker at the other end.
     pub worker: WorkerId,
-    /// What it is used for now.
+    /// Its current use.
     pub purpose: Purpose,
-    /// The worker as it was when the attempt or probe was decided.
+    /// The worker's state when the attempt or probe was decided.
     pub target: Option<AttemptTarget>,
-    /// The last byte of its attempt has to leave before this time.
+    /// Its attempt is withdrawn unless the last byte is written before this time.
     pub send_before: Option<Micros>,
-    /// The response that it waits for; none while it is idle.
+    /// The response being read; none while the connection is idle.
     pub exchange: Option<Exchange>,
-    /// When its request was handed over.
+    /// When its request was put into the buffer.
     pub sent: Micros,
-    /// It had carried an earlier request, and nothing has come since this one.
+    /// Whether it was reused for this request and has received nothing since.
     pub reused_without_response: bool,
-    /// The last byte of its attempt has left.
+    /// Whether the last byte of its attempt was written to the socket.
     pub written: bool,
-    /// Bytes of its request.
+    /// The size of its request in bytes.
     pub request_bytes: usize,
-    /// The attempt that it carries, and when its bytes were made; none for other requests.
+    /// The attempt that it carries, until it is written; none for other requests.
     pub encoded_attempt: Option<EncodedAttempt>,
-    /// The worker runs its attempt.
+    /// Whether the worker has reported that its attempt is running.
     pub running: bool,
-    /// When it has been connecting, waiting or idle for too long.
+    /// When its connect, its wait for a response or its idle time runs out.
     pub deadline: Option<Micros>,
 }
 
 impl WorkerConnection {
-    /// A connection that is to carry a new request.
+    /// Creates the state of a connection for a new request.
     pub fn new(worker: WorkerId, purpose: Purpose, exchange: Exchange, sent: Micros) -> Self {
         WorkerConnection {
             worker,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The attempt that it carries, until its last byte has left.
+    /// The request of its attempt, until the attempt's last byte is written.
     pub fn unwritten_attempt(&self) -> Option<RequestId> {
         match self.purpose {
             Purpose::Attempt(attempt) if !self.written => Some(attempt.request),
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Whether no byte of its request has left.
+    /// Whether no byte of its request was written to the socket.
     pub fn is_unsent(&self, conn: &Connection) -> bool {
         conn.is_connecting() || conn.output.len() >= self.request_bytes
     }
 
-    /// Counts an attempt once its last byte has left. One that was cancelled, or whose connection never came up, is
-    /// not counted: no worker has it.
+    /// Counts an attempt once its last byte is written. One that was cancelled before, or whose connection was never
+    /// established, is not counted, since no worker has received it.
     pub fn record_written(&mut self, conn: &Connection, core: &mut Core) {
         if let Some(request) = self.unwritten_attempt() {
             if !conn.is_connecting() && conn.output.is_empty() {
@@ -126,26 +126,26 @@
         }
     }
 
-    /// Reads what has come of the response.
+    /// Reads the received part of the response.
     pub fn read(&mut self, conn: &mut Connection) -> ReadProgress {
         let exchange = self.exchange.as_mut();
         exchange.map_or_else(ReadProgress::default, |exchange| exchange.read(conn))
     }
 
-    /// When it has waited too long for the response, once it is connected and `progress` has come. A worker that
-    /// reports progress is lost where it reports none for `silence`; an attempt that has not begun waits without end.
+    /// The deadline of a connected connection after a read brought `progress`. A running attempt of a worker that
+    /// reports progress is lost after `progress_timeout` without a report; one that is not running yet has no deadline.
     pub fn response_deadline(
         &mut self,
         now: Micros,
         progress: &ReadProgress,
-        silence: Option<Micros>,
+        progress_timeout: Option<Micros>,
     ) -> Option<Micros> {
         match self.purpose {
             Purpose::Attempt(_) => {
                 self.running |= progress.started;
-                silence
+                progress_timeout
                     .filter(|_| self.running)
-                    .map(|silence| now + silence)
+                    .map(|progress_timeout| now + progress_timeout)
             }
             Purpose::LoadProbe | Purpose::HealthCheck => Some(self.sent + super::PROBE_TIMEOUT),
             Purpose::Remainder | Purpose::Idle => self.deadline,
@@ -153,8 +153,8 @@
     }
 }
 
-/// How a request ends whose connection has failed; none while it has not. A request that has not left completely has
-/// not been accepted; one that has may have run.
+/// The outcome of a request whose connection has failed; none if the connection is working. A request that was not
+/// written completely was not accepted; one that was may have run.
 pub fn failure(conn: &Connection) -> Option<Outcome> {
     let failed = conn.broken || conn.eof;
     failed.then(|| {
--- a/crates/node/src/workers/events.rs
+++ b/crates/node/src/workers/events.rs
@@ -1,4 +1,4 @@
-//! What happens on the workers' connections: responses, failures and timeouts.
+//! Handles events on the workers' connections: responses, failures and timeouts.
 
 use super::connection::{self, Purpose};
 use super::exchange::{Completion, ReadProgress};
@@ -9,38 +9,39 @@
 use marbledeck_dispatcher::{Micros, Outcome, WorkerId};
 use marbledeck_membership::HealthEvidence;
 
-/// How long a connection may take to carry the rest of a response whose end is known.
+/// How long a connection may take to receive the rest of a response after the attempt or probe has ended.
 const REMAINDER_TIMEOUT: Micros = millis(1000);
 
-/// A running attempt without progress for this many progress intervals is lost: its machine has vanished, or stands
-/// still for longer than any pause.
+/// After this many progress intervals without a report, a running attempt counts as lost: its machine is gone, or has
+/// stalled for longer than any normal pause.
 const MISSED_PROGRESS_LIMIT: u64 = 3;
 
 impl Workers {
-    /// Something has happened on a worker's connection.
+    /// Handles an event on a worker's connection.
     pub fn handle_ready(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
         let (Some(connection), Some(conn)) = (self.pool.get_mut(token), net.get(token)) else {
             return net.close(token);
         };
         if connection.purpose == Purpose::Idle {
-            // Closed by the worker long before it said it would, or sending without a request: of no use either way,
-            // and the others may be dead without a sign.
+            // The worker closed the connection before its idle timeout, or sent data without a request. The other
+            // idle connections may be dead, too, without an event that shows it.
             self.pool.remove(token, net);
-            return self.pool.stop_reuse(now, net);
+            return self.pool.pause_reuse(now, net);
         }
         connection.record_written(conn, core);
         connection.reused_without_response &= conn.input.is_empty();
         let failure = connection::failure(conn);
-        let found_dead = connection.reused_without_response && failure.is_some();
+        let reused_was_dead = connection.reused_without_response && failure.is_some();
         let progress = connection.read(conn);
         if !conn.is_connecting() {
             let interval = self.config.progress_interval;
-            let silence = interval.map(|interval| Micros(MISSED_PROGRESS_LIMIT * interval.0));
-            let deadline = connection.response_deadline(now, &progress, silence);
+            let progress_timeout =
+                interval.map(|interval| Micros(MISSED_PROGRESS_LIMIT * interval.0));
+            let deadline = connection.response_deadline(now, &progress, progress_timeout);
             self.pool.set_deadline(token, deadline);
         }
-        if found_dead {
-            self.pool.stop_reuse(now, net);
+        if reused_was_dead {
+            self.pool.pause_reuse(now, net);
         }
         self.handle_progress(now, token, progress, core);
         if !self.pool.may_reuse(now) && self.is_idle(token) {
@@ -61,7 +62,7 @@
         connection.is_some_and(|connection| connection.purpose == Purpose::Idle)
     }
 
-    /// Carries out what a read of a connection has brought.
+    /// Reports the progress that a read of a connection brought to the core.
     fn handle_progress(
         &mut self,
         now: Micros,
@@ -84,7 +85,7 @@
         match progress.completion {
             Completion::Partial => {}
             Completion::Reusable => {
-                // Well before the worker closes it: a request that crosses that would be lost.
+                // Expires well before the worker closes it: a request sent while the worker closes would be lost.
                 let idle_timeout = Micros(self.config.idle_timeout.0 / 2);
                 self.pool.keep_idle(token, now + idle_timeout);
             }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Reports how an attempt or probe has ended.
+    /// Reports the end of an attempt or probe to the core.
     fn handle_end(
         &mut self,
         now: Micros,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Records what the end of an attempt or of a health check shows of a worker.
+    /// Records whether the end of an attempt, probe or health check shows that a worker is alive or unreachable.
     fn record_evidence(&mut self, worker: WorkerId, purpose: Purpose, outcome: Outcome) {
         if !self.collects_evidence {
             return;
@@ -127,13 +128,13 @@
             (_, Outcome::Served | Outcome::Rejected | Outcome::Failed) => HealthEvidence::Alive,
             (_, Outcome::ConnectFailed) => HealthEvidence::Unreachable,
             (Purpose::HealthCheck | Purpose::LoadProbe, _) => HealthEvidence::Unreachable,
-            // What broke or was cancelled may have many reasons.
+            // A broken or cancelled attempt has many possible causes and shows neither.
             _ => return,
         };
         self.evidence.push((worker, evidence));
     }
 
-    /// Closes a connection that has failed, and ends what it carried.
+    /// Closes a failed connection and ends its attempt or probe with this outcome.
     pub(super) fn fail(
         &mut self,
         now: Micros,
@@ -148,9 +149,9 @@
         }
     }
 
-    /// Handles the connections that have been connecting, waiting for a response or idle for too long.
+    /// Closes the connections whose deadline has passed: connecting, waiting for a response or idle for too long.
     pub fn wake(&mut self, now: Micros, net: &mut Net, core: &mut Core) {
-        while let Some(token) = self.pool.overdue(now) {
+        while let Some(token) = self.pool.first_expired(now) {
             let connecting = net.get(token).is_some_and(|conn| conn.is_connecting());
             let outcome = if connecting {
                 Outcome::ConnectFailed
--- a/crates/node/src/workers/exchange.rs
+++ b/crates/node/src/workers/exchange.rs
@@ -1,24 +1,24 @@
-//! One exchange with a worker over whatever protocol it takes: what has come of the response so far.
+//! One request and response with a worker, over HTTP or the submission protocol.
 
 use super::http_exchange::HttpExchange;
 use super::submission_exchange::SubmissionExchange;
 use crate::core::AttemptEnd;
 use crate::net::conn::Connection;
 
-/// How far the response has come.
+/// How much of the response has been read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Completion {
-    /// More of it is to come.
+    /// More of it is expected.
     #[default]
     Partial,
-    /// It is complete, and its connection can carry the next request.
+    /// It is complete, and the connection can be reused for the next request.
     Reusable,
-    /// It is complete or cannot be read on; its connection is of no more use.
+    /// It is complete or unreadable, and the connection must be closed.
     Closed,
 }
 
 impl Completion {
-    /// The completion of a response whose connection can be reused or not.
+    /// The completion of a response that is complete.
     pub fn of(reusable: bool) -> Self {
         if reusable {
             Completion::Reusable
@@ -28,27 +28,27 @@
     }
 }
 
-/// What a read of the connection has brought.
+/// The result of reading from the connection.
 #[derive(Default)]
 pub struct ReadProgress {
-    /// The worker has said that it runs the attempt.
+    /// Whether the worker has reported that the attempt is running.
     pub started: bool,
-    /// How the attempt or probe has ended.
+    /// The end of the attempt or probe, if this read brought it.
     pub end: Option<AttemptEnd>,
-    /// How far the response has come.
+    /// How much of the response has been read so far.
     pub completion: Completion,
 }
 
-/// The response that a connection is waiting for, by the protocol that its worker takes.
+/// The response that a connection is waiting for, by the worker's protocol.
 pub enum Exchange {
     /// HTTP/1.1, with an event stream as the response.
     Http(HttpExchange),
-    /// Batch submission: this node is the submitter.
+    /// The submission protocol, with this node as the submitter.
     Submission(SubmissionExchange),
 }
 
 impl Exchange {
-    /// Reads what has come on the connection.
+    /// Reads the data received on the connection.
     pub fn read(&mut self, conn: &mut Connection) -> ReadProgress {
         match self {
             Exchange::Http(exchange) => exchange.read(conn),
--- a/crates/node/src/workers/http_exchange.rs
+++ b/crates/node/src/workers/http_exchange.rs
@@ -1,4 +1,4 @@
-//! An attempt or probe over HTTP: the request, and its response as it comes.
+//! An attempt or probe over HTTP: encodes the request and parses the response incrementally.
 
 use super::exchange::{Completion, ReadProgress};
 use super::report;
@@ -9,15 +9,15 @@
 use marbledeck_platform_settings::ReportFields;
 use serde_json::Value;
 
-/// Where a worker reports its load.
+/// The path at which a worker reports its load.
 pub const LOAD_PATH: &str = "/status/load";
-/// Where a worker only tells whether it is well.
+/// The path at which a worker reports only whether it is healthy.
 pub const HEALTH_PATH: &str = "/health";
 
-/// The most bytes of a response that are held without being a complete line.
-const MAX_CONTENT: usize = 2 * MAX_BODY;
+/// The maximum size in bytes of buffered response content that is not a complete line.
+const MAX_BUFFERED_CONTENT: usize = 2 * MAX_BODY;
 
-/// The request of an attempt; every field that the client set for the worker is passed on as it was.
+/// Encodes the request of an attempt, which forwards the client's fields for the worker unchanged.
 pub fn attempt_request(payload: &Payload, host: &str, remaining: Micros) -> Vec<u8> {
     let key = payload.key.as_deref();
     let key = key.map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
@@ -34,18 +34,18 @@
     bytes
 }
 
-/// The request of a probe: [`LOAD_PATH`] or [`HEALTH_PATH`].
+/// Encodes the request of a probe of [`LOAD_PATH`] or [`HEALTH_PATH`].
 pub fn probe_request(host: &str, path: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
 /// The response to one attempt or probe.
 pub struct HttpExchange {
-    /// The transaction id that each line must carry; none for a probe.
+    /// The transaction id that each line must have; none for a probe.
     transaction_id: Option<String>,
     report_fields: ReportFields,
     head: Option<(ResponseHead, Body)>,
-    /// What has come of the body and is not a complete line yet.
+    /// The received body content that is not a complete line yet.
     content: Vec<u8>,
     ended: bool,
 }
@@ -75,11 +75,11 @@
         self.transaction_id.is_none()
     }
 
-    /// Reads what has come on the connection.
+    /// Reads the data received on the connection.
     pub fn read(&mut self, conn: &mut Connection) -> ReadProgress {
         let mut progress = ReadProgress::default();
         if self.advance(conn, &mut progress).is_err() {
-            // What cannot be read may still have run.
+            // The response is malformed, but the request may have run.
             self.end(&mut progress, AttemptEnd::new(Outcome::Failed));
             progress.completion = Completion::Closed;
         }
@@ -116,24 +116,24 @@
             self.end(progress, end);
         }
         if complete {
-            // Without its last line an attempt may have run.
+            // The response ended without a final line, so the attempt may have run.
             self.end(progress, AttemptEnd::new(Outcome::Reset));
             let reusable = keep_alive && conn.is_open() && conn.input.is_empty();
             progress.completion = Completion::of(reusable);
-        } else if self.content.len() > MAX_CONTENT {
+        } else if self.content.len() > MAX_BUFFERED_CONTENT {
             return Err(ParseError::BodyTooLong);
         }
         Ok(())
     }
 
-    /// Reports the end of the attempt, unless it was reported before.
+    /// Reports the end of the attempt or probe, unless it was already reported.
     fn end(&mut self, progress: &mut ReadProgress, end: AttemptEnd) {
         if !std::mem::replace(&mut self.ended, true) {
             progress.end = Some(end);
         }
     }
 
-    /// A status other than 200 ends an attempt.
+    /// Ends an attempt whose status is not 200.
     fn handle_head(&mut self, head: &ResponseHead, progress: &mut ReadProgress) {
         if self.is_probe() || head.status == 200 {
             return;
@@ -148,7 +148,7 @@
         self.end(progress, AttemptEnd::with_report(outcome, load));
     }
 
-    /// Handles the lines that are complete; a last one may lack its end only where the body has ended.
+    /// Handles the complete lines received so far.
     fn handle_lines(&mut self, progress: &mut ReadProgress) {
         while let Some(end) = self.content.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = self.content.drain(..=end).collect();
@@ -162,7 +162,7 @@
         let value: Value = serde_json::from_slice(line).unwrap_or_default();
         let text = |name: &str| value.get(name).and_then(Value::as_str);
         if text("id") != self.transaction_id.as_deref() {
-            // Of another request, or no object: nothing is served that was not made for this one.
+            // Not an object, or for another request: only a result for this request may be served.
             return self.end(progress, AttemptEnd::new(Outcome::Failed));
         }
         let load = value.get("load");
@@ -182,7 +182,7 @@
             Some("failed") => AttemptEnd::with_report(Outcome::Failed, load),
             Some("returned") => AttemptEnd::with_report(Outcome::Rejected, load),
             Some("lost") => AttemptEnd::with_report(Outcome::Reset, load),
-            // Progress, or a state of a later version.
+            // A progress report, or a state that a later version added.
             _ => return,
         };
         self.end(progress, end);
--- a/crates/node/src/workers/mod.rs
+++ b/crates/node/src/workers/mod.rs
@@ -1,4 +1,4 @@
-//! The links to the workers: a pool of connections, one attempt or probe at a time on each.
+//! The worker connections: a pool in which each connection carries one attempt or probe at a time.
 
 mod connection;
 mod events;
@@ -23,70 +23,71 @@
 use std::net::SocketAddr;
 use submission_exchange::SubmissionExchange;
 
-/// The module of all log lines about workers.
+/// The log target of all messages from this module and its submodules.
 const LOG_TARGET: &str = "marbledeck_node::workers";
 
-/// A worker that has not answered a probe within this time is not well.
+/// How long a worker may take to answer a probe before the probe fails.
 const PROBE_TIMEOUT: Micros = millis(500);
 
-/// An attempt that begins so long after it was encoded is encoded anew. Workers may be told of 0.15 s too much.
+/// An unsent attempt older than this is re-encoded with the current remaining time. The remaining time that a worker is
+/// told may be at most 0.15 s too long.
 const MAX_DEADLINE_AGE: Micros = millis(10);
 
-/// What the links need to know of the workers.
+/// Settings of the worker connections.
 pub struct WorkersConfig {
-    /// Which fields of a load report count, and how.
+    /// How the fields of a load report are interpreted.
     pub report_fields: ReportFields,
-    /// Workers answer a probe of their load; else only one of their health.
+    /// Whether workers answer load probes; otherwise they only answer health checks.
     pub has_load_endpoint: bool,
-    /// Workers close a connection that has been idle for this long.
+    /// How long workers keep an idle connection open.
     pub idle_timeout: Micros,
     /// How long a connect may take.
     pub connect_timeout: Micros,
-    /// How often a worker reports progress of an attempt that runs, if it does.
+    /// The interval at which workers report the progress of a running attempt, if they do.
     pub progress_interval: Option<Micros>,
-    /// How many connections there may be.
+    /// The maximum number of connections.
     pub max_connections: usize,
-    /// The workers that take attempts by batch submission.
+    /// The workers that take attempts over the submission protocol.
     pub submission_workers: HashSet<WorkerId>,
 }
 
-/// Why an attempt or probe was withdrawn before its first byte left.
+/// Why an attempt or probe was withdrawn before it was written.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum WithdrawalReason {
-    #[error("its time to be sent is over")]
+    #[error("its send deadline has passed")]
     TooLate,
     #[error("its request is closed")]
     RequestClosed,
-    #[error("its worker is not as it was when it was decided")]
+    #[error("its worker has changed since the decision")]
     WorkerChanged,
-    #[error("the licence seats are no longer valid")]
+    #[error("the lease on the licence seats has expired")]
     SeatsExpired,
 }
 
-/// A worker's load as it reported it last.
+/// A worker's latest load report.
 #[derive(Clone, Copy, Debug)]
 pub struct LastReport {
-    /// When it came.
+    /// When it arrived.
     pub received: Micros,
-    /// What it says.
+    /// The report.
     pub report: LoadReport,
 }
 
-/// The links to all workers.
+/// The connections to all workers.
 pub struct Workers {
     config: WorkersConfig,
     pool: Pool,
-    /// Connections with an attempt or probe of which something may still be to be written.
+    /// Connections with an attempt or probe that may not be completely written yet.
     sending: Vec<Token>,
     load_reports: HashMap<WorkerId, LastReport>,
-    /// Whether evidence of which workers are there is wanted.
+    /// Whether to collect evidence of which workers are alive.
     pub collects_evidence: bool,
-    /// What attempts and health checks have shown of workers.
+    /// Which workers were shown alive or unreachable by attempts, probes and health checks.
     pub evidence: Vec<(WorkerId, HealthEvidence)>,
 }
 
 impl Workers {
-    /// Links without any connection yet.
+    /// Creates an empty pool with these settings.
     pub fn new(config: WorkersConfig) -> Self {
         Workers {
             pool: Pool::new(config.max_connections),
@@ -98,7 +99,7 @@
         }
     }
 
-    /// What a worker reported last of its load.
+    /// A worker's latest load report.
     pub fn load_report(&self, worker: WorkerId) -> Option<LastReport> {
         self.load_reports.get(&worker).copied()
     }
@@ -108,17 +109,18 @@
         self.pool.attempts_in_flight()
     }
 
-    /// Sets how many connections there may be; idle ones beyond that are closed.
+    /// Sets the maximum number of connections; idle ones beyond that are closed.
     pub fn set_max_connections(&mut self, max: usize, net: &mut Net) {
         self.pool.set_max_connections(max, net);
     }
 
-    /// When [`Workers::wake`] is next wanted.
+    /// When to call [`Workers::wake`] next.
     pub fn next_wake(&self) -> Option<Micros> {
         self.pool.next_deadline()
     }
 
-    /// Starts an attempt at a worker, given as it is now. One that cannot even be begun could not connect.
+    /// Starts an attempt at a worker; `target` is its current state, none if it is gone. If no connection is available
+    /// or it cannot take the request, the attempt ends as a failed connect.
     pub fn start_attempt(
         &mut self,
         now: Micros,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// The bytes of an attempt, which say how long the client still waits.
+    /// Encodes the request of an attempt, which tells the worker how long the client will still wait.
     fn encode_attempt(
         &self,
         now: Micros,
@@ -164,7 +166,7 @@
         http_exchange::attempt_request(payload, &address.to_string(), remaining)
     }
 
-    /// The response that an attempt leads to.
+    /// Creates the reader of an attempt's response.
     fn attempt_exchange(&self, command: &AttemptCommand) -> Exchange {
         let id = &command.payload.transaction_id;
         let report_fields = self.config.report_fields;
@@ -175,8 +177,8 @@
         }
     }
 
-    /// Encodes the attempts anew that are about to begin and were encoded a while ago, since their connections came up
-    /// late: what a worker is told of the time left is then too much.
+    /// Re-encodes attempts that are about to be written but were encoded too long ago because connecting was slow:
+    /// otherwise, the worker would be told too long a remaining time.
     pub fn refresh_deadlines(&mut self, now: Micros, net: &mut Net) {
         let sending = std::mem::take(&mut self.sending);
         for token in &sending {
@@ -189,19 +191,22 @@
         let (Some(connection), Some(conn)) = (self.pool.get(token), net.get(token)) else {
             return;
         };
-        let is_leaving = !conn.is_connecting() && connection.is_unsent(conn);
+        let is_about_to_be_written = !conn.is_connecting() && connection.is_unsent(conn);
         let attempt = connection.encoded_attempt.as_ref();
         let attempt = attempt.filter(|attempt| now - attempt.encoded_at > MAX_DEADLINE_AGE);
         let (Some(attempt), Some(target)) = (attempt, &connection.target) else {
             return;
         };
-        if !is_leaving {
+        if !is_about_to_be_written {
             return;
         }
         let bytes = self.encode_attempt(now, &attempt.command, target.address);
         conn.output.consume(usize::MAX);
         let is_written = conn.output.push(&bytes);
-        debug_assert!(is_written, "no longer than the bytes before");
+        debug_assert!(
+            is_written,
+            "the re-encoded request does not fit where the longer one did"
+        );
         if let Some(connection) = self.pool.get_mut(token) {
             connection.request_bytes = bytes.len();
             if let Some(attempt) = &mut connection.encoded_attempt {
@@ -210,8 +215,8 @@
         }
     }
 
-    /// Asks a worker for its load. One that takes attempts by batch submission has no such query: its probe succeeds
-    /// without a report.
+    /// Asks a worker for its load. The submission protocol has no load query, so the probe of a worker that uses it
+    /// succeeds at once without a report.
     pub fn probe(
         &mut self,
         now: Micros,
@@ -242,8 +247,8 @@
         }
     }
 
-    /// Asks whether a suspected worker is there; the answer is added to [`Workers::evidence`]. One that takes attempts
-    /// by batch submission cannot be asked.
+    /// Checks whether a suspected worker is still up, and adds the answer to [`Workers::evidence`]. A worker that uses
+    /// the submission protocol cannot be asked.
     pub fn check_health(
         &mut self,
         now: Micros,
@@ -266,7 +271,7 @@
         }
     }
 
-    /// Puts a request on an idle connection, or on a new one. Returns whether it could.
+    /// Puts a request on an idle connection or a new one. Returns false if there is none or its buffer is too small.
     fn send(
         &mut self,
         now: Micros,
@@ -278,7 +283,7 @@
         let Some(token) = self.pool.acquire(now, connection.worker, endpoint, net) else {
             return false;
         };
-        // A reused one is still entered as the idle connection that it was.
+        // Only a reused connection is in the pool at this point, still as an idle one.
         connection.reused_without_response = self.pool.get(token).is_some();
         connection.request_bytes = bytes.len();
         if !net.write(token, bytes) {
@@ -298,14 +303,14 @@
         true
     }
 
-    /// Stops waiting for an attempt: its connection is closed, which tells the worker.
+    /// Abandons an attempt by closing its connection, which also notifies the worker.
     pub fn cancel_attempt(&mut self, request: RequestId, number: u32, net: &mut Net) {
-        if let Some(token) = self.pool.carrier(AttemptId { request, number }) {
+        if let Some(token) = self.pool.attempt_connection(AttemptId { request, number }) {
             self.pool.remove(token, net);
         }
     }
 
-    /// Counts the attempts that have left completely; to be called when all was written out that the sockets take.
+    /// Counts the attempts that are completely written. To be called after the sockets were flushed.
     pub fn record_written(&mut self, net: &mut Net, core: &mut Core) {
         let pool = &mut self.pool;
         self.sending.retain(|token| {
@@ -320,27 +325,28 @@
         });
     }
 
-    /// Whether an attempt or probe has not left completely.
+    /// Whether an attempt or probe may not be completely written yet.
     pub fn has_unsent(&self) -> bool {
         !self.sending.is_empty()
     }
 
-    /// The requests of which an attempt leaves when all is written out next: its connection is up.
+    /// The requests whose attempt will be written by the next flush because its connection is established.
     pub fn requests_leaving(&self, net: &mut Net) -> Vec<RequestId> {
-        let is_up = |token: &&Token| net.get(**token).is_some_and(|conn| !conn.is_connecting());
-        let tokens = self.sending.iter().filter(is_up);
+        let is_established =
+            |token: &&Token| net.get(**token).is_some_and(|conn| !conn.is_connecting());
+        let tokens = self.sending.iter().filter(is_established);
         let connections = tokens.filter_map(|token| self.pool.get(*token));
         connections
             .filter_map(WorkerConnection::unwritten_attempt)
             .collect()
     }
 
-    /// Takes back what may no longer start, at the last moment before its first byte leaves.
+    /// Withdraws attempts and probes that may no longer start, immediately before they would be written.
     ///
-    /// An attempt starts with that byte for its worker, which must be as it was when the attempt was decided: not
-    /// draining, gone, restarted, out of service, or named by a list that is too old. So it does for its licence seats.
-    /// For its request it starts with the last byte: one that is closed makes no further attempt, nor one whose effect
-    /// allows none any more. What is taken back has never run, and shows nothing of its worker.
+    /// Until the first byte is written, an attempt is withdrawn if its worker has changed since the decision (draining,
+    /// gone, restarted, out of service, or named only by a worker list that is too old) or if the lease on its licence
+    /// seats has expired. Until the last byte is written, it is also withdrawn if its request is closed or its send
+    /// deadline has passed. A withdrawn attempt has never run, and says nothing about its worker's health.
     pub fn withdraw_stale(&mut self, now: Micros, fleet: &Fleet, net: &mut Net, core: &mut Core) {
         let seats_expired = core
             .seats_valid_until()
@@ -383,7 +389,7 @@
         }
     }
 
-    /// Forgets a worker that is gone, has moved or was restarted: its idle connections are of no use.
+    /// Drops the load report and the idle connections of a worker that is gone, has moved or was restarted.
     pub fn forget_worker(&mut self, worker: WorkerId, net: &mut Net) {
         self.load_reports.remove(&worker);
         self.pool.close_idle(worker, net);
--- a/crates/node/src/workers/pool.rs
+++ b/crates/node/src/workers/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to all workers: those in use, those kept for the next request, and when each has waited too long.
+//! The pool of connections to all workers, in use or idle, and their deadlines.
 
 use super::connection::{AttemptId, Purpose, WorkerConnection};
 use super::LOG_TARGET;
@@ -8,25 +8,26 @@
 use marbledeck_membership::Endpoint;
 use std::collections::{BTreeSet, HashMap};
 
-/// For so long no connection is kept once a kept one was found dead. An attempt that meets a dead one may have run, so
-/// it costs a retry, may eject its worker and binds a keyed request to it; a new connection costs a millisecond or two.
-const NO_REUSE: Micros = millis(30_000);
+/// How long no connection is reused after an idle one was found dead. An attempt on a dead connection may have run as
+/// far as the node knows: it costs a retry, may eject its worker and binds a keyed request to that worker. A new
+/// connection costs only a millisecond or two.
+const REUSE_PAUSE: Micros = millis(30_000);
 
 /// All connections to workers.
 pub struct Pool {
-    /// How many there may be.
+    /// The maximum number of connections.
     max_connections: usize,
     connections: HashMap<Token, WorkerConnection>,
     attempts: HashMap<AttemptId, Token>,
-    /// Idle connections of each worker, the last used at the end.
+    /// The idle connections of each worker, most recently used last.
     idle: HashMap<WorkerId, Vec<Token>>,
     deadlines: BTreeSet<(Micros, Token)>,
-    /// No connection is kept before this time.
+    /// No connection is kept for reuse before this time.
     reuse_after: Micros,
 }
 
 impl Pool {
-    /// An empty pool that holds at most this many connections.
+    /// Creates an empty pool with at most this many connections.
     pub fn new(max_connections: usize) -> Self {
         Pool {
             max_connections,
@@ -38,18 +39,18 @@
         }
     }
 
-    /// The connection of this token.
+    /// The connection with this token.
     pub fn get(&self, token: Token) -> Option<&WorkerConnection> {
         self.connections.get(&token)
     }
 
-    /// The connection of this token.
+    /// The connection with this token, to change it.
     pub fn get_mut(&mut self, token: Token) -> Option<&mut WorkerConnection> {
         self.connections.get_mut(&token)
     }
 
     /// The connection that carries this attempt.
-    pub fn carrier(&self, attempt: AttemptId) -> Option<Token> {
+    pub fn attempt_connection(&self, attempt: AttemptId) -> Option<Token> {
         self.attempts.get(&attempt).copied()
     }
 
@@ -63,18 +64,18 @@
         counts
     }
 
-    /// When the first connection will have waited too long.
+    /// The earliest deadline of any connection.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// A connection that has waited too long.
-    pub fn overdue(&self, now: Micros) -> Option<Token> {
+    /// The connection with the earliest deadline, if that has passed.
+    pub fn first_expired(&self, now: Micros) -> Option<Token> {
         let (deadline, token) = self.deadlines.first().copied()?;
         (deadline <= now).then_some(token)
     }
 
-    /// Sets when a connection will have waited too long.
+    /// Sets or clears the deadline of a connection.
     pub fn set_deadline(&mut self, token: Token, deadline: Option<Micros>) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
@@ -86,13 +87,13 @@
             .extend(deadline.map(|deadline| (deadline, token)));
     }
 
-    /// Sets how many connections there may be; idle ones beyond that are closed.
+    /// Sets the maximum number of connections; idle ones beyond that are closed.
     pub fn set_max_connections(&mut self, max: usize, net: &mut Net) {
         self.max_connections = max;
         while self.connections.len() > max && self.evict_idle(net) {}
     }
 
-    /// An idle connection to this worker, or a new one; none where there may be no more or it cannot be opened.
+    /// Returns an idle connection to this worker or opens a new one; none if there is no room or opening fails.
     pub fn acquire(
         &mut self,
         now: Micros,
@@ -101,7 +102,7 @@
         net: &mut Net,
     ) -> Option<Token> {
         while let Some(token) = self.idle.get_mut(&worker).and_then(Vec::pop) {
-            // It may have been idle for too long, or been closed by the worker a moment ago.
+            // It may have been idle for too long, or the worker may have just closed it.
             let connection = self.connections.get(&token);
             let deadline = connection.and_then(|connection| connection.deadline);
             let is_fresh = deadline.is_some_and(|deadline| now < deadline);
@@ -116,11 +117,13 @@
         }
         let token = net.connect(endpoint.address, Peer::Worker);
         token
-            .inspect_err(|error| log::debug!(target: LOG_TARGET, "{}: {error}", endpoint.name))
+            .inspect_err(
+                |error| log::debug!(target: LOG_TARGET, "{}: cannot connect: {error}", endpoint.name),
+            )
             .ok()
     }
 
-    /// Enters a connection that carries a new request.
+    /// Adds or replaces the state of a connection that carries a new request.
     pub fn insert(&mut self, token: Token, connection: WorkerConnection, deadline: Option<Micros>) {
         if let Purpose::Attempt(attempt) = connection.purpose {
             self.attempts.insert(attempt, token);
@@ -129,12 +132,12 @@
         self.set_deadline(token, deadline);
     }
 
-    /// Forgets which connection carries an attempt that has ended.
+    /// Removes the link from an attempt that has ended to its connection.
     pub fn end_attempt(&mut self, attempt: AttemptId) {
         self.attempts.remove(&attempt);
     }
 
-    /// Keeps a connection for the next request, until this time.
+    /// Keeps a connection for reuse until this time.
     pub fn keep_idle(&mut self, token: Token, deadline: Micros) {
         self.set_deadline(token, Some(deadline));
         if let Some(connection) = self.connections.get_mut(&token) {
@@ -145,20 +148,20 @@
         }
     }
 
-    /// Whether connections may be kept for the next request.
+    /// Whether connections may be kept for reuse.
     pub fn may_reuse(&self, now: Micros) -> bool {
         now >= self.reuse_after
     }
 
-    /// Closes all idle connections, and keeps none for a while.
-    pub fn stop_reuse(&mut self, now: Micros, net: &mut Net) {
+    /// Closes all idle connections and keeps none for reuse during [`REUSE_PAUSE`].
+    pub fn pause_reuse(&mut self, now: Micros, net: &mut Net) {
         if self.may_reuse(now) {
             log::info!(
                 target: LOG_TARGET,
-                "workers: a kept connection was dead; none is kept for a while"
+                "an idle or reused worker connection was dead; closing all idle ones and pausing connection reuse"
             );
         }
-        self.reuse_after = now + NO_REUSE;
+        self.reuse_after = now + REUSE_PAUSE;
         for token in std::mem::take(&mut self.idle).into_values().flatten() {
             self.remove(token, net);
         }
@@ -190,7 +193,7 @@
         connection
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    /// Closes the connection that has been idle longest. Returns whether there was one.
     fn evict_idle(&mut self, net: &mut Net) -> bool {
         let connections = self.connections.iter();
         let idle = connections.filter(|(_, connection)| connection.purpose == Purpose::Idle);
--- a/crates/node/src/workers/submission_exchange.rs
+++ b/crates/node/src/workers/submission_exchange.rs
@@ -1,5 +1,5 @@
-//! An attempt by batch submission: this node is the submitter, and a worker runs the job. `docs/submission.md` has the
-//! protocol, and the outcomes are those of the platform's.
+//! An attempt over the submission protocol: this node is the submitter, and the worker runs the job. The protocol is
+//! described in `docs/submission.md`; its states are mapped to the platform's outcomes.
 
 use super::exchange::{Completion, ReadProgress};
 use super::report;
@@ -11,10 +11,10 @@
 use marbledeck_submission::frame;
 use serde_json::{json, Value};
 
-/// The longest line of a worker: a result with its escapes.
+/// The maximum length of a line from a worker: a result with JSON escapes.
 const MAX_LINE: usize = 160 * 1024;
 
-/// The line that submits a job.
+/// Encodes the line that submits a job.
 pub fn attempt_request(payload: &Payload, remaining: Micros) -> Vec<u8> {
     let mut template = json!({
         "jobName": payload.transaction_id,
@@ -37,18 +37,18 @@
     frame::line(&run)
 }
 
-/// A job submitted to a worker, and what the worker reports of it.
+/// A job submitted to a worker, and the reader of the worker's reports about it.
 pub struct SubmissionExchange {
-    /// The sequence id of the call that submitted it: the request's transaction id.
+    /// The `seq` of the message that submitted the job: the request's transaction id.
     sequence: String,
     report_fields: ReportFields,
-    /// The worker's id of the job, once it has accepted it.
+    /// The worker's id for the job, once the worker has accepted it.
     job: Option<String>,
     ended: bool,
 }
 
 impl SubmissionExchange {
-    /// The responses to a job submitted with this sequence id.
+    /// Creates the reader for a job submitted with this `seq`.
     pub fn new(sequence: &str, report_fields: ReportFields) -> Self {
         SubmissionExchange {
             sequence: sequence.to_owned(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reads what has come on the connection.
+    /// Reads the data received on the connection.
     pub fn read(&mut self, conn: &mut Connection) -> ReadProgress {
         let mut progress = ReadProgress::default();
         while !self.ended {
@@ -85,8 +85,8 @@
         progress
     }
 
-    /// The end that a line reports, if any. What is not of this job is dropped: a line of an earlier one may still
-    /// come.
+    /// The end that a line reports, if any. Lines about other jobs are dropped, since some of an earlier job on this
+    /// connection may still arrive.
     fn handle_line(&mut self, line: &[u8], progress: &mut ReadProgress) -> Option<AttemptEnd> {
         let Ok(value) = serde_json::from_slice::<Value>(line) else {
             return Some(AttemptEnd::new(Outcome::Failed));
@@ -95,7 +95,7 @@
         let load = value.get("load");
         let load = load.and_then(|load| report::from_value(self.report_fields, load));
         if text("seq") == Some(&self.sequence) {
-            // Not accepted: to be retried later or denied, it has never run.
+            // The job was not accepted. With an error that says to retry later or that denies it, it has never run.
             let outcome = match text("error") {
                 Some("TRY_LATER" | "DENIED_BY_DRMS") => Outcome::Rejected,
                 Some(_) => Outcome::Failed,
@@ -114,7 +114,7 @@
                 progress.started = true;
                 return None;
             }
-            ("DONE", _) => return Some(done(&value, load)),
+            ("DONE", _) => return Some(completed_job_end(&value, load)),
             ("REQUEUED", _) | ("FAILED", Some("returned")) => Outcome::Rejected,
             ("FAILED", Some("lost")) => Outcome::Reset,
             ("FAILED", _) => Outcome::Failed,
@@ -124,8 +124,8 @@
     }
 }
 
-/// The end of a job that is done: without a result it has failed.
-fn done(value: &Value, load: Option<LoadReport>) -> AttemptEnd {
+/// The end of a job in state `DONE`: it has failed if the result is missing or cannot be decoded.
+fn completed_job_end(value: &Value, load: Option<LoadReport>) -> AttemptEnd {
     let text = |name: &str| value.get(name).and_then(Value::as_str);
     let encoded = text("resultBase64");
     let decoded = encoded.and_then(|text| BASE64_STANDARD.decode(text).ok());
