--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -1,35 +1,36 @@
-//! A client's connection: how far its request has come, and its rank when another wants its descriptor.
+//! A client's connection: the progress of its current request, and its eviction rank.
 
 use crate::clock::millis;
 use crate::net::conn::Connection;
 use crate::net::http::{self, Body, ParseError, RequestHead};
 use marbledeck_dispatcher::{Micros, RequestId};
 
-/// A body up to this size needs no reservation: few are larger, and those must not shut the others out.
+/// A body up to this size is not counted against the budget for large bodies. Few are larger, and those must not keep
+/// the others from being accepted.
 const MAX_UNRESERVED_BODY: usize = 4 * 1024;
 
-/// For so long after its accept a connection may be waiting for its first request to arrive.
-const NEW_FOR: Micros = millis(500);
+/// How long after the accept a connection counts as new: its first request may still be on its way.
+const NEW_CONNECTION_PERIOD: Micros = millis(500);
 
-/// A request whose body is still to come.
+/// A request whose head has been read, but not all of its body.
 pub struct PartialRequest {
     /// Its head.
     pub head: RequestHead,
-    /// How far the body has come.
+    /// The decoder of the body.
     pub body: Body,
-    /// The body's content so far.
+    /// The content of the body so far.
     pub content: Vec<u8>,
 }
 
-/// How far the current request has come.
+/// The progress of the current request.
 pub enum Stage {
-    /// Nothing has come of the next request.
+    /// No byte of the next request has arrived.
     Idle,
-    /// A part of its head has come.
+    /// A part of its head has arrived.
     ReadingHead,
-    /// Its head has come, and a part of its body.
+    /// Its head and possibly a part of its body have arrived.
     ReadingBody(Box<PartialRequest>),
-    /// It is complete and waits for its answer.
+    /// It was accepted and is waiting for its answer.
     AwaitingAnswer {
         /// The request.
         request: RequestId,
@@ -38,58 +39,58 @@
     },
 }
 
-/// What a connection is worth when another wants its descriptor; the first is closed first.
+/// The order in which connections are closed when a new one needs a descriptor; the lowest is closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionRank {
     /// It has never sent anything.
     Silent,
     /// It has sent a part of a request.
     Incomplete,
-    /// It is between two requests.
+    /// It is between two requests, after an answer.
     Idle,
 }
 
-/// A connection's place among those that can be closed to make room.
+/// A connection's position in the eviction order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionKey {
-    /// What it is worth.
+    /// Its rank, which comes first in the order.
     pub rank: EvictionRank,
-    /// The earlier of two of the same rank comes first.
-    pub turn: u64,
+    /// When it got this rank: within a rank, the connection with the lowest number is closed first.
+    pub sequence: u64,
 }
 
-/// What a step of reading a request has brought.
+/// The result of one step of reading a request.
 pub enum ReadStep {
-    /// More has to come first.
+    /// More input is needed, or the current request has no answer yet.
     Blocked,
-    /// The first bytes of a request have come.
+    /// The first bytes of a request have arrived.
     RequestBegun,
     /// The head is complete.
     HeadRead {
-        /// The client waits for `100 Continue`.
+        /// Whether the client is waiting for `100 Continue`.
         wants_continue: bool,
     },
-    /// A part of the body has come.
+    /// A part of the body was read.
     BodyRead,
-    /// What has come is no request.
+    /// The input is not a valid request.
     Failed(ParseError),
 }
 
 /// A client's connection.
 pub struct ClientConnection {
-    /// How far its request has come.
+    /// The progress of its current request.
     pub stage: Stage,
     accepted: Micros,
-    /// Its place among those that can be closed; none while its request waits for an answer.
+    /// Its position in the eviction order; none while its request is waiting for an answer.
     pub eviction: Option<EvictionKey>,
-    /// Counts its requests, so that a deadline of an earlier one is known to be out of date.
+    /// The number of its current request, which shows that a deadline of an earlier request is outdated.
     pub request_number: u64,
-    /// What its body may take of the budget for large bodies, while it is read.
+    /// The bytes reserved from the budget for large bodies while its body is read.
     pub reserved_bytes: usize,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted at this time.
+    /// Creates the state of a connection that was accepted at this time.
     pub fn new(accepted: Micros) -> Self {
         ClientConnection {
             stage: Stage::Idle,
@@ -100,22 +101,22 @@
         }
     }
 
-    /// Whether its first request may be on the way.
+    /// Whether its first request may still be on its way.
     pub fn is_new(&self, now: Micros) -> bool {
-        self.request_number == 0 && now < self.accepted + NEW_FOR
+        self.request_number == 0 && now < self.accepted + NEW_CONNECTION_PERIOD
     }
 
-    /// Whether its request waits for an answer.
+    /// Whether its request is waiting for an answer.
     pub fn awaits_answer(&self) -> bool {
         matches!(self.stage, Stage::AwaitingAnswer { .. })
     }
 
-    /// Whether its request is complete and not handled yet.
+    /// Whether its request has been read completely and not been handled yet.
     pub fn has_request(&self) -> bool {
         matches!(&self.stage, Stage::ReadingBody(partial) if partial.body.is_done())
     }
 
-    /// Reads on as far as the next part of a request goes.
+    /// Reads the next part of a request from the connection's input.
     pub fn advance(&mut self, conn: &mut Connection) -> ReadStep {
         match &mut self.stage {
             Stage::AwaitingAnswer { .. } => ReadStep::Blocked,
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's front: clients over HTTP, one request at a time on a connection, and `/ready`.
+//! The HTTP front end for clients, with one request at a time on a connection, and the readiness check at `/ready`.
 
 mod connection;
 mod eviction;
@@ -16,15 +16,15 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Connections accepted in one turn.
+/// The maximum number of connections accepted in one turn of the event loop.
 const MAX_ACCEPTS: usize = 32;
-/// Connections that make room when no descriptor is free.
-const EVICTED_WITHOUT_DESCRIPTOR: usize = 8;
-/// How long a request may take to come: the first from the accept on, any other once it has begun. Who hands over jobs
-/// sends each in one go; who sends nothing, or a part of a request, is not to hold a descriptor.
+/// The maximum number of connections closed when accepting fails because no descriptor is free.
+const MAX_EVICTIONS_ON_ACCEPT_ERROR: usize = 8;
+/// How long a request may take to arrive: the first one from the accept on, a later one from its first byte. Clients
+/// send each request at once; one that sends nothing or only a part of a request must not hold a descriptor.
 const REQUEST_TIMEOUT: Micros = millis(2_500);
 
-/// When a request must have come completely.
+/// The time by which a request must have arrived completely.
 struct RequestDeadline {
     at: Micros,
     token: Token,
@@ -38,45 +38,45 @@
     pub acceptor: Acceptor,
     /// The address that it listens at.
     pub addr: SocketAddr,
-    /// Connections that may be held.
+    /// The maximum number of connections.
     max_connections: usize,
-    open: HashMap<Token, ClientConnection>,
+    connections: HashMap<Token, ClientConnection>,
     awaiting_answer: HashMap<RequestId, Token>,
-    /// The connections that make room for others, in that order.
+    /// The connections that can be closed to make room for others, in that order.
     evictable: BTreeMap<EvictionKey, Token>,
-    /// Counts the changes of [`Clients::evictable`].
-    eviction_turns: u64,
-    /// The deadlines of requests to come, the earliest first.
+    /// The last sequence number used in [`Clients::evictable`].
+    eviction_sequence: u64,
+    /// The deadlines of requests that have not arrived completely, the earliest first.
     deadlines: VecDeque<RequestDeadline>,
-    /// Bytes that large bodies may take together.
+    /// The maximum total size of large bodies in bytes.
     pub body_budget: usize,
-    /// What those of them may take that have not come completely.
+    /// The part of the budget that is reserved for large bodies that have not arrived completely.
     reserved_bytes: usize,
-    /// The process is to end: no connection is kept.
+    /// Whether the process is shutting down, so that connections are closed after the next answer.
     pub draining: bool,
 }
 
 impl Clients {
-    /// Listens at this address, on the socket that was handed on for it if there is one.
+    /// Listens at this address, on the socket inherited from the predecessor process if there is one.
     ///
     /// # Errors
     /// The address cannot be listened at.
     pub fn new(
         addr: SocketAddr,
-        handed: Option<OwnedFd>,
+        inherited: Option<OwnedFd>,
         max_connections: usize,
         body_budget: usize,
         net: &mut Net,
     ) -> io::Result<Self> {
-        let (listener, addr) = net.listen(addr, handed, Peer::Client)?;
+        let (listener, addr) = net.listen(addr, inherited, Peer::Client)?;
         Ok(Clients {
             acceptor: Acceptor::new(listener),
             addr,
             max_connections,
-            open: HashMap::new(),
+            connections: HashMap::new(),
             awaiting_answer: HashMap::new(),
             evictable: BTreeMap::new(),
-            eviction_turns: 0,
+            eviction_sequence: 0,
             deadlines: VecDeque::new(),
             body_budget,
             reserved_bytes: 0,
@@ -84,14 +84,14 @@
         })
     }
 
-    /// When [`Clients::wake`] is next wanted.
+    /// When to call [`Clients::wake`] next.
     pub fn next_wake(&self) -> Option<Micros> {
         let deadline = self.deadlines.front().map(|deadline| deadline.at);
         let wakes = [self.acceptor.next_wake(), deadline];
         wakes.into_iter().flatten().min()
     }
 
-    /// Ends the listener's pause, and closes on clients whose request takes too long.
+    /// Resumes a paused listener if it is due, and closes connections whose request takes too long to arrive.
     pub fn wake(&mut self, now: Micros, net: &mut Net) {
         self.acceptor.wake(now, net);
         while let Some(deadline) = self.deadlines.pop_front_if(|deadline| deadline.at <= now) {
@@ -100,7 +100,7 @@
                 request_number,
                 ..
             } = deadline;
-            let client = self.open.get(&token);
+            let client = self.connections.get(&token);
             let Some(client) = client.filter(|client| client.request_number == request_number)
             else {
                 continue;
@@ -112,24 +112,26 @@
         }
     }
 
-    /// Accepts the connections that wait, as many as may be held.
+    /// Accepts pending connections up to the limits of this turn and of connections in total.
     pub fn accept(&mut self, now: Micros, net: &mut Net) {
         for _ in 0..MAX_ACCEPTS {
-            let held = self.open.len() + net.closing_count(Peer::Client);
-            if held >= self.max_connections && !self.make_room(now, net) {
+            let open_count = self.connections.len() + net.closing_count(Peer::Client);
+            if open_count >= self.max_connections && !self.make_room(now, net) {
                 return self.acceptor.pause(now, net);
             }
             match self.acceptor.accept(now, net) {
                 Ok(None) => return,
                 Ok(Some(token)) => {
-                    self.open.insert(token, ClientConnection::new(now));
+                    self.connections.insert(token, ClientConnection::new(now));
                     self.set_eviction_rank(token, Some(EvictionRank::Silent));
                     self.set_request_deadline(now, token);
                 }
                 Err(error) => {
-                    // No descriptor or no memory: those that wait are accepted a little later.
-                    log::warn!("accept: {error}");
-                    for _ in 0..EVICTED_WITHOUT_DESCRIPTOR {
+                    // No descriptor or no memory is free: the pending ones are accepted after the listener's pause.
+                    log::warn!(
+                        "cannot accept a connection; pausing the listener and closing some connections: {error}"
+                    );
+                    for _ in 0..MAX_EVICTIONS_ON_ACCEPT_ERROR {
                         self.make_room(now, net);
                     }
                     return;
@@ -138,20 +140,20 @@
         }
     }
 
-    /// Leaves new connections to the process that replaces this one, or accepts them again where that one is lost.
+    /// Leaves new connections to the successor process, or accepts them again if the successor is lost.
     pub fn set_succeeded(&mut self, succeeded: bool, net: &mut Net) {
         self.acceptor.set_succeeded(succeeded, net);
     }
 
-    /// Sets how many connections may be held; idle ones beyond that are closed.
+    /// Sets the maximum number of connections; those beyond it that can be evicted are closed.
     pub fn set_max_connections(&mut self, now: Micros, max: usize, net: &mut Net) {
         self.max_connections = max;
-        while self.open.len() > max && self.make_room(now, net) {}
+        while self.connections.len() > max && self.make_room(now, net) {}
     }
 
-    /// The request that is awaited on a connection must come within [`REQUEST_TIMEOUT`].
+    /// Sets a deadline of [`REQUEST_TIMEOUT`] for the next request on a connection to arrive.
     fn set_request_deadline(&mut self, now: Micros, token: Token) {
-        if let Some(client) = self.open.get(&token) {
+        if let Some(client) = self.connections.get(&token) {
             self.deadlines.push_back(RequestDeadline {
                 at: now + REQUEST_TIMEOUT,
                 token,
@@ -166,7 +168,7 @@
     }
 
     fn forget(&mut self, token: Token) -> Option<ClientConnection> {
-        let client = self.open.remove(&token)?;
+        let client = self.connections.remove(&token)?;
         if let Some(key) = client.eviction {
             self.evictable.remove(&key);
         }
@@ -177,23 +179,23 @@
         Some(client)
     }
 
-    /// Accepts the connections that wait, closes the listener, and closes the connections between two requests.
+    /// Accepts the pending connections, closes the listener, and closes the connections that are between two requests.
     ///
-    /// One on which something has come meanwhile is left alone: that is read and answered; and so is a new one, whose
-    /// first request is on its way. An answer given in this turn is still to be written.
+    /// A connection with unread input is kept until that is read and answered, and a new one because its first request
+    /// may be on its way. Answers given in this turn are still written before their connections are closed.
     pub fn close_idle(&mut self, now: Micros, net: &mut Net) {
-        let mut before = None;
-        // Those that wait were accepted by the system: closing the listener would reset them, with what they brought.
-        // Not where a successor listens on the same socket: they are its own.
+        let mut previous_count = None;
+        // The kernel has already accepted the pending connections: closing the listener would reset them and lose their
+        // requests. A successor that listens on the same socket accepts them itself.
         while !self.acceptor.is_succeeded()
             && !self.acceptor.is_paused()
-            && before.replace(self.open.len()) != Some(self.open.len())
+            && previous_count.replace(self.connections.len()) != Some(self.connections.len())
         {
             self.accept(now, net);
         }
         self.acceptor.close(net);
         let is_idle = |client: &ClientConnection| matches!(client.stage, Stage::Idle);
-        let idle = self.open.iter();
+        let idle = self.connections.iter();
         let idle = idle.filter(|(_, client)| is_idle(client) && !client.is_new(now));
         let idle: Vec<Token> = idle.map(|(token, _)| *token).collect();
         for token in idle {
@@ -204,19 +206,19 @@
         }
     }
 
-    /// Closes the connections on which a request has not come completely: it was not accepted.
+    /// Closes the connections whose request has not arrived completely and was therefore not accepted.
     pub fn drop_incomplete(&mut self, net: &mut Net) {
-        let clients = self.open.iter();
+        let clients = self.connections.iter();
         let incomplete = clients.filter(|(_, client)| !client.awaits_answer());
         for token in incomplete.map(|(token, _)| *token).collect::<Vec<_>>() {
             self.forget(token);
-            // An earlier answer may still be on its way: it is not to be lost by a reset.
+            // Closes after flushing, so that a reset doesn't destroy an earlier answer on its way to the client.
             net.finish(token);
         }
     }
 
-    /// Whether no connection is open: no request is incomplete or without its answer.
+    /// Whether no connection is open, so that no request is incomplete or waiting for its answer.
     pub fn is_idle(&self) -> bool {
-        self.open.is_empty()
+        self.connections.is_empty()
     }
 }
--- a/crates/node/src/clients/reply.rs
+++ b/crates/node/src/clients/reply.rs
@@ -5,10 +5,10 @@
 use crate::net::http::ParseError;
 use marbledeck_dispatcher::Micros;
 
-/// When a client is to come back where the node is busy, ending or not ready.
+/// The `Retry-After` of a 503 response: the node is overloaded, shutting down or not ready.
 const RETRY_AFTER: Micros = millis(1000);
 
-/// An answer of the front's own: a status and a text.
+/// A response that the front end makes itself, without a worker: a status and a text.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Notice {
     /// The status of the response.
@@ -18,13 +18,13 @@
 }
 
 impl Notice {
-    /// A notice of this status and text.
+    /// A notice with this status and text.
     pub fn new(status: u16, text: impl Into<String>) -> Self {
         let text = text.into();
         Notice { status, text }
     }
 
-    /// The response that carries it.
+    /// The response for this notice.
     pub fn reply(&self, keep_alive: bool) -> Reply<'_> {
         Reply {
             status: self.status,
@@ -49,7 +49,7 @@
 impl From<RequestError> for Notice {
     fn from(error: RequestError) -> Self {
         let status = match error {
-            // Nothing of it has run: a retry is harmless.
+            // The request has not run, so a retry is safe.
             RequestError::TooMany | RequestError::NoSeat(_) => 503,
             RequestError::IdOpen => 409,
             _ => 400,
@@ -61,7 +61,7 @@
 /// A response to a client.
 pub struct Reply<'a> {
     status: u16,
-    /// The `Retry-After` of the response.
+    /// The value of the `Retry-After` field, if any.
     retry_after: Option<Micros>,
     body: &'a [u8],
     /// Whether the connection stays open.
@@ -69,7 +69,7 @@
 }
 
 impl<'a> Reply<'a> {
-    /// The response that carries a request's final answer.
+    /// The response for a request's final answer.
     pub fn of_answer(answer: &'a FinalAnswer, keep_alive: bool) -> Self {
         let (status, retry_after, body): (_, _, &[u8]) = match answer {
             FinalAnswer::Served(result) => (200, None, result),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The response as it is sent.
+    /// Encodes the response.
     pub fn bytes(&self) -> Vec<u8> {
         let retry_after = self.retry_after.map_or(String::new(), |wait| {
             format!("Retry-After: {}\r\n", wait.as_secs_f64())
@@ -97,7 +97,7 @@
         let head = format!(
             "HTTP/1.1 {} {}\r\n{retry_after}{close}Content-Length: {}\r\n\r\n",
             self.status,
-            reason(self.status),
+            reason_phrase(self.status),
             self.body.len()
         );
         let mut bytes = head.into_bytes();
@@ -106,7 +106,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/node/src/clients/request_parser.rs
+++ b/crates/node/src/clients/request_parser.rs
@@ -1,35 +1,35 @@
-//! A client's request as the core takes it, and the checks that need no settings.
+//! Parses a client's request head into the core's form, and checks what can be checked without the settings.
 
 use super::reply::Notice;
 use crate::core::{NewRequest, Payload};
 use crate::net::http::RequestHead;
 use marbledeck_dispatcher::Micros;
 
-/// The longest that a client may say it waits, in milliseconds.
+/// The maximum for a client's remaining time, in milliseconds; larger values are reduced to it.
 const MAX_REMAINING_MS: u64 = 24 * 3600 * 1000;
-/// The longest transaction id, key or target.
-const MAX_PASSED_ON: usize = 2048;
+/// The maximum length of a transaction id, key or target.
+const MAX_FORWARDED_LENGTH: usize = 2048;
 
 fn bad_request(text: &str) -> Notice {
     Notice::new(400, text)
 }
 
-/// Whether a value that is passed on to a worker can stand in a head: visible characters only, and not too many of
-/// them. Any other may be what a worker cannot read, and it would close on this node and not on the client.
-fn can_be_passed_on(value: &str) -> bool {
-    (1..=MAX_PASSED_ON).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_graphic())
+/// Whether a value can be forwarded in the head of an attempt: only visible ASCII characters, and not too many. A
+/// worker that can't parse any other value would close the connection of this node, not of the client.
+fn is_forwardable(value: &str) -> bool {
+    (1..=MAX_FORWARDED_LENGTH).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_graphic())
 }
 
-/// A field that goes into the head of the attempt: as it came, once and not empty.
-fn passed_on_field(head: &RequestHead, name: &str) -> Result<Option<String>, Notice> {
+/// A field that is forwarded unchanged in the head of the attempt. It may be absent, but not be empty or repeated.
+fn forwarded_field(head: &RequestHead, name: &str) -> Result<Option<String>, Notice> {
     match head.fields.get(name) {
-        Some(value) if can_be_passed_on(value) => Ok(Some(value.to_owned())),
+        Some(value) if is_forwardable(value) => Ok(Some(value.to_owned())),
         None if !head.fields.has(name) => Ok(None),
         _ => Err(bad_request(&format!("{name} wants one word"))),
     }
 }
 
-/// How long the client still waits, in milliseconds.
+/// How long the client will still wait, in milliseconds.
 fn remaining_ms(head: &RequestHead) -> Result<u64, Notice> {
     let text = head.fields.get("X-Remaining-Ms");
     let digits = text.filter(|text| text.bytes().all(|b| b.is_ascii_digit()));
@@ -39,7 +39,7 @@
         .ok_or_else(|| bad_request("X-Remaining-Ms wants whole milliseconds"))
 }
 
-/// What a request's labels say that it needs.
+/// The resources that a request needs, according to its labels.
 #[derive(Default)]
 struct Resources<'a> {
     slots: f64,
@@ -48,7 +48,8 @@
 }
 
 impl<'a> Resources<'a> {
-    /// Reads the labels: `name=value`, separated by commas. Unknown ones and values that make no sense are skipped.
+    /// Parses the labels, which are `name=value` pairs separated by commas. Unknown names and invalid values are
+    /// skipped.
     fn parse(labels: &'a str) -> Self {
         let mut resources = Resources::default();
         for (name, value) in labels.split(',').filter_map(|label| label.split_once('=')) {
@@ -67,14 +68,14 @@
     }
 }
 
-/// The request that a head asks for, without its body.
+/// Parses the head of a request. The payload's body is left empty.
 ///
 /// # Errors
 /// A field is missing or malformed.
 pub fn parse_request(head: &RequestHead) -> Result<NewRequest<'_>, Notice> {
     let transaction_id =
-        passed_on_field(head, "X-Txn")?.ok_or_else(|| bad_request("X-Txn is missing"))?;
-    if !can_be_passed_on(&head.target) || !head.target.starts_with('/') {
+        forwarded_field(head, "X-Txn")?.ok_or_else(|| bad_request("X-Txn is missing"))?;
+    if !is_forwardable(&head.target) || !head.target.starts_with('/') {
         return Err(bad_request("the target wants a path"));
     }
     let class = head.fields.get("X-Lane");
@@ -94,7 +95,7 @@
         licences: resources.licences,
         payload: Payload {
             transaction_id,
-            key: passed_on_field(head, "Idempotency-Key")?,
+            key: forwarded_field(head, "Idempotency-Key")?,
             method: head.method.clone(),
             target: head.target.clone(),
             body: Vec::new(),
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Reads the clients' requests, hands them to the core and sends the answers.
+//! Reads the clients' requests, passes them to the core and sends the answers.
 
 use super::connection::{ClientConnection, EvictionRank, PartialRequest, ReadStep, Stage};
 use super::reply::{Notice, Reply};
@@ -8,24 +8,24 @@
 use crate::net::{Net, Token};
 use marbledeck_dispatcher::{Micros, RequestId};
 
-/// An answer is written, and the next request read, only when no more than this is still to be sent.
+/// No further request is read from a connection while more than this many bytes are still to be sent on it.
 const MAX_BACKLOG: usize = 16 * 1024;
 
 impl Clients {
-    /// Something has come on a client's connection, or it is closed.
+    /// Handles input on a client's connection, or its end.
     pub fn handle_ready(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
         let Some(conn) = net.get(token) else {
             return;
         };
         if conn.eof || conn.broken {
-            return self.handle_departure(now, token, net, core);
+            return self.handle_disconnect(now, token, net, core);
         }
         self.read(now, token, net, core);
     }
 
-    /// Reads on until a request is complete, or nothing more has come.
+    /// Reads until a request is accepted or the input is used up.
     fn read(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
-        while let Some(client) = self.open.get_mut(&token) {
+        while let Some(client) = self.connections.get_mut(&token) {
             if client.awaits_answer() || !net.has_room(token, MAX_BACKLOG) {
                 return;
             }
@@ -55,7 +55,7 @@
                 let notice = Notice::new(503, "too many large bodies");
                 return self.refuse(token, &notice, net);
             }
-            let client = self.open.get(&token);
+            let client = self.connections.get(&token);
             if client.is_some_and(ClientConnection::has_request) {
                 self.handle_request(now, token, net, core);
             } else if net.get(token).is_none_or(|conn| conn.input.is_empty()) {
@@ -64,11 +64,11 @@
         }
     }
 
-    /// The first bytes of a request have come.
+    /// Handles the first bytes of a request: sets its deadline and the connection's eviction rank.
     fn begin_request(&mut self, now: Micros, token: Token) {
-        let client = self.open.get(&token);
+        let client = self.connections.get(&token);
         let eviction = client.and_then(|client| client.eviction);
-        // The time for the first request runs since the accept.
+        // The deadline of the first request was set at the accept.
         let is_first = eviction.is_some_and(|key| key.rank == EvictionRank::Silent);
         self.set_eviction_rank(token, Some(EvictionRank::Incomplete));
         if !is_first {
@@ -76,16 +76,16 @@
         }
     }
 
-    /// Whether a large body has come, or is to come, for which there is no memory now.
+    /// Whether the connection's request has a large body that exceeds the budget for large bodies.
     fn exceeds_body_budget(&self, token: Token, core: &Core) -> bool {
-        let client = self.open.get(&token);
+        let client = self.connections.get(&token);
         let is_large = client.is_some_and(|client| client.reserved_bytes > 0);
         is_large && self.reserved_bytes + core.body_bytes() > self.body_budget
     }
 
-    /// A request is complete.
+    /// Handles a request that has been read completely.
     fn handle_request(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
-        let Some(client) = self.open.get_mut(&token) else {
+        let Some(client) = self.connections.get_mut(&token) else {
             return;
         };
         let stage = std::mem::replace(&mut client.stage, Stage::Idle);
@@ -97,7 +97,7 @@
         let PartialRequest { head, content, .. } = *partial;
         match self.accept_request(now, &head, content, core) {
             Ok(request) => {
-                if let Some(client) = self.open.get_mut(&token) {
+                if let Some(client) = self.connections.get_mut(&token) {
                     client.stage = Stage::AwaitingAnswer {
                         request,
                         keep_alive: head.keep_alive,
@@ -116,10 +116,10 @@
         }
     }
 
-    /// Hands a request to the core.
+    /// Passes a request to the core.
     ///
     /// # Errors
-    /// What is answered at once: the node's readiness, or why the request is not accepted.
+    /// An immediate answer: the node's readiness, or the reason why the request is not accepted.
     fn accept_request(
         &self,
         now: Micros,
@@ -141,7 +141,7 @@
     }
 
     fn readiness(&self, core: &Core) -> Notice {
-        // Where a successor serves the address, the node is ready: a front must not be sent away from it.
+        // If a successor serves at this address, the node is still ready: load balancers must not take it out.
         if self.draining && !self.acceptor.is_succeeded() {
             Notice::new(503, "ending")
         } else if core.has_workers() {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Sends the final answer of a request. Returns false where it is none of this front's.
+    /// Sends the final answer of a request. Returns false if the request is not from a client of this front end.
     pub fn send_answer(
         &mut self,
         now: Micros,
@@ -163,7 +163,7 @@
         let Some(token) = self.awaiting_answer.remove(&request) else {
             return false;
         };
-        let stage = self.open.get(&token).map(|client| &client.stage);
+        let stage = self.connections.get(&token).map(|client| &client.stage);
         let wants_keep_alive = matches!(
             stage,
             Some(Stage::AwaitingAnswer {
@@ -173,18 +173,18 @@
         );
         let reply = Reply::of_answer(answer, wants_keep_alive && !self.draining);
         self.reply(token, &reply, net);
-        // A request that was sent behind this one waits to be read.
+        // The client may have sent the next request already.
         self.read(now, token, net, core);
         true
     }
 
-    /// Sends a response, and keeps the connection for the next request or closes it.
+    /// Sends a response, and then keeps the connection open for the next request or closes it.
     fn reply(&mut self, token: Token, reply: &Reply, net: &mut Net) {
         if !net.write(token, &reply.bytes()) {
             return self.drop_connection(token, net);
         }
         if reply.keep_alive {
-            if let Some(client) = self.open.get_mut(&token) {
+            if let Some(client) = self.connections.get_mut(&token) {
                 client.stage = Stage::Idle;
             }
             self.set_eviction_rank(token, Some(EvictionRank::Idle));
@@ -194,13 +194,13 @@
         }
     }
 
-    /// Answers what is no request, and closes: where the next one begins is not known.
+    /// Answers invalid or incomplete input and closes the connection, since the start of the next request is unknown.
     pub(super) fn refuse(&mut self, token: Token, notice: &Notice, net: &mut Net) {
         self.reply(token, &notice.reply(false), net);
     }
 
-    /// A client has left; what it had not sent completely is dropped.
-    fn handle_departure(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
+    /// Handles a client's disconnect: drops an incomplete request, and closes one that is waiting for its answer.
+    fn handle_disconnect(&mut self, now: Micros, token: Token, net: &mut Net, core: &mut Core) {
         let client = self.forget(token);
         net.close(token);
         if let Some(Stage::AwaitingAnswer { request, .. }) = client.map(|client| client.stage) {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Drops those of these requests whose client has left by now.
+    /// Closes those of these requests whose client has disconnected by now.
     pub fn drop_departed(
         &mut self,
         now: Micros,
@@ -220,7 +220,7 @@
             .iter()
             .filter_map(|request| self.awaiting_answer.get(request).copied());
         for token in net.closed_by_peer(tokens.collect()) {
-            self.handle_departure(now, token, net, core);
+            self.handle_disconnect(now, token, net, core);
         }
     }
 }
--- a/crates/node/src/net/closing.rs
+++ b/crates/node/src/net/closing.rs
@@ -1,4 +1,4 @@
-//! Closes connections: at once, after the output is written, or between two requests.
+//! Closes connections: immediately, after their output is written, or between two requests.
 
 use super::conn::State;
 use super::{Net, Peer, Socket, Token};
@@ -6,18 +6,18 @@
 use marbledeck_dispatcher::Micros;
 use rustix::net::Shutdown;
 
-/// How long a connection that is being closed may take to send the rest, and then drops what still comes. A peer that
-/// sends on without end, or reads nothing, holds its descriptor no longer.
-const LINGER: Micros = millis(3000);
+/// How long a connection that is being closed may take to send its output and wait for the peer's close. After this, a
+/// peer that keeps sending or reads nothing no longer holds a descriptor.
+const LINGER_TIMEOUT: Micros = millis(3000);
 
-/// A connection that is closed at this time, whatever its peer does.
+/// A connection that is being closed, and the time at which it is closed whatever its peer does.
 pub(super) struct Lingering {
     pub(super) deadline: Micros,
     token: Token,
 }
 
-/// How many connections are being closed and still hold their descriptors. Those of operators are counted apart:
-/// neither group crowds the other out.
+/// The number of connections that are being closed and still hold their descriptors. Operators' connections are counted
+/// separately, so that neither group takes the other's descriptors.
 #[derive(Default)]
 pub(super) struct ClosingCounts {
     operators: usize,
@@ -47,7 +47,7 @@
 }
 
 impl Net {
-    /// Closes a connection at once.
+    /// Closes a socket immediately.
     pub fn close(&mut self, token: Token) {
         let Some(slot) = self.slot(token) else {
             return;
@@ -55,14 +55,14 @@
         let peer = slot.peer;
         let is_closing = matches!(&slot.socket, Socket::Stream(conn) if conn.closing);
         *self.closing.of_mut(peer) -= usize::from(is_closing);
-        // Closing the only descriptor takes it out of the epoll.
+        // Closing the only descriptor also removes it from the epoll instance.
         self.slots[token.index()] = None;
         self.free.push(token.index());
     }
 
-    /// Closes a connection when all is written. Nothing more is reported of it.
+    /// Closes a connection after its output is written. No further events are reported for it.
     pub fn finish(&mut self, token: Token) {
-        let deadline = self.now + LINGER;
+        let deadline = self.now + LINGER_TIMEOUT;
         let Some(slot) = self.slot(token) else {
             return;
         };
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Closes a connection between two requests: nothing is owed on it. What still comes there is not read, so that
-    /// who sent it knows that it was not accepted.
+    /// Closes a connection between two requests, when no response is outstanding. Later input is left unread, so that
+    /// the sender gets a reset and knows that it was not accepted.
     pub fn shut_down_idle(&mut self, token: Token) {
         self.finish(token);
         if let Some(conn) = self.get(token).filter(|conn| conn.output.is_empty()) {
@@ -85,12 +85,13 @@
         }
     }
 
-    /// How many connections are being closed and still hold their descriptors: those of operators, or all others.
+    /// The number of connections that are being closed and still hold their descriptors: operators' connections if
+    /// `peer` is an operator, else all others.
     pub fn closing_count(&self, peer: Peer) -> usize {
         self.closing.of(peer)
     }
 
-    /// Closes the connection of these at once that has been closing for longest, to make room.
+    /// Immediately closes the one of these connections that has been closing longest, to free its descriptor.
     pub fn close_oldest_lingering(&mut self, peer: Peer) {
         let slots = &self.slots;
         let is_wanted = |lingering: &Lingering| {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Closes the connections that have lingered for too long.
+    /// Closes the connections whose linger timeout has passed.
     pub(super) fn close_expired(&mut self) {
         let now = self.now;
         while let Some(expired) = self.lingering.pop_front_if(|next| next.deadline <= now) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Whether all that was written last on connections that are being closed has left this process.
+    /// Whether the output of all connections that are being closed was written to their sockets.
     pub fn is_flushed(&self) -> bool {
         !self.slots.iter().flatten().any(|slot| match &slot.socket {
             Socket::Stream(conn) => conn.closing && !conn.output.is_empty(),
@@ -120,9 +121,9 @@
         })
     }
 
-    /// Whether all connections that are being closed are, but for operators': their peers have the last responses.
-    /// Were this process to end before, bytes that come meanwhile would reset them, and responses on the way would be
-    /// lost, too.
+    /// Whether no connection is being closed any more, except operators': all peers have received their last responses.
+    /// If the process exited before that, input that arrives later would reset the connections, and responses on their
+    /// way would be lost.
     pub fn is_closed(&self) -> bool {
         self.closing_count(Peer::Client) == 0
     }
--- a/crates/node/src/net/conn.rs
+++ b/crates/node/src/net/conn.rs
@@ -1,56 +1,57 @@
-//! One TCP connection: its socket, its two buffers and how far it has come.
+//! A stream connection: its socket, its two buffers and its state.
 
 use super::ring::Ring;
-use super::ENDED;
+use super::PEER_CLOSED;
 use rustix::event::epoll::EventFlags;
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use rustix::net::{sockopt, RecvFlags, SendFlags};
 
-/// Bytes read from one connection in one turn: the others and the timers wait no longer than this takes.
+/// The maximum number of bytes read from one connection in one turn, which bounds the delay for the other connections
+/// and the timers.
 const MAX_READ: usize = 64 * 1024;
-/// Bytes dropped at once of what comes on a connection that is being closed.
-const DROPPED_AT_ONCE: usize = 16 * 1024;
+/// The number of bytes discarded with one read on a connection that is being closed.
+const DISCARD_CHUNK: usize = 16 * 1024;
 
-/// How far a connection has come.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// The connect has not succeeded yet.
     Connecting,
     /// Both sides may send.
     Open,
-    /// All is written; what still comes is dropped until the peer closes, so that no reset overtakes the response.
+    /// All output is written. Input is discarded until the peer closes, so that no reset overtakes the response.
     Lingering,
-    /// All is written; what still comes is left unread, so that its sender knows that it was not accepted.
+    /// All output is written. Input is left unread, so that its sender gets a reset and knows it was not accepted.
     LingeringUnread,
 }
 
-/// Why reading has stopped.
+/// Why reading from a connection stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stopped {
-    /// The turn has ended; more may have come.
+enum ReadStop {
+    /// The limit for one turn was reached; more input may be available.
     TurnEnded,
-    /// There is nothing more to read, or no room for it.
+    /// There is no more input, or no room for it.
     Drained,
 }
 
-/// A TCP connection.
+/// A stream connection.
 pub struct Connection {
     pub(super) fd: OwnedFd,
-    /// What has come and was not handled yet.
+    /// Received bytes that were not handled yet.
     pub input: Ring,
-    /// What is still to be sent.
+    /// Bytes that are still to be sent.
     pub output: Ring,
     pub(super) state: State,
-    /// The peer sends nothing more.
+    /// Whether the peer has finished sending.
     pub eof: bool,
-    /// The connection has failed.
+    /// Whether the connection has failed.
     pub broken: bool,
-    /// To be closed once the output is written.
+    /// Whether it is to be closed once the output is written.
     pub(super) closing: bool,
-    /// Its end is wanted at once, also where nothing is read for want of room.
-    pub(super) reports_end: bool,
-    /// What the epoll waits for.
+    /// Whether the end of the peer's input is reported at once, even if the input buffer is full.
+    pub(super) reports_eof: bool,
+    /// The events that the epoll instance waits for.
     pub(super) interest: EventFlags,
 }
 
@@ -64,7 +65,7 @@
             eof: false,
             broken: false,
             closing: false,
-            reports_end: false,
+            reports_eof: false,
             interest: EventFlags::empty(),
         }
     }
@@ -79,31 +80,31 @@
         self.state == State::Connecting
     }
 
-    /// Whether all is written, and only the peer's close is awaited.
+    /// Whether all output is written and only the peer's close is awaited.
     pub(super) fn is_lingering(&self) -> bool {
         matches!(self.state, State::Lingering | State::LingeringUnread)
     }
 
-    /// Handles an event with these flags: ends the connect, and reads what has come.
+    /// Handles an event with these flags: completes the connect and reads the input.
     pub(super) fn read(&mut self, flags: EventFlags) {
         if self.state == State::Connecting {
             self.finish_connect();
         }
         let stopped = match self.state {
-            State::LingeringUnread => Stopped::Drained,
+            State::LingeringUnread => ReadStop::Drained,
             State::Lingering => {
-                self.drop_input();
-                Stopped::Drained
+                self.discard_input();
+                ReadStop::Drained
             }
-            State::Connecting | State::Open => self.fill(),
+            State::Connecting | State::Open => self.read_input(),
         };
-        // Both directions are gone: without this, a full input would be reported again and again.
+        // Both directions are closed. Without this, the event would be reported repeatedly while the input is full.
         let failed = flags.intersects(EventFlags::ERR | EventFlags::HUP);
-        self.broken |= stopped == Stopped::Drained && failed;
-        self.eof |= self.reports_end && flags.intersects(ENDED);
+        self.broken |= stopped == ReadStop::Drained && failed;
+        self.eof |= self.reports_eof && flags.intersects(PEER_CLOSED);
     }
 
-    /// Finds out how a connect has gone.
+    /// Checks whether the connect has succeeded.
     fn finish_connect(&mut self) {
         match sockopt::socket_error(&self.fd) {
             Ok(Ok(())) => self.state = State::Open,
@@ -111,42 +112,42 @@
         }
     }
 
-    /// Reads what has come, as far as there is room and the turn lasts. What a peer has sent before it left counts,
-    /// also where it can no longer be written to.
-    fn fill(&mut self) -> Stopped {
-        let mut left = MAX_READ;
-        while left > 0 && !self.eof {
+    /// Reads the input, limited by the room in the buffer and by [`MAX_READ`]. Reads on after a failed write, since
+    /// what the peer sent before it disconnected still counts.
+    fn read_input(&mut self) -> ReadStop {
+        let mut remaining = MAX_READ;
+        while remaining > 0 && !self.eof {
             let free = self.input.free();
             if free.is_empty() {
-                return Stopped::Drained;
+                return ReadStop::Drained;
             }
             match rustix::io::read(&self.fd, free) {
                 Ok(0) => self.eof = true,
                 Ok(n) => {
-                    self.input.filled(n);
-                    left = left.saturating_sub(n);
+                    self.input.commit(n);
+                    remaining = remaining.saturating_sub(n);
                 }
-                Err(Errno::AGAIN) => return Stopped::Drained,
+                Err(Errno::AGAIN) => return ReadStop::Drained,
                 Err(Errno::INTR) => {}
                 Err(_) => {
                     self.broken = true;
-                    return Stopped::Drained;
+                    return ReadStop::Drained;
                 }
             }
         }
-        if left == 0 {
-            Stopped::TurnEnded
+        if remaining == 0 {
+            ReadStop::TurnEnded
         } else {
-            Stopped::Drained
+            ReadStop::Drained
         }
     }
 
-    /// Drops what has come on a connection that is being closed. It needs no ring, and goes in larger pieces than a
-    /// ring's first size: 60 MB may follow.
-    fn drop_input(&mut self) {
-        let mut dropped = [0u8; DROPPED_AT_ONCE];
-        for _ in 0..MAX_READ / DROPPED_AT_ONCE {
-            match rustix::io::read(&self.fd, &mut dropped) {
+    /// Discards the input of a connection that is being closed. Bypasses the ring buffer and reads larger pieces than
+    /// its initial size, since as much as 60 MB may follow.
+    fn discard_input(&mut self) {
+        let mut discarded = [0u8; DISCARD_CHUNK];
+        for _ in 0..MAX_READ / DISCARD_CHUNK {
+            match rustix::io::read(&self.fd, &mut discarded) {
                 Ok(0) => {
                     self.eof = true;
                     return;
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Writes what is held, as far as the socket takes it.
+    /// Writes the output, as far as the socket accepts it.
     pub(super) fn flush(&mut self) {
         while self.state == State::Open && !self.output.is_empty() && !self.broken {
             match rustix::net::send(&self.fd, self.output.front(), SendFlags::NOSIGNAL) {
@@ -173,17 +174,17 @@
         }
     }
 
-    /// Whether an idle connection is still good: open, and nothing has come without a request. Guards against writing
-    /// to one that the peer has closed a moment ago.
+    /// Whether an idle connection can be reused: it is open and has no unread input. Peeks at the socket to detect that
+    /// the peer has just closed it.
     pub(super) fn is_reusable(&self) -> bool {
         let mut byte = [0u8; 1];
         let peek = RecvFlags::PEEK | RecvFlags::DONTWAIT;
         let received = rustix::net::recv(&self.fd, &mut byte, peek);
-        let nothing_came = matches!(received, Err(Errno::AGAIN));
-        self.is_open() && self.input.is_empty() && nothing_came
+        let no_input = matches!(received, Err(Errno::AGAIN));
+        self.is_open() && self.input.is_empty() && no_input
     }
 
-    /// What the epoll is to wait for.
+    /// The events that the epoll instance should wait for in the current state.
     pub(super) fn wanted(&self) -> EventFlags {
         let mut wanted = EventFlags::empty();
         let unread = self.state == State::LingeringUnread;
@@ -191,7 +192,7 @@
         if !self.input.is_full() && !unread && !self.eof && !connecting {
             wanted |= EventFlags::IN;
         }
-        if (self.reports_end || unread) && !self.eof {
+        if (self.reports_eof || unread) && !self.eof {
             wanted |= EventFlags::RDHUP;
         }
         if connecting || !self.output.is_empty() {
--- a/crates/node/src/net/http.rs
+++ b/crates/node/src/net/http.rs
@@ -1,25 +1,25 @@
-//! HTTP/1.1 as far as this node speaks it: heads, and bodies by length or in chunks. A part that has not come
-//! completely is no error.
+//! An incremental parser for the subset of HTTP/1.1 that this node uses: heads, and bodies with a length, in chunks or
+//! up to the end of the connection. Incomplete input is not an error.
 
-/// The longest head: request or status line and all fields.
+/// The maximum size in bytes of a head: the request or status line and all fields.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// The longest body of a request or result.
+/// The maximum size in bytes of the body of a request or result.
 pub const MAX_BODY: usize = 64 * 1024;
-/// The most fields of a head.
+/// The maximum number of fields in a head.
 const MAX_FIELDS: usize = 100;
-/// The longest line that gives a chunk's size.
+/// The maximum length of a line between chunks or of a trailer.
 const MAX_CHUNK_LINE: usize = 256;
 
-/// Why bytes are no message.
+/// Why input is not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
-    /// They do not follow the syntax.
+    /// It violates the syntax.
     #[error("{0}")]
     Malformed(&'static str),
     /// The head is longer than [`MAX_HEAD`], or has too many fields.
     #[error("the head is too long")]
     HeadTooLong,
-    /// The body is longer than it may be.
+    /// The body is longer than the limit for its kind of message.
     #[error("the body is too long")]
     BodyTooLong,
 }
@@ -34,7 +34,7 @@
         self.0.iter().filter(named).map(|(_, value)| value.as_str())
     }
 
-    /// The value of this field, where it comes once.
+    /// The value of this field, if it occurs exactly once.
     pub fn get(&self, name: &str) -> Option<&str> {
         let named = |(n, _): &&(String, String)| n.eq_ignore_ascii_case(name);
         let mut values = self.0.iter().filter(named);
@@ -42,13 +42,13 @@
         values.next().is_none().then_some(value)
     }
 
-    /// Whether this field comes at all.
+    /// Whether this field occurs at all.
     pub fn has(&self, name: &str) -> bool {
         self.all(name).next().is_some()
     }
 
-    /// Whether one of a field's comma-separated values is this one.
-    fn lists(&self, name: &str, wanted: &str) -> bool {
+    /// Whether this value is one of a field's comma-separated values.
+    fn has_listed_value(&self, name: &str, wanted: &str) -> bool {
         let mut values = self.all(name).flat_map(|value| value.split(','));
         values.any(|value| value.trim().eq_ignore_ascii_case(wanted))
     }
@@ -57,9 +57,9 @@
 /// The head of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method, as it came.
+    /// The method, as received.
     pub method: String,
-    /// The target, as it came.
+    /// The target, as received.
     pub target: String,
     /// The fields.
     pub fields: Fields,
@@ -83,8 +83,9 @@
     !text.is_empty() && text.bytes().all(is_token_byte)
 }
 
-/// The lines of a head that has come completely, and how many bytes it takes.
-fn head_lines(bytes: &[u8]) -> Result<Option<(Vec<&str>, usize)>, ParseError> {
+/// Splits a complete head into lines. Returns them with the number of bytes that the head takes, or none if it is
+/// incomplete.
+fn split_head_lines(bytes: &[u8]) -> Result<Option<(Vec<&str>, usize)>, ParseError> {
     let end = bytes.windows(4).position(|w| w == b"\r\n\r\n");
     let Some(end) = end.filter(|end| *end <= MAX_HEAD) else {
         let waiting = bytes.len() <= MAX_HEAD;
@@ -120,23 +121,23 @@
     Ok(Fields(fields))
 }
 
-/// Whether the connection stays open after a message of this version.
+/// Whether the connection stays open after a message with this version and these fields.
 fn keep_alive(version: &str, fields: &Fields) -> Result<bool, ParseError> {
     match version {
-        "HTTP/1.1" => Ok(!fields.lists("Connection", "close")),
-        "HTTP/1.0" => Ok(fields.lists("Connection", "keep-alive")),
+        "HTTP/1.1" => Ok(!fields.has_listed_value("Connection", "close")),
+        "HTTP/1.0" => Ok(fields.has_listed_value("Connection", "keep-alive")),
         _ => Err(ParseError::Malformed("not HTTP/1.1")),
     }
 }
 
-/// The head of a request, if it has come completely, and how many bytes it takes.
+/// Parses the head of a request. Returns it with the number of bytes that it takes, or none if it is incomplete.
 ///
 /// # Errors
-/// The bytes are no head, or one that is too long.
+/// The head is malformed or too long.
 pub fn request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, ParseError> {
-    // A line's end left over from the body before is skipped.
+    // Skips blank lines that may be left over after the previous body.
     let blank = bytes.iter().take_while(|b| b"\r\n".contains(b)).count();
-    let Some((lines, used)) = head_lines(&bytes[blank..])? else {
+    let Some((lines, used)) = split_head_lines(&bytes[blank..])? else {
         return Ok(None);
     };
     let start: Vec<&str> = lines[0].split(' ').collect();
@@ -156,14 +157,15 @@
     Ok(Some((head, blank + used)))
 }
 
-/// The head of a response, if it has come completely, and how many bytes it takes. Interim responses are skipped.
+/// Parses the head of a response, skipping interim (1xx) ones. Returns it with the number of bytes that it takes
+/// including the skipped ones, or none if it is incomplete.
 ///
 /// # Errors
-/// The bytes are no head, or one that is too long.
+/// The head is malformed or too long.
 pub fn response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, ParseError> {
     let mut skipped = 0;
     loop {
-        let Some((lines, used)) = head_lines(&bytes[skipped..])? else {
+        let Some((lines, used)) = split_head_lines(&bytes[skipped..])? else {
             return Ok(None);
         };
         let (version, rest) = lines[0]
@@ -188,34 +190,34 @@
     }
 }
 
-/// What comes next of a body.
+/// The part of a body that is expected next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part {
-    /// So many bytes, and then its end.
+    /// This many bytes up to the end of the body.
     Length(usize),
-    /// All bytes up to the end of the connection.
-    ToClose,
+    /// All bytes until the connection ends.
+    UntilClose,
     /// The line with the size of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// This many bytes up to the end of a chunk.
     Chunk(usize),
     /// The empty line after a chunk.
     ChunkEnd,
     /// The fields after the last chunk.
     Trailer,
-    /// Nothing.
+    /// Nothing; the body is complete.
     Done,
 }
 
-/// Reads one body as its bytes come.
+/// Decodes one body incrementally.
 #[derive(Debug)]
 pub struct Body {
     part: Part,
-    /// The bytes of a line that has not come completely.
+    /// The bytes of an incomplete line between chunks.
     line: Vec<u8>,
-    /// How many bytes of content and trailers have come.
+    /// The number of bytes of content and trailers so far.
     length: usize,
-    /// The most bytes that it may have.
+    /// The maximum for `length`.
     max_length: usize,
 }
 
@@ -229,39 +231,39 @@
         }
     }
 
-    /// The body of a request with these fields.
+    /// The body of a request with these fields; empty if they specify no length.
     ///
     /// # Errors
-    /// The fields do not say how long it is, or it is too long.
+    /// The fields specify the length incorrectly, or it is too long.
     pub fn of_request(fields: &Fields) -> Result<Self, ParseError> {
         Body::of(fields, Part::Length(0), MAX_BODY)
     }
 
-    /// The body of a response with this head.
+    /// The body of a response with this head. If the head specifies no length, the body ends with the connection.
     ///
     /// # Errors
-    /// The head does not say how long it is, or it is too long.
+    /// The head specifies the length incorrectly, or it is too long.
     pub fn of_response(head: &ResponseHead) -> Result<Self, ParseError> {
         Body::of_long_response(head, MAX_BODY)
     }
 
-    /// The body of a response with this head, of a peer whose responses may have up to `max_length` bytes.
+    /// Like [`Body::of_response`], for a peer whose responses may have up to `max_length` bytes.
     ///
     /// # Errors
-    /// The head does not say how long it is, or it is too long.
+    /// The head specifies the length incorrectly, or it is too long.
     pub fn of_long_response(head: &ResponseHead, max_length: usize) -> Result<Self, ParseError> {
         if matches!(head.status, 204 | 304) {
             return Ok(Body::new(Part::Done, max_length));
         }
-        Body::of(&head.fields, Part::ToClose, max_length)
+        Body::of(&head.fields, Part::UntilClose, max_length)
     }
 
     fn of(fields: &Fields, default: Part, max_length: usize) -> Result<Self, ParseError> {
         let encodings = fields.all("Transfer-Encoding").count();
         let mut lengths = fields.all("Content-Length");
         let length = lengths.next();
-        // Two statements of where a body ends let two readers see two different requests, even where they agree for
-        // this one.
+        // If a head specifies the length twice, two recipients may see different message boundaries (request
+        // smuggling), so this is an error even if both values agree here.
         if encodings + usize::from(length.is_some()) + lengths.count() > 1 {
             return Err(ParseError::Malformed("the body's length is told twice"));
         }
@@ -286,7 +288,7 @@
         Ok(Body::new(Part::Length(length), max_length))
     }
 
-    /// The most bytes that can still come.
+    /// The maximum number of content bytes that can still follow.
     pub fn max_remaining(&self) -> usize {
         match self.part {
             Part::Length(n) => n,
@@ -300,15 +302,16 @@
         matches!(self.part, Part::Done | Part::Length(0))
     }
 
-    /// Whether the end of the connection is the end of this body.
+    /// Whether this body ends when the connection ends.
     pub fn ends_with_connection(&self) -> bool {
-        self.part == Part::ToClose
+        self.part == Part::UntilClose
     }
 
-    /// Reads bytes as far as they belong to the body, and adds its content to `out`. Returns how many it has read.
+    /// Decodes bytes up to the end of the body and appends its content to `out`. Returns how many bytes it has
+    /// consumed.
     ///
     /// # Errors
-    /// The bytes are no body, or one that is too long.
+    /// The body is malformed or too long.
     pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, ParseError> {
         let mut used = 0;
         while used < bytes.len() && !self.is_done() {
@@ -327,7 +330,7 @@
                     };
                     read
                 }
-                Part::ToClose => self.read_content(rest, out)?,
+                Part::UntilClose => self.read_content(rest, out)?,
                 Part::ChunkSize | Part::ChunkEnd | Part::Trailer => self.read_line(rest)?,
                 Part::Done => 0,
             };
@@ -344,7 +347,7 @@
         Ok(bytes.len())
     }
 
-    /// Reads bytes of a line between chunks, and handles it when it is complete.
+    /// Reads bytes of a chunk-size line, the end of a chunk or a trailer, and handles the line when it is complete.
     fn read_line(&mut self, bytes: &[u8]) -> Result<usize, ParseError> {
         let end = bytes.iter().position(|b| *b == b'\n');
         let used = end.map_or(bytes.len(), |end| end + 1);
@@ -369,7 +372,7 @@
             Part::ChunkEnd => Part::ChunkSize,
             _ if line.is_empty() => Part::Done,
             _ => {
-                // Trailers are dropped, but not without end.
+                // Trailers are discarded, but count towards the limit.
                 self.length += line.len() + 2;
                 if self.length > self.max_length {
                     return Err(ParseError::BodyTooLong);
@@ -387,6 +390,6 @@
     if size.is_empty() || !size.bytes().all(|b| b.is_ascii_hexdigit()) {
         return Err(ParseError::Malformed("a malformed chunk size"));
     }
-    // Longer than any body may be, whatever its exact figure.
+    // A size that overflows is longer than any body may be.
     usize::from_str_radix(size, 16).map_err(|_| ParseError::BodyTooLong)
 }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The loop's sockets: one epoll, the listeners, the connections and what each is waiting for.
+//! The sockets of the event loop: an epoll instance, listeners, connections, datagram sockets and signal pipes.
 
 mod acceptor;
 mod closing;
@@ -22,24 +22,24 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Events handled in one turn; the rest come in the next, after the timers.
+/// The maximum number of events handled in one turn; the rest are handled in the next one, after the timers.
 const MAX_EVENTS: usize = 128;
-/// The peer sends nothing more, whether or not all that it sent is read.
-const ENDED: EventFlags = EventFlags::RDHUP
+/// The event flags that show that the peer has finished sending, whether or not its input was read.
+const PEER_CLOSED: EventFlags = EventFlags::RDHUP
     .union(EventFlags::HUP)
     .union(EventFlags::ERR);
 
-/// A token's lower bits are the index of its slot, the upper ones count the tokens.
+/// The lower bits of a token are the index of its slot; the upper bits are a sequence number.
 const INDEX_BITS: u32 = 32;
-/// The index in a token, and the largest count.
+/// The mask of the index in a token, and the largest sequence number.
 const INDEX_MASK: u64 = 0xffff_ffff;
 
-/// A socket of the loop; never used twice.
+/// Identifies a socket of the event loop. A token is not reused for another socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Token(u64);
 
 impl Token {
-    /// Its number, as unique as it is.
+    /// The token as a number.
     pub fn number(self) -> u64 {
         self.0
     }
@@ -49,24 +49,24 @@
     }
 }
 
-/// Who is at the other end of a socket.
+/// The kind of peer at the other end of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peer {
-    /// Who sends requests over HTTP.
+    /// A client that sends requests over HTTP.
     Client,
-    /// A render worker.
+    /// A worker.
     Worker,
     /// The discovery service.
     Discovery,
-    /// Who is on call.
+    /// An operator.
     Operator,
-    /// One that has registered with the loop, by its number.
+    /// A peer of the service with this number.
     Service(u8),
-    /// The other process of this node, while one replaces the other.
+    /// The predecessor or successor process of this node, during a handover.
     Partner,
-    /// SIGTERM.
+    /// The pipe that reports SIGTERM.
     TerminateSignal,
-    /// SIGHUP.
+    /// The pipe that reports SIGHUP.
     ReloadSignal,
 }
 
@@ -92,7 +92,7 @@
     socket: Socket,
 }
 
-/// A socket on which something has happened.
+/// An event on a socket, as reported by epoll.
 #[derive(Clone, Copy, Debug)]
 pub struct SocketEvent {
     token: Token,
@@ -106,39 +106,39 @@
     }
 }
 
-/// A socket to be handled. Connections have been read and written as far as they go.
+/// A socket that is ready to be handled; if it is a connection, its input has been read.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
     /// The socket.
     pub token: Token,
     /// Who is at the other end.
     pub peer: Peer,
-    /// Whether it is a listener: connections wait there.
+    /// Whether it is a listener with pending connections.
     pub listener: bool,
 }
 
-/// All sockets of the loop.
+/// All sockets of the event loop.
 pub struct Net {
     epoll: OwnedFd,
     slots: Vec<Option<Slot>>,
-    /// The indexes of slots that can be used again.
+    /// The indexes of free slots.
     free: Vec<usize>,
-    /// The count of the next token.
+    /// The sequence number of the next token.
     next_token: u64,
-    /// The connections that were written, read or closed since the last [`Net::flush`].
+    /// The connections that were written, read or closed since the last [`Net::flush`], which it handles.
     touched: Vec<Token>,
-    /// The connections that are being closed; the first to be closed comes first.
+    /// The connections that are being closed, ordered by deadline.
     lingering: VecDeque<Lingering>,
     closing: ClosingCounts,
-    /// The time of this turn.
+    /// The time of the current turn.
     now: Micros,
 }
 
 impl Net {
-    /// A loop without any socket yet.
+    /// Creates the epoll instance, without any sockets.
     ///
     /// # Errors
-    /// No descriptor is free.
+    /// The epoll instance cannot be created, typically because no descriptor is free.
     pub fn new() -> io::Result<Self> {
         Ok(Net {
             epoll: epoll::create(CreateFlags::CLOEXEC)?,
@@ -183,7 +183,7 @@
         slot.filter(|slot| slot.token == token)
     }
 
-    /// A connection, as long as it is open.
+    /// The connection with this token, if it is open.
     pub fn get(&mut self, token: Token) -> Option<&mut Connection> {
         match &mut self.slot(token)?.socket {
             Socket::Stream(conn) => Some(conn),
@@ -197,14 +197,14 @@
         SocketAddr::try_from(addr?).ok()
     }
 
-    /// Sets for how long what was sent on a connection may stay unacknowledged before it counts as broken.
+    /// Sets `TCP_USER_TIMEOUT`: how long sent data may stay unacknowledged before the connection counts as broken.
     pub fn set_user_timeout(&mut self, token: Token, timeout: Micros) {
         if let Some(conn) = self.get(token) {
             let _ = sockopt::set_tcp_user_timeout(&conn.fd, (timeout.0 / 1000) as u32);
         }
     }
 
-    /// Raises the number of bytes that a connection may hold each way.
+    /// Raises the limit of a connection's input and output buffers to this many bytes.
     pub fn raise_buffer_limit(&mut self, token: Token, bytes: usize) {
         if let Some(conn) = self.get(token) {
             conn.input.raise_limit(bytes);
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Those of these connections on which the peer sends nothing more, as it is now.
+    /// Returns those of these connections whose peer has finished sending, according to a poll made now.
     pub fn closed_by_peer(&self, tokens: Vec<Token>) -> Vec<Token> {
         let open = |token: &Token| {
             let slot = self.slots.get(token.index())?.as_ref();
@@ -223,16 +223,16 @@
             .iter()
             .map(|slot| PollFd::new(slot.socket.fd(), PollFlags::RDHUP))
             .collect();
-        let at_once = Timespec::default();
-        // Interrupted, it has looked at nothing.
-        let looked_at = loop {
-            match rustix::event::poll(&mut polled, Some(&at_once)) {
+        let no_wait = Timespec::default();
+        // An interrupted poll has checked nothing, so it is repeated.
+        let polled_result = loop {
+            match rustix::event::poll(&mut polled, Some(&no_wait)) {
                 Err(Errno::INTR) => {}
                 result => break result,
             }
         };
-        if let Err(error) = looked_at {
-            log::error!("poll: {error}");
+        if let Err(error) = polled_result {
+            log::error!("cannot poll connections for a disconnect; treating all as open: {error}");
             return Vec::new();
         }
         let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
@@ -241,19 +241,19 @@
         closed.map(|(slot, _)| slot.token).collect()
     }
 
-    /// Reads what has come on a connection, though no event has been reported of it.
+    /// Reads the input of a connection without waiting for an event.
     pub fn poll_connection(&mut self, token: Token) -> Option<Ready> {
         self.get(token).filter(|conn| !conn.is_connecting())?;
         let flags = EventFlags::empty();
         self.process_event(SocketEvent { token, flags })
     }
 
-    /// Whether an idle connection can still be written to.
+    /// Whether an idle connection can be reused: it is open and has no unread input.
     pub fn is_reusable(&mut self, token: Token) -> bool {
         self.get(token).is_some_and(|conn| conn.is_reusable())
     }
 
-    /// Sends these bytes as soon as the socket takes them. Returns false where the buffer cannot hold them.
+    /// Queues these bytes to be sent by the next [`Net::flush`]. Returns false if the buffer cannot hold them.
     #[must_use]
     pub fn write(&mut self, token: Token, bytes: &[u8]) -> bool {
         let pushed = self.get(token).is_some_and(|conn| conn.output.push(bytes));
@@ -261,8 +261,8 @@
         pushed
     }
 
-    /// Whether no more than this is still to be sent. What the socket takes at once does not count: with nothing left
-    /// to send, no event would report that there is room again.
+    /// Whether at most `backlog` bytes are still to be sent. Flushes first if there are more, since no event would
+    /// report that there is room again once everything is sent.
     pub fn has_room(&mut self, token: Token, backlog: usize) -> bool {
         let Some(conn) = self.get(token) else {
             return false;
@@ -273,12 +273,13 @@
         conn.output.len() <= backlog
     }
 
-    /// To be called when input was taken from a connection, so that more is read.
+    /// Marks a connection for the next [`Net::flush`]. To be called after consuming its input, so that more is read.
     pub fn touch(&mut self, token: Token) {
         self.touched.push(token);
     }
 
-    /// Writes out, and renews what is waited for, where something was written, read or closed since the last time.
+    /// Writes the output and updates the epoll interest of all connections that were written, read or closed since the
+    /// last flush. Then closes the connections whose linger timeout has passed.
     pub fn flush(&mut self, now: Micros) {
         self.now = now;
         for token in std::mem::take(&mut self.touched) {
@@ -311,9 +312,9 @@
         }
     }
 
-    /// Waits until something happens, until this deadline at the latest, and adds on which sockets to `events`. Each is to be
-    /// handed to [`Net::process_event`]. Returns whether these are all on which something has happened: there may be
-    /// more than are reported at once, and an interrupted wait reports none.
+    /// Waits for events, until this deadline at the latest, and adds them to `events`. The caller passes each one to
+    /// [`Net::process_event`]. Returns whether these are all pending events: the number reported at once is limited,
+    /// and an interrupted wait reports none.
     pub fn wait(
         &mut self,
         now: Micros,
@@ -328,7 +329,7 @@
         let buffer = rustix::buffer::spare_capacity(&mut received);
         let waited = epoll::wait(&self.epoll, buffer, timeout.as_ref());
         if let Some(error) = waited.err().filter(|error| *error != Errno::INTR) {
-            log::error!("epoll: {error}");
+            log::error!("cannot wait for socket events: {error}");
         }
         events.extend(received.iter().map(|event| SocketEvent {
             token: Token(event.data.u64()),
@@ -337,9 +338,9 @@
         waited.is_ok() && received.len() < MAX_EVENTS
     }
 
-    /// Reads a connection on which something has happened, as far as it goes in one turn, and returns who is to handle
-    /// it. One is processed and handled after the other: what a turn reads is held once, not for each connection of
-    /// the turn.
+    /// Reads the input of a connection that has an event, up to the limit for one turn, and returns the socket if its
+    /// owner has to handle it. The caller handles each socket before it processes the next event, so that only one
+    /// connection's unhandled input is in memory at a time.
     pub fn process_event(&mut self, SocketEvent { token, flags }: SocketEvent) -> Option<Ready> {
         let slot = self.slot(token)?;
         let peer = slot.peer;
@@ -351,9 +352,9 @@
                 listener,
             });
         };
-        // Nothing is written here: all bytes leave in [`Net::flush`], when everything of this turn is handled.
+        // Nothing is written here: [`Net::flush`] sends all output after all events of this turn are handled.
         conn.read(flags);
-        if conn.state == State::LingeringUnread && flags.intersects(ENDED) {
+        if conn.state == State::LingeringUnread && flags.intersects(PEER_CLOSED) {
             self.close(token);
             return None;
         }
--- a/crates/node/src/net/ring.rs
+++ b/crates/node/src/net/ring.rs
@@ -1,6 +1,6 @@
-//! The one buffer that a connection has for each direction: small at first, grown on demand, up to a limit.
+//! The ring buffer of each direction of a connection. It starts small and grows on demand up to a limit.
 
-/// The first size that is allocated, and what is kept when all has been read.
+/// The initial allocation in bytes. A larger buffer is freed when it becomes empty.
 const INITIAL_SIZE: usize = 2048;
 
 /// A ring buffer of bytes.
@@ -8,12 +8,12 @@
     buffer: Vec<u8>,
     head: usize,
     len: usize,
-    /// The most bytes that it may hold.
+    /// The maximum number of bytes that it may hold.
     limit: usize,
 }
 
 impl Ring {
-    /// An empty ring. It allocates nothing until it is used, and never more than `limit` bytes.
+    /// Creates an empty buffer. It allocates nothing until it is used, and never more than `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Ring {
             buffer: Vec::new(),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Raises the number of bytes that it may hold, if that is more than before.
+    /// Raises the limit; a lower value is ignored.
     pub fn raise_limit(&mut self, limit: usize) {
         self.limit = self.limit.max(limit);
     }
@@ -38,12 +38,12 @@
         self.len == 0
     }
 
-    /// Whether nothing more goes in before something is taken out.
+    /// Whether it holds as many bytes as the limit allows.
     pub fn is_full(&self) -> bool {
         self.len >= self.limit
     }
 
-    /// The next free bytes; none when it is full.
+    /// The contiguous free space after the last byte; empty when the buffer is full.
     pub fn free(&mut self) -> &mut [u8] {
         if self.len == self.buffer.len() {
             self.grow(self.len + 1);
@@ -58,18 +58,18 @@
         }
     }
 
-    /// Marks so many of the free bytes as written.
-    pub fn filled(&mut self, n: usize) {
+    /// Adds the first `n` bytes of [`Ring::free`] to the content, after the caller has written them.
+    pub fn commit(&mut self, n: usize) {
         self.len = (self.len + n).min(self.buffer.len());
     }
 
-    /// The first bytes held that are contiguous.
+    /// The content from its start, as far as it is contiguous in memory.
     pub fn front(&self) -> &[u8] {
         let end = (self.head + self.len).min(self.buffer.len());
         &self.buffer[self.head..end]
     }
 
-    /// All bytes held, made contiguous.
+    /// The whole content, made contiguous.
     pub fn all(&mut self) -> &[u8] {
         if self.head + self.len > self.buffer.len() {
             self.buffer.rotate_left(self.head);
@@ -78,7 +78,7 @@
         self.front()
     }
 
-    /// Drops so many of the first bytes, and the space of a large message once it is through.
+    /// Removes the first `n` bytes. Frees a grown buffer when it becomes empty.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Adds all of these bytes, or none of them where they would go beyond the limit. Returns whether they were added.
+    /// Appends all of these bytes, or none if they would exceed the limit. Returns whether they were appended.
     #[must_use]
     pub fn push(&mut self, mut bytes: &[u8]) -> bool {
         if self.len + bytes.len() > self.limit {
@@ -106,7 +106,7 @@
             let free = self.free();
             let n = free.len().min(bytes.len());
             free[..n].copy_from_slice(&bytes[..n]);
-            self.filled(n);
+            self.commit(n);
             bytes = &bytes[n..];
         }
         true
--- a/crates/node/src/net/sockets.rs
+++ b/crates/node/src/net/sockets.rs
@@ -1,4 +1,4 @@
-//! Opens sockets: listeners, connections, datagram sockets and the pipes of signals.
+//! Opens sockets: listeners, connections, datagram sockets and signal pipes.
 
 use super::conn::{Connection, State};
 use super::http::MAX_HEAD;
@@ -15,38 +15,39 @@
 use std::mem::MaybeUninit;
 use std::net::SocketAddr;
 
-/// Connections that the system accepts before the node does.
+/// The maximum number of connections that the kernel queues for a listener.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// A direction of a connection holds a body of 64 KiB with its head, or a result of that size escaped.
-const RING: usize = 192 * 1024;
-/// What is held of what a client sends: its longest head. Bodies are taken out as they come.
-const CLIENT_INPUT_RING: usize = MAX_HEAD + 4096;
+/// The buffer limit of each direction of a connection: enough for a 64 KiB body with its head, or a result of that size
+/// with JSON escapes.
+const BUFFER_LIMIT: usize = 192 * 1024;
+/// The limit of a client's input buffer: enough for the longest head, since bodies are moved out as they arrive.
+const CLIENT_INPUT_LIMIT: usize = MAX_HEAD + 4096;
 
-/// The most listeners passed to another process at a time: the clients' and the submitters'.
+/// The maximum number of listeners passed to another process at a time: the clients' and the submitters'.
 pub const PASSED: usize = 2;
 
-/// Sockets are not inherited, and no call on them blocks.
+/// Sockets are closed on exec and non-blocking.
 const SOCKET_FLAGS: SocketFlags = SocketFlags::CLOEXEC.union(SocketFlags::NONBLOCK);
 
 impl Net {
-    /// Listens at this address only. A socket that listens there already and was handed on is used. Returns the
-    /// listener with the address in fact used.
+    /// Listens at this address only. Uses the inherited socket, which already listens there, if there is one. Returns
+    /// the listener and its actual address.
     ///
     /// # Errors
     /// The address cannot be listened at.
     pub fn listen(
         &mut self,
         addr: SocketAddr,
-        handed: Option<OwnedFd>,
+        inherited: Option<OwnedFd>,
         peer: Peer,
     ) -> io::Result<(Token, SocketAddr)> {
-        if let Some(fd) = handed {
+        if let Some(fd) = inherited {
             return Ok((self.add_listener(fd, peer)?, addr));
         }
         let fd = stream_socket(addr)?;
         sockopt::set_socket_reuseaddr(&fd, true)?;
-        // A process that hangs and still listens there must not keep the one that replaces it from serving.
+        // A hung process that still listens there must not prevent its replacement from serving.
         sockopt::set_socket_reuseport(&fd, true)?;
         rustix::net::bind(&fd, &addr)?;
         rustix::net::listen(&fd, LISTEN_BACKLOG)?;
@@ -55,7 +56,7 @@
         Ok((self.insert(peer, Socket::Listener(fd))?, bound))
     }
 
-    /// Adds a socket that listens already.
+    /// Adds a socket that is already listening.
     ///
     /// # Errors
     /// It cannot be polled.
@@ -63,7 +64,7 @@
         self.insert(peer, Socket::Listener(fd))
     }
 
-    /// Adds a connection that is open already.
+    /// Adds a connection that is already open.
     ///
     /// # Errors
     /// It cannot be polled.
@@ -72,7 +73,7 @@
         self.insert(peer, Socket::Stream(Box::new(conn)))
     }
 
-    /// Adds the reading end of a signal's pipe.
+    /// Adds the read end of a signal pipe.
     ///
     /// # Errors
     /// It cannot be polled.
@@ -91,10 +92,10 @@
         self.insert(peer, Socket::Datagrams(fd))
     }
 
-    /// Begins a connection.
+    /// Starts connecting to this address.
     ///
     /// # Errors
-    /// No descriptor is free, or the address is refused at once.
+    /// No descriptor is free, or the connect fails immediately.
     pub fn connect(&mut self, addr: SocketAddr, peer: Peer) -> io::Result<Token> {
         let fd = stream_socket(addr)?;
         let _ = sockopt::set_tcp_nodelay(&fd, true);
@@ -103,14 +104,14 @@
             Err(Errno::INPROGRESS) => State::Connecting,
             Err(error) => return Err(error.into()),
         };
-        let conn = Connection::new(fd, state, RING, RING);
+        let conn = Connection::new(fd, state, BUFFER_LIMIT, BUFFER_LIMIT);
         self.insert(peer, Socket::Stream(Box::new(conn)))
     }
 
-    /// Accepts the next connection that waits at a listener, if any.
+    /// Accepts the next pending connection at a listener, if any.
     ///
     /// # Errors
-    /// No descriptor or no memory is free.
+    /// Accepting fails, typically because no descriptor or no memory is free.
     pub fn accept(&mut self, listener: Token) -> io::Result<Option<Token>> {
         let Some(Slot {
             peer,
@@ -126,19 +127,19 @@
             Err(Errno::AGAIN | Errno::CONNABORTED | Errno::INTR) => return Ok(None),
             Err(error) => return Err(error.into()),
         };
-        // Responses are small and wanted at once.
+        // Responses are small and must not be delayed by Nagle's algorithm.
         let _ = sockopt::set_tcp_nodelay(&fd, true);
         let (input, output) = match peer {
-            Peer::Client => (CLIENT_INPUT_RING, RING),
+            Peer::Client => (CLIENT_INPUT_LIMIT, BUFFER_LIMIT),
             Peer::Partner => (LINK_BUFFER, LINK_BUFFER),
-            _ => (RING, RING),
+            _ => (BUFFER_LIMIT, BUFFER_LIMIT),
         };
         let mut conn = Connection::new(fd, State::Open, input, output);
-        conn.reports_end = peer == Peer::Client;
+        conn.reports_eof = peer == Peer::Client;
         self.insert(peer, Socket::Stream(Box::new(conn))).map(Some)
     }
 
-    /// Sets whether a listener accepts connections; those that come meanwhile wait.
+    /// Sets whether a listener accepts connections. While it does not, new ones stay pending.
     pub fn set_accepting(&mut self, listener: Token, accepting: bool) {
         let slot = self.slots.get(listener.index()).and_then(Option::as_ref);
         if let Some(slot) = slot.filter(|slot| slot.token == listener) {
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Sends these bytes over a Unix socket on which nothing was sent before, and these listeners with the first of
-    /// them.
+    /// Sends these bytes over a Unix socket on which nothing was sent before, with these listeners attached to the
+    /// first of them.
     ///
     /// # Errors
     /// The socket is closed, there are too many listeners, or the bytes do not fit its buffers.
@@ -184,14 +185,15 @@
         }
     }
 
-    /// The next datagram that has come, if any: its length, as far as it fits, and its sender.
+    /// Receives the next datagram, if any, into `bytes`. Returns its length, cut to the size of `bytes`, and its
+    /// sender.
     pub fn receive(&mut self, token: Token, bytes: &mut [u8]) -> Option<(usize, SocketAddr)> {
         let fd = self.datagram_socket(token)?;
         let (length, _, from) = rustix::net::recvfrom(fd, bytes, RecvFlags::empty()).ok()?;
         Some((length, SocketAddr::try_from(from?).ok()?))
     }
 
-    /// Sends a datagram. Where it cannot leave at once it is lost, as datagrams may be.
+    /// Sends a datagram. It is dropped if it cannot be sent immediately, as datagrams may be lost anyway.
     pub fn send_to(&mut self, token: Token, bytes: &[u8], to: SocketAddr) {
         if let Some(fd) = self.datagram_socket(token) {
             let _ = rustix::net::sendto(fd, bytes, SendFlags::empty(), &to);
