--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -141,8 +141,8 @@
     }
 
     /// Leaves new connections to the successor process, or accepts them again if the successor is lost.
-    pub fn set_succeeded(&mut self, succeeded: bool, net: &mut Net) {
-        self.acceptor.set_succeeded(succeeded, net);
+    pub fn set_has_successor(&mut self, has_successor: bool, net: &mut Net) {
+        self.acceptor.set_has_successor(has_successor, net);
     }
 
     /// Sets the maximum number of connections; those beyond it that can be evicted are closed.
@@ -187,7 +187,7 @@
         let mut previous_count = None;
         // The kernel has already accepted the pending connections: closing the listener would reset them and lose their
         // requests. A successor that listens on the same socket accepts them itself.
-        while !self.acceptor.is_succeeded()
+        while !self.acceptor.has_successor()
             && !self.acceptor.is_paused()
             && previous_count.replace(self.connections.len()) != Some(self.connections.len())
         {
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -142,7 +142,7 @@
 
     fn readiness(&self, core: &Core) -> Notice {
         // If a successor serves at this address, the node is still ready: load balancers must not take it out.
-        if self.draining && !self.acceptor.is_succeeded() {
+        if self.draining && !self.acceptor.has_successor() {
             Notice::new(503, "ending")
         } else if core.has_workers() {
             Notice::new(200, "ready")
--- a/crates/node/src/net/acceptor.rs
+++ b/crates/node/src/net/acceptor.rs
@@ -14,7 +14,7 @@
     listener: Token,
     paused_until: Option<Micros>,
     /// Whether a successor process of this node accepts the connections.
-    succeeded: bool,
+    has_successor: bool,
 }
 
 impl Acceptor {
@@ -23,7 +23,7 @@
         Acceptor {
             listener,
             paused_until: None,
-            succeeded: false,
+            has_successor: false,
         }
     }
 
@@ -53,14 +53,14 @@
     }
 
     /// Whether a successor process accepts the connections.
-    pub fn is_succeeded(&self) -> bool {
-        self.succeeded
+    pub fn has_successor(&self) -> bool {
+        self.has_successor
     }
 
     /// Leaves new connections to the successor process, or accepts them again if the successor is lost.
-    pub fn set_succeeded(&mut self, succeeded: bool, net: &mut Net) {
-        self.succeeded = succeeded;
-        net.set_accepting(self.listener, !succeeded && !self.is_paused());
+    pub fn set_has_successor(&mut self, has_successor: bool, net: &mut Net) {
+        self.has_successor = has_successor;
+        net.set_accepting(self.listener, !has_successor && !self.is_paused());
     }
 
     /// When to call [`Acceptor::wake`] next.
@@ -72,7 +72,7 @@
     pub fn wake(&mut self, now: Micros, net: &mut Net) {
         if self.paused_until.is_some_and(|deadline| deadline <= now) {
             self.paused_until = None;
-            net.set_accepting(self.listener, !self.succeeded);
+            net.set_accepting(self.listener, !self.has_successor);
         }
     }
 
--- a/crates/node/src/node/limits.rs
+++ b/crates/node/src/node/limits.rs
@@ -84,7 +84,8 @@
         }
         if !self.lifecycle.is_closed() {
             let succeeded = self.handover.has_serving_successor();
-            self.clients.set_succeeded(succeeded, &mut self.context.net);
+            self.clients
+                .set_has_successor(succeeded, &mut self.context.net);
             for service in &mut self.services {
                 service.set_succeeded(succeeded, &mut self.context);
             }
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -310,7 +310,7 @@
     }
 
     fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
-        self.acceptor.set_succeeded(succeeded, &mut context.net);
+        self.acceptor.set_has_successor(succeeded, &mut context.net);
     }
 
     fn begin_shutdown(&mut self, _now: Micros) {
