--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -159,7 +159,7 @@
         self.callers.retain(|caller| caller.token != token);
         // A caller that has gone gets nothing.
         let _ = net.write(token, text.as_bytes());
-        net.finish(token);
+        net.close_after_flush(token);
     }
 }
 
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -213,7 +213,7 @@
         for token in incomplete.map(|(token, _)| *token).collect::<Vec<_>>() {
             self.forget(token);
             // Closes after flushing, so that a reset doesn't destroy an earlier answer on its way to the client.
-            net.finish(token);
+            net.close_after_flush(token);
         }
     }
 
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -190,7 +190,7 @@
             self.set_eviction_rank(token, Some(EvictionRank::Idle));
         } else {
             self.forget(token);
-            net.finish(token);
+            net.close_after_flush(token);
         }
     }
 
--- a/crates/node/src/net/closing.rs
+++ b/crates/node/src/net/closing.rs
@@ -61,7 +61,7 @@
     }
 
     /// Closes a connection after its output is written. No further events are reported for it.
-    pub fn finish(&mut self, token: Token) {
+    pub fn close_after_flush(&mut self, token: Token) {
         let deadline = self.now + LINGER_TIMEOUT;
         let Some(slot) = self.slot(token) else {
             return;
@@ -78,7 +78,7 @@
     /// Closes a connection between two requests, when no response is outstanding. Later input is left unread, so that
     /// the sender gets a reset and knows that it was not accepted.
     pub fn shut_down_idle(&mut self, token: Token) {
-        self.finish(token);
+        self.close_after_flush(token);
         if let Some(conn) = self.get(token).filter(|conn| conn.output.is_empty()) {
             let _ = rustix::net::shutdown(&conn.fd, Shutdown::Write);
             conn.state = State::LingeringUnread;
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -105,7 +105,7 @@
                 Ok(Some(token)) => {
                     let problem = Problem::later("too many submitters", RETRY_AFTER_MS);
                     let _ = net.write(token, &frame::line(&problem));
-                    net.finish(token);
+                    net.close_after_flush(token);
                 }
                 Err(error) => return log::warn!("accept: {error}"),
             }
@@ -158,7 +158,7 @@
                     let token = submitter.token;
                     let _ = context.net.write(token, &frame::line(&problem));
                     self.forget(now, peer);
-                    return context.net.finish(token);
+                    return context.net.close_after_flush(token);
                 }
             }
         }
@@ -196,7 +196,7 @@
         let has_ended = conn.is_some_and(|conn| conn.eof && conn.input.is_empty());
         if has_ended && self.server.is_done_with(peer) {
             self.forget(now, peer);
-            context.net.finish(token);
+            context.net.close_after_flush(token);
         }
     }
 
@@ -338,7 +338,7 @@
         for peer in self.submitters.keys().copied().collect::<Vec<_>>() {
             self.flush(now, peer, context);
             if let Some(submitter) = self.forget(now, peer) {
-                context.net.finish(submitter.token);
+                context.net.close_after_flush(submitter.token);
             }
         }
     }
