--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -125,7 +125,7 @@
                 self.stage = Stage::ReadingHead;
                 ReadStep::RequestBegun
             }
-            Stage::ReadingHead => match http::request_head(conn.input.all()) {
+            Stage::ReadingHead => match http::parse_request_head(conn.input.all()) {
                 Ok(None) => ReadStep::Blocked,
                 Ok(Some((head, used))) => {
                     conn.input.consume(used);
--- a/crates/node/src/discovery/answer.rs
+++ b/crates/node/src/discovery/answer.rs
@@ -113,7 +113,7 @@
         let Some(answer) = answer.filter(|answer| answer.head.is_none()) else {
             return Ok(());
         };
-        let head = http::response_head(conn.input.all()).map_err(CallError::broken)?;
+        let head = http::parse_response_head(conn.input.all()).map_err(CallError::broken)?;
         let Some((head, length)) = head else {
             return Ok(());
         };
@@ -126,7 +126,8 @@
             });
         }
         self.staleness.handle_answer_begun(answer.began_at);
-        let body = Body::of_long_response(&head, MAX_LIST_BYTES).map_err(CallError::broken)?;
+        let body =
+            Body::of_response_with_limit(&head, MAX_LIST_BYTES).map_err(CallError::broken)?;
         answer.head = Some((head, body));
         Ok(())
     }
--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -181,12 +181,12 @@
             return Ok(Progress::Incomplete);
         };
         if call.head.is_none() {
-            if let Some((head, length)) = http::response_head(conn.input.all())? {
+            if let Some((head, length)) = http::parse_response_head(conn.input.all())? {
                 conn.input.consume(length);
                 let form = answer_form(&head).unwrap_or(self.form);
                 self.poll
                     .handle_head(now, call.number, head.status, form, encoding(&head));
-                let body = Body::of_long_response(&head, MAX_ANSWER)?;
+                let body = Body::of_response_with_limit(&head, MAX_ANSWER)?;
                 call.head = Some((head, body));
             }
         }
--- a/crates/node/src/eureka/own_entry.rs
+++ b/crates/node/src/eureka/own_entry.rs
@@ -72,7 +72,7 @@
         let Some(conn) = net.get(call.token) else {
             return;
         };
-        match http::response_head(conn.input.all()) {
+        match http::parse_response_head(conn.input.all()) {
             Ok(None) if !conn.eof && !conn.broken => return,
             Ok(Some((head, _))) => {
                 if !(200..300).contains(&head.status) {
--- a/crates/node/src/net/http.rs
+++ b/crates/node/src/net/http.rs
@@ -134,7 +134,7 @@
 ///
 /// # Errors
 /// The head is malformed or too long.
-pub fn request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, ParseError> {
+pub fn parse_request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, ParseError> {
     // Skips blank lines that may be left over after the previous body.
     let blank = bytes.iter().take_while(|b| b"\r\n".contains(b)).count();
     let Some((lines, used)) = split_head_lines(&bytes[blank..])? else {
@@ -162,7 +162,7 @@
 ///
 /// # Errors
 /// The head is malformed or too long.
-pub fn response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, ParseError> {
+pub fn parse_response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, ParseError> {
     let mut skipped = 0;
     loop {
         let Some((lines, used)) = split_head_lines(&bytes[skipped..])? else {
@@ -244,14 +244,17 @@
     /// # Errors
     /// The head specifies the length incorrectly, or it is too long.
     pub fn of_response(head: &ResponseHead) -> Result<Self, ParseError> {
-        Body::of_long_response(head, MAX_BODY)
+        Body::of_response_with_limit(head, MAX_BODY)
     }
 
     /// Like [`Body::of_response`], for a peer whose responses may have up to `max_length` bytes.
     ///
     /// # Errors
     /// The head specifies the length incorrectly, or it is too long.
-    pub fn of_long_response(head: &ResponseHead, max_length: usize) -> Result<Self, ParseError> {
+    pub fn of_response_with_limit(
+        head: &ResponseHead,
+        max_length: usize,
+    ) -> Result<Self, ParseError> {
         if matches!(head.status, 204 | 304) {
             return Ok(Body::new(Part::Done, max_length));
         }
--- a/crates/node/src/workers/http_exchange.rs
+++ b/crates/node/src/workers/http_exchange.rs
@@ -92,7 +92,7 @@
         progress: &mut ReadProgress,
     ) -> Result<(), ParseError> {
         if self.head.is_none() {
-            let Some((head, used)) = http::response_head(conn.input.all())? else {
+            let Some((head, used)) = http::parse_response_head(conn.input.all())? else {
                 return Ok(());
             };
             conn.input.consume(used);
