--- a/crates/node/src/consensus/voting/mod.rs
+++ b/crates/node/src/consensus/voting/mod.rs
@@ -109,7 +109,7 @@
         let id = u64::from(config.node);
         let ids: Vec<u64> = config.voters.iter().map(|voter| voter.number).collect();
         let voter = Voter::new(id, &ids, now.0, &opened.durable)?;
-        let disk_signal = net.signal(disk_pipe.try_clone()?.into(), peer);
+        let disk_signal = net.add_signal_pipe(disk_pipe.try_clone()?.into(), peer);
         let (admission, description) = if opened.is_admitted {
             (Admission::Admitted, "known to the voters")
         } else {
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -56,7 +56,7 @@
 
     fn bind(&mut self, now: Micros, net: &mut Net) {
         self.bind_at = now + BIND_RETRY_INTERVAL;
-        match net.datagrams(self.config.listen, self.peer) {
+        match net.bind_datagrams(self.config.listen, self.peer) {
             Ok(token) => self.socket = Some(token),
             Err(e) => log::warn!("peers: {}: {e}; tried again", self.config.listen),
         }
@@ -65,7 +65,7 @@
     fn flush(&mut self, net: &mut Net) {
         while let Some((to, bytes)) = self.peers.next_datagram() {
             if let (Some(socket), Some(address)) = (self.socket, self.config.nodes.get(to)) {
-                net.send_to(socket, &bytes, *address);
+                net.send_datagram(socket, &bytes, *address);
             }
         }
     }
@@ -79,7 +79,8 @@
     fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         let mut bytes = [0; message::MAX_LENGTH + 1];
         for _ in 0..DATAGRAMS_PER_TURN {
-            let Some((length, sender)) = context.net.receive(event.token, &mut bytes) else {
+            let Some((length, sender)) = context.net.receive_datagram(event.token, &mut bytes)
+            else {
                 return;
             };
             let Some(&node) = self.node_numbers.get(&sender) else {
--- a/crates/node/src/net/sockets.rs
+++ b/crates/node/src/net/sockets.rs
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// It cannot be polled.
-    pub fn signal(&mut self, fd: OwnedFd, signal: Peer) -> io::Result<Token> {
+    pub fn add_signal_pipe(&mut self, fd: OwnedFd, signal: Peer) -> io::Result<Token> {
         self.insert(signal, Socket::Signal(fd))
     }
 
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub fn datagrams(&mut self, addr: SocketAddr, peer: Peer) -> io::Result<Token> {
+    pub fn bind_datagrams(&mut self, addr: SocketAddr, peer: Peer) -> io::Result<Token> {
         let kind = SocketType::DGRAM;
         let fd = rustix::net::socket_with(AddressFamily::INET, kind, SOCKET_FLAGS, None)?;
         rustix::net::bind(&fd, &addr)?;
@@ -187,14 +187,18 @@
 
     /// Receives the next datagram, if any, into `bytes`. Returns its length, cut to the size of `bytes`, and its
     /// sender.
-    pub fn receive(&mut self, token: Token, bytes: &mut [u8]) -> Option<(usize, SocketAddr)> {
+    pub fn receive_datagram(
+        &mut self,
+        token: Token,
+        bytes: &mut [u8],
+    ) -> Option<(usize, SocketAddr)> {
         let fd = self.datagram_socket(token)?;
         let (length, _, from) = rustix::net::recvfrom(fd, bytes, RecvFlags::empty()).ok()?;
         Some((length, SocketAddr::try_from(from?).ok()?))
     }
 
     /// Sends a datagram. It is dropped if it cannot be sent immediately, as datagrams may be lost anyway.
-    pub fn send_to(&mut self, token: Token, bytes: &[u8], to: SocketAddr) {
+    pub fn send_datagram(&mut self, token: Token, bytes: &[u8], to: SocketAddr) {
         if let Some(fd) = self.datagram_socket(token) {
             let _ = rustix::net::sendto(fd, bytes, SendFlags::empty(), &to);
         }
--- a/crates/node/src/node/signals.rs
+++ b/crates/node/src/node/signals.rs
@@ -18,8 +18,8 @@
     /// # Errors
     /// There is no descriptor left.
     pub(super) fn register(&self, net: &mut Net) -> io::Result<()> {
-        net.signal(self.end.try_clone()?.into(), Peer::TerminateSignal)?;
-        net.signal(self.reload.try_clone()?.into(), Peer::ReloadSignal)?;
+        net.add_signal_pipe(self.end.try_clone()?.into(), Peer::TerminateSignal)?;
+        net.add_signal_pipe(self.reload.try_clone()?.into(), Peer::ReloadSignal)?;
         Ok(())
     }
 }
