--- a/crates/node/src/handover/connect.rs
+++ b/crates/node/src/handover/connect.rs
@@ -2,7 +2,7 @@
 //! over its listeners and its state.
 
 use super::{HEAD_LENGTH, MAX_STATE_LENGTH};
-use crate::net::PASSED;
+use crate::net::MAX_PASSED_LISTENERS;
 use rustix::fd::OwnedFd;
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
 use serde::de::DeserializeOwned;
@@ -84,7 +84,7 @@
 
 /// Reads the head, and takes the descriptors that come with it.
 fn receive_head(stream: &UnixStream, head: &mut [u8; HEAD_LENGTH]) -> io::Result<Vec<OwnedFd>> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(PASSED))];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_LISTENERS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut parts = [IoSliceMut::new(head)];
     let flags = RecvFlags::CMSG_CLOEXEC | RecvFlags::WAITALL;
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -8,7 +8,7 @@
 mod sockets;
 
 pub use acceptor::Acceptor;
-pub use sockets::PASSED;
+pub use sockets::MAX_PASSED_LISTENERS;
 
 use closing::{ClosingCounts, Lingering};
 use conn::{Connection, State};
--- a/crates/node/src/net/sockets.rs
+++ b/crates/node/src/net/sockets.rs
@@ -25,7 +25,7 @@
 const CLIENT_INPUT_LIMIT: usize = MAX_HEAD + 4096;
 
 /// The maximum number of listeners passed to another process at a time: the clients' and the submitters'.
-pub const PASSED: usize = 2;
+pub const MAX_PASSED_LISTENERS: usize = 2;
 
 /// Sockets are closed on exec and non-blocking.
 const SOCKET_FLAGS: SocketFlags = SocketFlags::CLOEXEC.union(SocketFlags::NONBLOCK);
@@ -171,7 +171,8 @@
         let passed = listeners.iter().filter_map(open);
         let passed: Vec<_> = passed.map(|slot| slot.socket.fd().as_fd()).collect();
         let to = open(&token).ok_or(io::ErrorKind::NotConnected)?.socket.fd();
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(PASSED))];
+        let mut space =
+            [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_LISTENERS))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         if !control.push(SendAncillaryMessage::ScmRights(&passed)) {
             return Err(io::ErrorKind::InvalidInput.into());
