--- a/crates/node/src/net/closing.rs
+++ b/crates/node/src/net/closing.rs
@@ -124,7 +124,7 @@
     /// Whether no connection is being closed any more, except operators': all peers have received their last responses.
     /// If the process exited before that, input that arrives later would reset the connections, and responses on their
     /// way would be lost.
-    pub fn is_closed(&self) -> bool {
+    pub fn all_clients_closed(&self) -> bool {
         self.closing_count(Peer::Client) == 0
     }
 }
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -212,7 +212,7 @@
             || self.services.iter().all(|service| service.is_handed_over())
                 && self.handover.is_flushed(net);
         let may_leave_open = deadlines.exit_at <= now;
-        let is_sent = net.is_closed() || may_leave_open && net.is_flushed();
+        let is_sent = net.all_clients_closed() || may_leave_open && net.is_flushed();
         self.clients.is_idle() && self.context.core.is_idle() && is_sent && is_handed_over
     }
 }
