--- a/crates/node/src/core/names.rs
+++ b/crates/node/src/core/names.rs
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// The class or tenant is unknown, or the class requires a key and the request has none.
-    pub fn check(
+    pub fn resolve(
         &self,
         class: &str,
         tenant: Option<&str>,
--- a/crates/node/src/core/validation.rs
+++ b/crates/node/src/core/validation.rs
@@ -72,7 +72,7 @@
         request: NewRequest,
     ) -> Result<RequestId, RequestError> {
         let has_key = request.payload.key.is_some();
-        let (class, tenant) = self.names.check(request.class, request.tenant, has_key)?;
+        let (class, tenant) = self.names.resolve(request.class, request.tenant, has_key)?;
         if request.time_left == Micros(0) {
             return Err(RequestError::NoTimeLeft);
         }
--- a/crates/node/src/submission/scheduler.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -39,7 +39,10 @@
 
     fn check(&self, class: &str, tenant: Option<&str>, keyed: bool) -> Result<(), Problem> {
         let names = self.0.core.names();
-        names.check(class, tenant, keyed).map(drop).map_err(problem)
+        names
+            .resolve(class, tenant, keyed)
+            .map(drop)
+            .map_err(problem)
     }
 
     fn place(&self, template: &Template) -> Result<Placement, Problem> {
