--- a/crates/node/src/core/accounting.rs
+++ b/crates/node/src/core/accounting.rs
@@ -65,8 +65,8 @@
         let sum = |count: fn(&ClassCounts) -> u64| self.classes.iter().map(count).sum::<u64>();
         write!(
             f,
-            "taken {} served {} rejected {} failed {} gone {} duplicates {}; calls {}: full {} unconnected {} \
-             reset {} timed out {} error {}",
+            "accepted {} served {} rejected {} failed {} disconnected {} duplicates {}; \
+             attempts {}: rejected {} connect failed {} reset {} timed out {} failed {}",
             self.accepted,
             sum(|class| class.served),
             sum(|class| class.rejected),
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -329,7 +329,7 @@
         let buffer = rustix::buffer::spare_capacity(&mut received);
         let waited = epoll::wait(&self.epoll, buffer, timeout.as_ref());
         if let Some(error) = waited.err().filter(|error| *error != Errno::INTR) {
-            log::error!("cannot wait for socket events: {error}");
+            log::error!("cannot wait for socket events; handling none in this turn: {error}");
         }
         events.extend(received.iter().map(|event| SocketEvent {
             token: Token(event.data.u64()),
