--- a/crates/node/src/net/acceptor.rs
+++ b/crates/node/src/net/acceptor.rs
@@ -41,7 +41,7 @@
         accepted.inspect_err(|_| self.pause(now, net))
     }
 
-    /// Stops accepting for the duration of [`PAUSE`].
+    /// Stops accepting for the duration of `PAUSE`.
     pub fn pause(&mut self, now: Micros, net: &mut Net) {
         net.set_accepting(self.listener, false);
         self.paused_until = Some(now + PAUSE);
--- a/crates/node/src/workers/pool.rs
+++ b/crates/node/src/workers/pool.rs
@@ -153,7 +153,7 @@
         now >= self.reuse_after
     }
 
-    /// Closes all idle connections and keeps none for reuse during [`REUSE_PAUSE`].
+    /// Closes all idle connections and keeps none for reuse during `REUSE_PAUSE`.
     pub fn pause_reuse(&mut self, now: Micros, net: &mut Net) {
         if self.may_reuse(now) {
             log::info!(
