--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -193,12 +193,12 @@
             return Ok(Progress::Incomplete);
         };
         if call.head.is_none() {
-            if let Some((head, length)) = http::response_head(conn.input.all())? {
+            if let Some((head, length)) = http::parse_response_head(conn.input.all())? {
                 conn.input.consume(length);
                 let format = response_format(&head).unwrap_or(self.format);
                 self.poll
                     .handle_head(now, call.number, head.status, format, encoding(&head));
-                let body = Body::of_long_response(&head, MAX_RESPONSE_BYTES)?;
+                let body = Body::of_response_with_limit(&head, MAX_RESPONSE_BYTES)?;
                 call.head = Some((head, body));
             }
         }
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -56,7 +56,7 @@
 
     fn bind(&mut self, now: Micros, net: &mut Net) {
         self.bind_at = now + BIND_RETRY_INTERVAL;
-        match net.datagrams(self.config.listen, self.peer) {
+        match net.bind_datagrams(self.config.listen, self.peer) {
             Ok(token) => self.socket = Some(token),
             Err(e) => log::warn!(
                 "peers: cannot bind {}: {e}; binding is retried",
@@ -68,7 +68,7 @@
     fn send_pending(&mut self, net: &mut Net) {
         while let Some((to, bytes)) = self.in_flight.next_datagram() {
             if let (Some(socket), Some(address)) = (self.socket, self.config.nodes.get(to)) {
-                net.send_to(socket, &bytes, *address);
+                net.send_datagram(socket, &bytes, *address);
             }
         }
     }
@@ -82,7 +82,8 @@
     fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context) {
         let mut bytes = [0; message::MAX_LENGTH + 1];
         for _ in 0..DATAGRAMS_PER_TURN {
-            let Some((length, sender)) = context.net.receive(event.token, &mut bytes) else {
+            let Some((length, sender)) = context.net.receive_datagram(event.token, &mut bytes)
+            else {
                 return;
             };
             let Some(&node) = self.node_numbers.get(&sender) else {
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -107,7 +107,7 @@
                 Ok(Some(token)) => {
                     let problem = Problem::try_later("too many submitters", RETRY_AFTER_MS);
                     let _ = net.write(token, &frame::encode_line(&problem));
-                    net.finish(token);
+                    net.close_after_flush(token);
                 }
                 Err(error) => {
                     return log::warn!(
@@ -166,7 +166,7 @@
                     let token = submitter.token;
                     let _ = context.net.write(token, &frame::encode_line(&problem));
                     self.remove_submitter(now, client);
-                    return context.net.finish(token);
+                    return context.net.close_after_flush(token);
                 }
             }
         }
@@ -204,7 +204,7 @@
         let has_ended = conn.is_some_and(|conn| conn.eof && conn.input.is_empty());
         if has_ended && self.server.is_done_with(client) {
             self.remove_submitter(now, client);
-            context.net.finish(token);
+            context.net.close_after_flush(token);
         }
     }
 
@@ -318,7 +318,7 @@
     }
 
     fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
-        self.acceptor.set_succeeded(succeeded, &mut context.net);
+        self.acceptor.set_has_successor(succeeded, &mut context.net);
     }
 
     fn begin_shutdown(&mut self, _now: Micros) {
@@ -346,7 +346,7 @@
         for client in self.submitters.keys().copied().collect::<Vec<_>>() {
             self.flush(now, client, context);
             if let Some(submitter) = self.remove_submitter(now, client) {
-                context.net.finish(submitter.token);
+                context.net.close_after_flush(submitter.token);
             }
         }
     }
--- a/crates/node/src/submission/scheduler.rs
+++ b/crates/node/src/submission/scheduler.rs
@@ -41,7 +41,7 @@
     fn check(&self, class: &str, tenant: Option<&str>, has_key: bool) -> Result<(), Problem> {
         let names = self.0.core.names();
         names
-            .check(class, tenant, has_key)
+            .resolve(class, tenant, has_key)
             .map(drop)
             .map_err(problem)
     }
