--- a/crates/node/src/admin/call.rs
+++ b/crates/node/src/admin/call.rs
@@ -1,54 +1,55 @@
-//! What operators call for, and how a line is read.
+//! The calls of operators, and their parsing.
 
 /// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process can serve.
+    /// Ask whether this process can serve.
     Check,
-    /// The node's counters and gauges.
+    /// List the node's counters and gauges.
     Vars,
-    /// Each worker, and which source reports what of it: from the first one on, or from the one after this id.
+    /// List the workers with the reports of each source, from the first worker or from the one after this id.
     Members(Option<String>),
     /// Take the worker of this id out of service.
     SetDown(String),
-    /// The worker of this id may serve again.
+    /// Put the worker of this id back into service.
     SetUp(String),
-    /// The records that the fleet has agreed on.
+    /// List the agreed records.
     Records,
-    /// Change some of them: what is to be changed, as JSON.
+    /// Change agreed records; contains the changes as JSON.
     Change(String),
 }
 
-/// Why a line is no call.
+/// Why a line is not a valid call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// It is not UTF-8.
+    /// The line is not UTF-8.
     #[error("not text")]
     NotText,
-    /// A call about a worker has not exactly one id.
+    /// A call about a worker does not have exactly one id.
     #[error("want the id of one render worker")]
     NoWorkerId,
-    /// There is no such call.
+    /// The call is not known.
     #[error(
         "unknown call; known: check, vars, members, set-down ID, set-up ID, records, change JSON"
     )]
     Unknown,
-    /// The connection ended before the line did: half of `set-down w12` names another worker.
+    /// The connection was closed before the end of the line. The call is not executed, since a part of `set-down w12`
+    /// may name another worker.
     #[error("half a call")]
     CutOff,
-    /// The line is longer than a call may be.
+    /// The line is longer than the limit for its call.
     #[error("the call is too long")]
     TooLong,
 }
 
-/// What the line of a change begins with.
+/// Start of the line of a [`Call::Change`].
 pub(super) const CHANGE_PREFIX: &str = "change ";
 
 impl Call {
-    /// Reads a line without its end.
+    /// Parses a line without its line end.
     ///
     /// # Errors
-    /// The line is no call.
+    /// If the line is not a valid call.
     pub(super) fn parse(line: &[u8]) -> Result<Self, CallError> {
         let line = std::str::from_utf8(line).map_err(|_| CallError::NotText)?;
         if let Some(change) = line.strip_prefix(CHANGE_PREFIX) {
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,14 +1,15 @@
-//! The operations address: a connection carries one line, gets one answer and is closed. `docs/operations.md` has the
-//! calls.
+//! Server at the operations address: reads one call per connection, answers it and closes the connection. The calls are
+//! documented in `docs/operations.md`.
 //!
-//! It has descriptors of its own, so that a crowd of clients cannot shut operators out, and its callers are bounded in
-//! number, length and time, so that one who sends nothing, or half a call, hinders nobody.
+//! File descriptors are reserved for it, so that many clients cannot lock operators out. The number of callers, the
+//! length of a call and the time for it are limited, so that a caller who sends nothing or only part of a call does not
+//! block others.
 
 mod call;
-mod figures;
+mod report;
 
 pub use call::{Call, CallError};
-pub use figures::{describe_figures, describe_members, NEXT_MEMBERS};
+pub use report::{describe_members, describe_metrics, NEXT_MEMBERS};
 
 use crate::clock::millis;
 use crate::net::{Net, Peer, Token};
@@ -18,23 +19,23 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Callers at a time. One more takes the place of the oldest.
+/// Maximum number of callers. A further caller replaces the oldest one.
 pub const MAX_CALLERS: usize = 16;
-/// Callers accepted in one turn.
+/// Callers accepted in one event-loop iteration.
 const ACCEPTS_PER_TURN: usize = 8;
-/// How long a caller may take for its line: one may be typing it.
+/// Time for a caller to send its line, which may be typed by hand.
 const CALL_TIMEOUT: Micros = millis(10_000);
-/// How long no caller is accepted when no descriptor is free.
+/// How long accepting pauses if no file descriptor is free.
 const ACCEPT_PAUSE: Micros = millis(50);
-/// The longest call, in bytes.
+/// Maximum length of a call in bytes.
 const MAX_CALL: usize = 512;
-/// The longest change, in bytes.
+/// Maximum length of a `change` call in bytes.
 const MAX_CHANGE: usize = 128 * 1024;
 
-/// What is done and how it stands now, or why it cannot be done.
+/// The answer to a call: the resulting state, or the reason for a refusal.
 pub type Answer = Result<String, String>;
 
-/// A caller that has not called yet.
+/// A caller whose call has not arrived completely.
 struct Caller {
     token: Token,
     deadline: Micros,
@@ -43,13 +44,13 @@
 /// The server at the operations address.
 pub struct Admin {
     listener: Token,
-    /// Where it listens.
+    /// The address at which it listens.
     pub addr: SocketAddr,
-    /// Who has not called yet, the oldest first.
+    /// Callers whose call has not arrived completely, oldest first.
     callers: VecDeque<Caller>,
-    /// How many callers there may be, those included that have had their answer.
+    /// Maximum number of callers, including answered ones whose connections are still closing.
     max_callers: usize,
-    /// Until then no caller is accepted, since there was no descriptor.
+    /// Until when accepting pauses because no file descriptor was free.
     accept_paused_until: Option<Micros>,
 }
 
@@ -57,7 +58,7 @@
     /// Listens at this address.
     ///
     /// # Errors
-    /// The address cannot be had.
+    /// If the listening socket cannot be opened.
     pub fn new(addr: SocketAddr, net: &mut Net) -> io::Result<Self> {
         let (listener, addr) = net.listen(addr, None, Peer::Operator)?;
         Ok(Admin {
@@ -69,12 +70,12 @@
         })
     }
 
-    /// From now on there are at most so many callers at a time.
+    /// Sets the maximum number of callers.
     pub fn set_max_callers(&mut self, max_callers: usize) {
         self.max_callers = max_callers;
     }
 
-    /// When [`Admin::wake`] is next wanted.
+    /// When [`Admin::wake`] must be called next; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Micros> {
         let caller = self.callers.front().map(|caller| caller.deadline);
         [caller, self.accept_paused_until]
@@ -83,7 +84,7 @@
             .min()
     }
 
-    /// Drops the callers that took too long.
+    /// Resumes accepting after a pause, and disconnects callers whose time has expired.
     pub fn wake(&mut self, now: Micros, net: &mut Net) {
         if self
             .accept_paused_until
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Accepts callers.
+    /// Accepts new callers.
     pub fn accept(&mut self, now: Micros, net: &mut Net) {
         for _ in 0..ACCEPTS_PER_TURN {
             match net.accept(self.listener) {
@@ -107,9 +108,9 @@
                     let deadline = now + CALL_TIMEOUT;
                     self.callers.push_back(Caller { token, deadline });
                 }
-                Err(e) => {
-                    // The loop would turn without end on a caller that it cannot accept.
-                    log::warn!("operators: {e}");
+                Err(error) => {
+                    // Pauses, since the pending connection would wake the event loop again at once.
+                    log::warn!("operators: cannot accept a connection: {error}; pausing briefly");
                     net.set_accepting(self.listener, false);
                     self.accept_paused_until = Some(now + ACCEPT_PAUSE);
                     return;
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Sees to it that one more caller is no more than there may be: one that has its answer goes first, then the one
-    /// that has been silent for longest.
+    /// Makes room for one more caller: closes the oldest answered connection, or else the caller that has waited
+    /// longest without a call.
     fn make_room(&mut self, net: &mut Net) {
         let answered = net.closing_count(Peer::Operator);
         if self.callers.len() + answered < self.max_callers {
@@ -132,11 +133,11 @@
         }
     }
 
-    /// Something has come from a caller. Returns its call, if that has come completely; it wants one answer.
+    /// Reads input from a caller. Returns its call once it is complete; the caller then expects one answer.
     pub fn read_call(&mut self, token: Token, net: &mut Net) -> Option<Call> {
         let conn = net.get(token)?;
-        let is_over = conn.eof || conn.broken;
-        match parse_input(conn.input.all(), is_over).transpose()? {
+        let input_ended = conn.eof || conn.broken;
+        match parse_input(conn.input.all(), input_ended).transpose()? {
             Ok(call) => Some(call),
             Err(error) => {
                 self.answer(token, Err(error.to_string()), net);
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Answers a call with yes or no.
+    /// Answers a call with an `ACK` or `NAK` line, and closes the connection.
     pub fn answer(&mut self, token: Token, answer: Answer, net: &mut Net) {
         let line = match answer {
             Ok(result) => format!("ACK {result}\n"),
@@ -154,17 +155,17 @@
         self.send(token, &line, net);
     }
 
-    /// Answers a call with a text of its own, and closes.
+    /// Sends this text as the answer to a call, and closes the connection.
     pub fn send(&mut self, token: Token, text: &str, net: &mut Net) {
         self.callers.retain(|caller| caller.token != token);
-        // A caller that has gone gets nothing.
+        // Fails if the caller has disconnected, which needs no handling.
         let _ = net.write(token, text.as_bytes());
         net.finish(token);
     }
 }
 
-/// The call that these bytes begin with; none where it has not come completely.
-fn parse_input(bytes: &[u8], is_over: bool) -> Result<Option<Call>, CallError> {
+/// Parses the call at the start of the input; `None` if it is not complete yet.
+fn parse_input(bytes: &[u8], input_ended: bool) -> Result<Option<Call>, CallError> {
     let max_length = if bytes.starts_with(CHANGE_PREFIX.as_bytes()) {
         MAX_CHANGE
     } else {
@@ -172,7 +173,7 @@
     };
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end <= max_length => Call::parse(&bytes[..end]).map(Some),
-        None if bytes.len() <= max_length && is_over => Err(CallError::CutOff),
+        None if bytes.len() <= max_length && input_ended => Err(CallError::CutOff),
         None if bytes.len() <= max_length => Ok(None),
         _ => Err(CallError::TooLong),
     }
--- a/crates/node/src/admin/figures.rs
+++ b/crates/node/src/admin/report.rs
@@ -1,5 +1,5 @@
-//! What the node reports of itself, as lines of a name and a number. Nothing is counted here: the core counts requests
-//! where they end and attempts where they are written.
+//! Text answers to operators: metrics and the list of workers. Nothing is counted here: the core counts requests when
+//! they end and attempts when they are written.
 
 use crate::core::Core;
 use crate::fleet::FleetCounts;
@@ -8,16 +8,18 @@
 use std::fmt::Write;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Workers are described until the text has this many bytes: as much as fits an answer. The rest is asked for anew.
+/// No further worker is added to an answer that is longer than this many bytes, because an answer has limited room. The
+/// rest needs another call.
 const MAX_MEMBERS_TEXT: usize = 120 * 1024;
-/// Stands before the last worker of an answer that is not the last one: the call for the next ones names it.
+/// Precedes the id of the last worker of an incomplete answer, which the call for the next page names.
 pub const NEXT_MEMBERS: &str = "; next: members after ";
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Each worker in a line: in or out, where it is, why, and what each source reports and how many seconds ago it did.
-/// The last line has how many there are, and how to ask for the next ones where they are more than fit an answer.
+/// Describes each worker in a line: its state, address, the reason for the state, and the status that each source
+/// reports with its age in seconds. The last line has the number of workers and, if not all of them fit, the call for
+/// the next page.
 ///
-/// Begins with the first worker after this id, or with the first of all.
+/// Starts with the first worker after the given id, or with the first one.
 pub fn describe_members(now: Micros, members: &Membership, after: Option<&str>) -> String {
     let ids = members.viewed_ids();
     let from = after.map_or(Unbounded, Excluded);
@@ -54,8 +56,8 @@
     text.push('\n');
 }
 
-/// The node's counters and gauges, and the line that ends them.
-pub fn describe_figures(core: &Core, fleet: FleetCounts) -> String {
+/// Lists the node's counters and gauges, a name and a value per line, with `--` as the last line.
+pub fn describe_metrics(core: &Core, fleet: FleetCounts) -> String {
     let mut text = String::new();
     let counts = core.counts();
     for (name, class) in core.names().class_names().zip(&counts.classes) {
@@ -72,7 +74,7 @@
     let gauges = [
         ("active", core.unanswered()),
         ("pool_size", fleet.listed),
-        ("pool_ejected", fleet.avoided),
+        ("pool_ejected", fleet.unavailable),
     ];
     for (gauge, value) in gauges {
         let _ = writeln!(text, "node_{gauge} {value}");
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,6 +1,7 @@
-//! The configuration: the environment and the node's file ([`NodeConfig`]), and the operator file ([`OperatorConfig`]).
+//! Configuration of the node: the environment and the node's file ([`NodeConfig`]), and the operator file
+//! ([`OperatorConfig`]).
 //!
-//! The settings of each service stand beside that service; here they are read, checked and put together.
+//! Each service defines its own settings; this module reads, checks and combines them.
 
 mod node;
 mod operator;
--- a/crates/node/src/config/node.rs
+++ b/crates/node/src/config/node.rs
@@ -1,4 +1,4 @@
-//! The environment, and the node's file that `LB_CONFIG` names.
+//! Configuration from the environment and from the node's file, whose path is in `LB_CONFIG`.
 
 use crate::config_error::{ConfigError, ConfigProblem};
 use crate::config_file::{parse_address, parse_json};
@@ -11,24 +11,24 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Descriptors for the epoll, the standard streams, listeners, discovery, the signals' pipes and operators.
+/// File descriptors reserved for epoll, the standard streams, listeners, discovery, signal pipes and operators.
 const RESERVED_DESCRIPTORS: usize = 48;
-/// More descriptors than this are not used, whatever the file allows.
+/// Upper bound on the file descriptors that are used, whatever the file allows.
 const MAX_DESCRIPTORS: usize = 1024;
-/// Memory that the node takes without any body.
+/// Memory that the node uses besides request bodies.
 const RESERVED_MEMORY_MB: usize = 16;
-/// A body may be held up to three times: as it came, in the buffer to a worker, and in what that had to grow from. With
-/// some room to spare, bodies may so take this part of the memory that is not reserved.
+/// Memory reserved for a request body, as a multiple of its length. A body may be held three times: as received, in
+/// the send buffer of a worker, and in the old buffer while that buffer grows. The fourth part is a safety margin.
 const MEMORY_PER_BODY: usize = 4;
 const BYTES_PER_MB: usize = 1024 * 1024;
-/// How long a worker leaves a connection open that is idle, where the settings do not state it.
+/// How long a worker keeps an idle connection open, if the settings do not say.
 const DEFAULT_IDLE_TIMEOUT: Micros = Micros(5_000_000);
-/// How long connecting to a worker may take, where the settings do not state it.
+/// Timeout for connecting to a worker, if the settings do not say.
 const DEFAULT_CONNECT_TIMEOUT: Micros = Micros(250_000);
-/// How long after a drain was notified something new may go there, where the settings do not state it.
+/// How long after the notice of its drain a worker may be sent new jobs, if the settings do not say.
 const DEFAULT_DRAIN_GRACE: Micros = Micros(400_000);
 
-/// The file at `LB_CONFIG`, as it is written.
+/// The file at `LB_CONFIG`, as parsed.
 #[derive(Deserialize)]
 struct NodeFile {
     #[serde(default)]
@@ -52,7 +52,7 @@
     settings: PlatformSettings,
 }
 
-/// The part `limits` of the node's file.
+/// The section `limits` of the node's file.
 #[derive(Deserialize)]
 #[serde(default)]
 struct LimitsSection {
@@ -69,14 +69,14 @@
     }
 }
 
-/// What the processes of a node may hold together.
+/// Resource limits for all processes of a node together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub client_connections: usize,
-    /// Connections to workers.
+    /// Maximum number of worker connections.
     pub worker_connections: usize,
-    /// Bytes that the bodies of requests take.
+    /// Maximum total length of request bodies.
     pub body_bytes: usize,
 }
 
@@ -84,58 +84,58 @@
 pub struct NodeConfig {
     /// The node's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The address of discovery that the file names. A reload looks at this, since the environment stays that of the
-    /// start.
+    /// The discovery address in the file. A reload compares this one, because the environment does not change while the
+    /// process runs.
     pub discovery_in_file: Option<SocketAddr>,
-    /// Where operators connect; none where they cannot.
+    /// The operations address; `None` if there is none.
     pub operators: Option<SocketAddr>,
-    /// The socket over which a process hands over to its successor; none without `TMPDIR`.
+    /// The path of the Unix socket for the handover to a successor; `None` without `TMPDIR`.
     pub handover_socket: Option<PathBuf>,
-    /// The seed of all random draws.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// The endpoint list that the node had last.
+    /// The last endpoint list that the node knew.
     pub cached_list: Option<EndpointList>,
-    /// The other nodes; none where the platform does not let them send to each other.
+    /// Addresses for gossip with the other nodes; `None` if the platform does not let nodes send to each other.
     pub peers: Option<PeersConfig>,
-    /// The platform's settings as they are written.
+    /// The platform settings as parsed.
     pub platform_settings: PlatformSettings,
-    /// The platform's settings as the dispatcher takes them.
+    /// The platform settings in the form of the dispatcher.
     pub settings: Settings,
     /// The names of classes and tenants.
     pub names: NameRegistry,
-    /// What the fields of a load report mean.
+    /// The meaning of the fields of a load report.
     pub report_fields: ReportFields,
-    /// The names of the zones, by number.
+    /// The names of the zones, by zone number.
     pub zones: Vec<String>,
-    /// The names of the kinds of workers, by number.
+    /// The names of the worker kinds, by kind number.
     pub kinds: Vec<String>,
-    /// Whether workers send load reports, which their probes then show.
+    /// Whether workers report their load, so that probing them yields a load report.
     pub workers_report_load: bool,
-    /// A worker closes a connection that has been idle for so long.
+    /// How long a worker keeps an idle connection open.
     pub worker_idle_timeout: Micros,
-    /// How long connecting to a worker may take.
+    /// Timeout for connecting to a worker.
     pub connect_timeout: Micros,
-    /// How long after a drain was notified something new may still go there.
+    /// How long after the notice of its drain a worker may be sent new jobs.
     pub drain_grace: Micros,
-    /// Whether discovery pushes its lists: they count as notified from the first moment of a process.
+    /// Whether discovery pushes its lists; a process then counts as notified of changes from its start.
     pub lists_are_pushed: bool,
-    /// How often a worker reports the progress of a job; none where it does not.
+    /// Interval at which a worker reports the progress of a job; `None` if it does not.
     pub progress_interval: Option<Micros>,
-    /// What the processes of this node may hold together.
+    /// Resource limits for all processes of this node together.
     pub limits: ResourceLimits,
-    /// The least important level that is logged.
+    /// The most verbose level that is logged.
     pub log_level: log::LevelFilter,
 }
 
 impl NodeConfig {
-    /// Reads the environment through `variable`, and the file that it names.
+    /// Reads the environment variables with `variable`, and the file at `LB_CONFIG`.
     ///
     /// # Errors
-    /// A variable or a key of the file is missing or wrong.
+    /// If a variable or a key of the file is missing or invalid.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let log_level = parse_log_level(variable("MARBLEDECK_LOG").as_deref())?;
         let file = read_node_file(variable("LB_CONFIG"))?;
@@ -149,7 +149,7 @@
         let name = environment.value("LB_NAME", "name", file.name.as_deref())?;
         let name = name.text;
         let (platform_limits, rules) = (&platform_settings.limits, &platform_settings.rules);
-        let stated = |span: Option<u64>, default| span.map_or(default, Micros);
+        let micros_or = |duration: Option<u64>, default| duration.map_or(default, Micros);
         let progress_us = platform_settings.worker_family.progress_interval_us;
         Ok(NodeConfig {
             handover_socket: handover_socket((environment.variable)("TMPDIR"), &name),
@@ -165,9 +165,12 @@
             report_fields: platform_settings.report_fields(),
             workers_report_load: settings.load_reporting != LoadReporting::Never,
             settings,
-            worker_idle_timeout: stated(platform_limits.connection_idle_us, DEFAULT_IDLE_TIMEOUT),
-            connect_timeout: stated(platform_limits.connect_timeout_us, DEFAULT_CONNECT_TIMEOUT),
-            drain_grace: stated(rules.drain_grace_us, DEFAULT_DRAIN_GRACE),
+            worker_idle_timeout: micros_or(
+                platform_limits.connection_idle_us,
+                DEFAULT_IDLE_TIMEOUT,
+            ),
+            connect_timeout: micros_or(platform_limits.connect_timeout_us, DEFAULT_CONNECT_TIMEOUT),
+            drain_grace: micros_or(rules.drain_grace_us, DEFAULT_DRAIN_GRACE),
             lists_are_pushed: are_lists_pushed(&platform_settings),
             progress_interval: (progress_us > 0).then_some(Micros(progress_us)),
             zones: platform_settings.zones.clone(),
@@ -179,22 +182,22 @@
     }
 }
 
-/// The addresses that the environment and the node's file name.
+/// The addresses from the environment and the node's file.
 struct Addresses {
     listen: SocketAddr,
     operators: Option<SocketAddr>,
     discovery: SocketAddr,
-    /// Looked at last: a fault of it is reported after those of all other keys.
+    /// Still a `Result`, so that errors in all other keys are reported before an error in this one.
     discovery_in_file: Result<Option<SocketAddr>, ConfigError>,
 }
 
-/// A value, and the variable or key that it is from.
-struct Value {
+/// A value with the variable or key that it was read from, for error messages.
+struct SourcedValue {
     key: String,
     text: String,
 }
 
-/// The environment, whose variables go before the keys of the node's file.
+/// The environment. Its variables take precedence over the keys of the node's file.
 struct Environment<V> {
     variable: V,
 }
@@ -217,15 +220,15 @@
         variable: &str,
         key: &'static str,
         in_file: Option<&str>,
-    ) -> Result<Value, ConfigError> {
+    ) -> Result<SourcedValue, ConfigError> {
         if let Some(text) = (self.variable)(variable) {
-            return Ok(Value {
+            return Ok(SourcedValue {
                 key: variable.to_owned(),
                 text,
             });
         }
         match in_file {
-            Some(text) => Ok(Value {
+            Some(text) => Ok(SourcedValue {
                 key: format!("LB_CONFIG: {key}"),
                 text: text.to_owned(),
             }),
@@ -274,7 +277,8 @@
                 ConfigProblem::TooSmall(2 * RESERVED_MEMORY_MB),
             ));
         }
-        // The platform's own clients take a third at most, and each of their jobs one attempt at a time.
+        // The platform's clients use a third of the descriptors at most, and each of their jobs needs one worker
+        // connection at a time.
         let client_connections = descriptors * 2 / 5;
         let free_mb = self.memory_mb - RESERVED_MEMORY_MB;
         Ok(ResourceLimits {
@@ -318,7 +322,7 @@
     PeersConfig::parse(listen, &file.peers, index, file.settings.limits.gossip)
 }
 
-/// Without a seed in the file, each process has another one.
+/// Parses the seed of the file. Without one, the process id is used, so that each process has a different seed.
 fn parse_seed(seed: Option<&str>) -> Result<u64, ConfigError> {
     match seed {
         None => Ok(std::process::id().into()),
@@ -345,9 +349,9 @@
     !mode.is_empty() && mode != "subscribe"
 }
 
-/// The path of the socket for the handover, in the folder for temporary files.
-fn handover_socket(folder: Option<String>, node_name: &str) -> Option<PathBuf> {
-    let folder = folder.filter(|folder| !folder.is_empty())?;
+/// The path of the handover socket in the directory for temporary files.
+fn handover_socket(directory: Option<String>, node_name: &str) -> Option<PathBuf> {
+    let directory = directory.filter(|directory| !directory.is_empty())?;
     let file_name = node_name.replace(|c: char| !c.is_ascii_alphanumeric(), "_");
-    Some(Path::new(&folder).join(format!("marbledeck-{file_name}")))
+    Some(Path::new(&directory).join(format!("marbledeck-{file_name}")))
 }
--- a/crates/node/src/config/operator.rs
+++ b/crates/node/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operator file: what an operator has set for this site, besides what the platform states.
+//! The operator file: settings of the operator for this site, in addition to the platform settings.
 
 use crate::config_error::ConfigError;
 use crate::config_file::{check_ranges, parse_address, parse_toml, read_text, seconds, RangeCheck};
@@ -13,28 +13,28 @@
 
 const SECONDS_PER_DAY: usize = 86_400;
 
-/// The settings of an operator. By default all parts are off.
+/// The settings of an operator. By default, all optional services are off.
 #[derive(Default)]
 pub struct OperatorConfig {
     /// The server for batch submission.
     pub submission: Option<SubmissionConfig>,
-    /// What is believed of a source that names far fewer workers than before.
+    /// Self-preservation: how to treat a source that suddenly reports far fewer workers than before.
     pub self_preservation: SelfPreservation,
     /// A Eureka registry as a source of workers.
     pub eureka: Option<EurekaConfig>,
-    /// Whether the nodes gossip about their attempts in flight.
+    /// Whether the nodes share their counts of attempts in flight by gossip.
     pub gossip: bool,
-    /// Workers that are always there.
+    /// Workers that are always members.
     pub static_workers: Vec<SourceReport>,
-    /// The agreement of the nodes on records.
+    /// Consensus of the nodes on records.
     pub consensus: Option<ConsensusConfig>,
-    /// Licence seats, which need consensus.
+    /// Licence seats, which require consensus.
     pub licensing: Option<LicensingConfig>,
-    /// This site's name among the sites of the records; none where no jobs are forwarded to other sites.
+    /// This site's name in the agreed records; `None` if no jobs are forwarded to other sites.
     pub site: Option<String>,
 }
 
-/// The operator file, as it is written.
+/// The operator file, as parsed.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct OperatorFile {
@@ -56,7 +56,7 @@
     federation: Option<FederationSection>,
 }
 
-/// The part `[membership]`.
+/// The section `[membership]`.
 #[derive(Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct MembershipSection {
@@ -81,7 +81,7 @@
     }
 }
 
-/// One part `[[static]]`.
+/// A section `[[static]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StaticWorkerSection {
@@ -95,14 +95,14 @@
     cell: Option<u32>,
 }
 
-/// The part `[peers]`.
+/// The section `[peers]`.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct GossipSection {
     share: bool,
 }
 
-/// The part `[sites]`.
+/// The section `[sites]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FederationSection {
@@ -113,7 +113,7 @@
     /// Reads and checks an operator file.
     ///
     /// # Errors
-    /// The file cannot be read, a key of it is wrong, or a part is there without one that it needs.
+    /// If the file cannot be read, a key is invalid, or a section lacks another one that it requires.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let (source, text) = read_text(path)?;
         let file: OperatorFile = parse_toml(&source, &text)?;
--- a/crates/node/src/config_error.rs
+++ b/crates/node/src/config_error.rs
@@ -1,21 +1,21 @@
-//! The error of reading a configuration: which key is wrong, and why.
+//! The error type for reading a configuration: the invalid key and the problem with it.
 
 use marbledeck_platform_settings::PlatformSettingsError;
 use std::io;
 
-/// A fault in the environment or in a configuration file.
+/// An error in the environment or in a configuration file.
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: {problem}")]
 pub struct ConfigError {
-    /// The variable, file or key, as operators write it: `LB_CONFIG: limits.sockets`.
+    /// The variable, file or key in the notation of operators, such as `LB_CONFIG: limits.sockets`.
     pub key: String,
-    /// What is wrong with its value.
+    /// The problem with its value.
     #[source]
     pub problem: ConfigProblem,
 }
 
 impl ConfigError {
-    /// The error that says this of a key.
+    /// Creates the error for a problem with a key.
     pub fn new(key: impl Into<String>, problem: impl Into<ConfigProblem>) -> Self {
         ConfigError {
             key: key.into(),
@@ -24,65 +24,65 @@
     }
 }
 
-/// What is wrong with one key's value.
+/// The problem with the value of a key.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigProblem {
-    /// A variable that has no counterpart in a file is missing.
+    /// A variable without an equivalent key in the node's file is missing.
     #[error("not set")]
     NotSet,
-    /// Neither the variable nor this key of the node's file is there.
+    /// Neither the variable nor this key of the node's file is set.
     #[error("not set, and '{0}' is not in LB_CONFIG")]
     NotSetAnywhere(&'static str),
     /// A file could not be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// The file at this path, which a variable names, could not be read.
+    /// The file whose path is the value of a variable could not be read.
     #[error("{path}: {error}")]
     UnreadablePath {
-        /// The path as the variable has it.
+        /// The path in the variable.
         path: String,
         /// Why it could not be read.
         #[source]
         error: io::Error,
     },
-    /// The node's file does not hold what is wanted.
+    /// The node's file is not valid JSON or does not have the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The operator file does not hold what is wanted.
+    /// The operator file is not valid TOML or does not have the expected structure.
     #[error("{}", .0.message())]
     Toml(#[from] toml::de::Error),
-    /// The platform's settings contradict themselves.
+    /// The platform settings are invalid.
     #[error(transparent)]
     PlatformSettings(#[from] PlatformSettingsError),
-    /// A text that should be an IP address with a port.
+    /// The text is not an IP address with a port.
     #[error("'{0}' is no address with a port")]
     NotAnAddress(String),
-    /// A number outside its range, both ends of which are allowed.
+    /// A number is outside its inclusive range.
     #[error("want {min} to {max}")]
     OutOfRange {
-        /// The least allowed value.
+        /// The smallest allowed value.
         min: usize,
-        /// The greatest allowed value.
+        /// The largest allowed value.
         max: usize,
     },
-    /// A number below the least allowed value.
+    /// A number is below the smallest allowed value.
     #[error("want {0} or more")]
     TooSmall(usize),
-    /// The URL of a registry that cannot be used.
+    /// The URL of a registry is not usable.
     #[error("'{url}': {wanted}")]
     RegistryUrl {
-        /// The URL as it is written.
+        /// The URL in the file.
         url: String,
-        /// What is wanted of it.
+        /// The expected form.
         wanted: &'static str,
     },
-    /// A class of jobs needs a licence that this site does not list.
+    /// A class requires a licence that is not in the list of licences.
     #[error("'{0}' is none of the licences")]
     UnknownLicence(String),
-    /// The list of peers has no entry for this node's number.
+    /// The list of peers has no entry for this node, given its number.
     #[error("want one for each node: this one has number {0}")]
     NoPeerForNode(usize),
-    /// A value that breaks a rule without figures.
+    /// A value breaks some other rule, given as text.
     #[error("{0}")]
     Invalid(&'static str),
 }
--- a/crates/node/src/config_file.rs
+++ b/crates/node/src/config_file.rs
@@ -1,4 +1,4 @@
-//! Steps that the readers of configuration files share. Every error names the key.
+//! Helpers for reading configuration files. Every error names the key.
 
 use crate::config_error::{ConfigError, ConfigProblem};
 use marbledeck_dispatcher::Micros;
@@ -8,7 +8,7 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// One key's value and the range that it must lie in.
+/// The value of a key and the range in which it must be.
 pub struct RangeCheck {
     key: &'static str,
     value: usize,
@@ -17,7 +17,7 @@
 }
 
 impl RangeCheck {
-    /// Wants `value`, which `key` has, to be `min` to `max`, both included.
+    /// Requires the value of `key` to be between `min` and `max`, inclusive.
     pub const fn new(key: &'static str, value: usize, min: usize, max: usize) -> Self {
         RangeCheck {
             key,
@@ -28,10 +28,10 @@
     }
 }
 
-/// Checks several values of a part of a file; `source` names the file and the part.
+/// Checks several values of a section; `source` names the file and the section in errors.
 ///
 /// # Errors
-/// The first value that is out of its range.
+/// If a value is out of range; the first such value is reported.
 pub fn check_ranges(source: &str, checks: &[RangeCheck]) -> Result<(), ConfigError> {
     for check in checks {
         let RangeCheck { min, max, .. } = *check;
@@ -46,19 +46,19 @@
     Ok(())
 }
 
-/// Reads an IP address with a port, which `key` has.
+/// Parses the value of `key` as an IP address with a port.
 ///
 /// # Errors
-/// The text is something else: no names are looked up.
+/// If the text is anything else; host names are not resolved.
 pub fn parse_address(key: impl Into<String>, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse()
         .map_err(|_| ConfigError::new(key, ConfigProblem::NotAnAddress(text.to_owned())))
 }
 
-/// The text of a file, with the name that errors give to it.
+/// Reads a file. Returns its name for errors, and its text.
 ///
 /// # Errors
-/// The file cannot be read, or is not UTF-8.
+/// If the file cannot be read, or is not UTF-8.
 pub fn read_text(path: &Path) -> Result<(String, String), ConfigError> {
     let source = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -67,25 +67,25 @@
     }
 }
 
-/// Reads TOML; `source` names the file.
+/// Parses TOML; `source` names the file in errors.
 ///
 /// # Errors
-/// It is no TOML, or does not hold what is wanted.
+/// If the text is not valid TOML, or does not have the expected structure.
 pub fn parse_toml<T: DeserializeOwned>(source: &str, text: &str) -> Result<T, ConfigError> {
     let toml = toml::Deserializer::parse(text).map_err(|error| ConfigError::new(source, error))?;
     serde_path_to_error::deserialize(toml).map_err(|error| with_path(source, error))
 }
 
-/// Reads JSON; `source` names the file.
+/// Parses JSON; `source` names the file in errors.
 ///
 /// # Errors
-/// It is no JSON, or does not hold what is wanted.
+/// If the text is not valid JSON, or does not have the expected structure.
 pub fn parse_json<T: DeserializeOwned>(source: &str, text: &str) -> Result<T, ConfigError> {
     let mut json = serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(&mut json).map_err(|error| with_path(source, error))
 }
 
-/// Names the key at which reading failed.
+/// Adds the key at which parsing failed to the error.
 fn with_path<E: Into<ConfigProblem>>(
     source: &str,
     error: serde_path_to_error::Error<E>,
@@ -98,12 +98,12 @@
     ConfigError::new(key, error.into_inner())
 }
 
-/// A span of whole seconds, as files have it.
+/// Converts a duration in seconds.
 pub fn seconds(seconds: usize) -> Micros {
     Micros(seconds as u64 * MICROS_PER_SECOND)
 }
 
-/// A span of milliseconds, as files have it.
+/// Converts a duration in milliseconds.
 pub fn milliseconds(milliseconds: usize) -> Micros {
     Micros(milliseconds as u64 * 1000)
 }
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -1,4 +1,4 @@
-//! What services work with, besides their own state.
+//! The shared components that services use besides their own state.
 
 use crate::core::Core;
 use crate::discovery::Discovery;
@@ -9,9 +9,9 @@
 use crate::workers::Workers;
 use marbledeck_dispatcher::Micros;
 
-/// The parts of the node that all services may use.
+/// The components of the node that all services may use.
 pub struct Context {
-    /// The time of this turn of the event loop.
+    /// The time of this iteration of the event loop.
     pub now: Micros,
     /// The sockets.
     pub net: Net,
@@ -19,12 +19,12 @@
     pub core: Core,
     /// The connections to the workers.
     pub workers: Workers,
-    /// The client of discovery.
+    /// The discovery client.
     pub discovery: Discovery,
-    /// Which workers there are.
+    /// The known workers.
     pub fleet: Fleet,
-    /// The records that the nodes have agreed on, as far as this one knows.
+    /// The agreed records, as far as they are known to this node.
     pub records: AgreedRecords,
-    /// Jobs that other sites are to run; none where federation is off.
+    /// Jobs that are forwarded to other sites; `None` if federation is off.
     pub forwarded_jobs: Option<ForwardedJobs>,
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,38 +1,38 @@
-//! The fleet of workers: the membership, the connections that its changes make useless, and how changes reach the core.
+//! The fleet of workers: the membership, and how its changes reach the core and the worker connections.
 
 use crate::core::Core;
 use marbledeck_dispatcher::{Micros, WorkerEntry, WorkerId, WorkerListKind, WorkerState};
 use marbledeck_membership::{Endpoint, HealthEvidence, Membership, MembershipChange};
 use std::net::SocketAddr;
 
-/// The endpoint that an attempt was decided for, as it was then.
+/// The worker of an attempt, as it was when the attempt was decided.
 #[derive(Clone, Debug)]
 pub struct AttemptTarget {
-    /// What the dispatcher knew of the worker.
+    /// The worker's entry in the list that the dispatcher decided by.
     pub entry: WorkerEntry,
     /// The worker's address.
     pub address: SocketAddr,
 }
 
-/// How many workers there are.
+/// Numbers of workers for the node's gauges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetCounts {
-    /// Workers that a source names.
+    /// Workers that any membership source reports.
     pub listed: usize,
-    /// Those of them that get nothing now.
-    pub avoided: usize,
+    /// Listed workers that are sent no attempts: out of service by hand, or ejected.
+    pub unavailable: usize,
 }
 
-/// The workers, as this node knows them.
+/// The workers that this node knows.
 pub struct Fleet {
-    /// Which workers there are, by all sources.
+    /// The membership, merged from all sources.
     pub members: Membership,
-    /// Workers whose connections are of no more use: they are gone, were moved or have restarted.
+    /// Workers that have left, moved or restarted, so that their connections must be closed.
     pub stale_workers: Vec<WorkerId>,
 }
 
 impl Fleet {
-    /// The fleet of this membership, with no connection yet.
+    /// Creates the fleet of this membership.
     pub fn new(members: Membership) -> Self {
         Fleet {
             members,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Tells the core what has changed.
+    /// Passes a membership change on to the core.
     pub fn apply_change(&mut self, now: Micros, change: MembershipChange, core: &mut Core) {
         self.stale_workers.extend(change.stale_workers);
         if !change.entries.is_empty() {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether a worker is as it was when an attempt there was decided, and takes new ones.
+    /// Whether the worker is ready and unchanged since the attempt was decided.
     pub fn is_current(&self, target: &AttemptTarget) -> bool {
         let worker = target.entry.worker;
         let is_unchanged = self.members.published_entry(worker) == Some(&target.entry);
@@ -58,7 +58,7 @@
             && endpoint.is_some_and(|endpoint| endpoint.address == target.address)
     }
 
-    /// A worker as it is now, for an attempt there.
+    /// The current entry and endpoint of a worker, for an attempt; `None` if it is not published or has no endpoint.
     pub fn target(&self, worker: WorkerId) -> Option<(AttemptTarget, &Endpoint)> {
         let entry = self.members.published_entry(worker)?.clone();
         let endpoint = self.endpoint(worker)?;
@@ -66,13 +66,13 @@
         Some((AttemptTarget { entry, address }, endpoint))
     }
 
-    /// Where a worker is.
+    /// The endpoint of a worker.
     pub fn endpoint(&self, worker: WorkerId) -> Option<&Endpoint> {
         self.members.endpoint(worker)
     }
 
-    /// Takes in what the connections have shown of workers, and handles suspicions whose time has come. Returns the
-    /// workers that are to be probed.
+    /// Records health evidence from the worker connections and runs the membership timers that are due. Returns the
+    /// workers to probe.
     pub fn wake(
         &mut self,
         now: Micros,
@@ -91,21 +91,21 @@
         probes
     }
 
-    /// Takes a worker out of service by hand, or puts it back, whatever any source has reported or will report of it.
+    /// Takes a worker out of service for an operator, or puts it back. This overrides the reports of all sources.
     pub fn set_out_of_service(&mut self, now: Micros, id: &str, is_out: bool, core: &mut Core) {
         let change = self.members.set_out_of_service(id, is_out);
         self.apply_change(now, change, core);
     }
 
-    /// Counts the workers. Those get nothing that are out by hand, or that are ejected, as `is_ejected` tells.
+    /// Counts the listed workers, and those of them that are out of service by hand or ejected.
     pub fn count(&self, is_ejected: impl Fn(WorkerId) -> bool) -> FleetCounts {
-        let avoided = self
+        let unavailable = self
             .members
             .workers()
             .filter(|(worker, _, is_out)| *is_out || is_ejected(*worker));
         FleetCounts {
             listed: self.members.len(),
-            avoided: avoided.count(),
+            unavailable: unavailable.count(),
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The marbledeck node: the decision module `marbledeck-dispatcher`, served on real sockets.
+//! The marbledeck node: runs the decision module `marbledeck-dispatcher` on real sockets.
 #![forbid(unsafe_code)]
 
 mod admin;
--- a/crates/node/src/logger.rs
+++ b/crates/node/src/logger.rs
@@ -1,4 +1,4 @@
-//! A small logger: one line a record on standard error, with Unix seconds, level and module.
+//! Logging to standard error: one line per record with Unix time in seconds, level and module.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
@@ -18,7 +18,7 @@
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let seconds = since_epoch.unwrap_or_default().as_secs_f64();
         let (level, module) = (record.level(), record.target());
-        // A closed standard error is no reason to stop serving.
+        // Errors are ignored: the node serves on even if standard error is closed.
         let _ = writeln!(
             std::io::stderr().lock(),
             "{seconds:.6} {level} {module}: {}",
@@ -29,7 +29,7 @@
     fn flush(&self) {}
 }
 
-/// Starts logging at this level; a second call only sets the level.
+/// Installs the logger and sets the level; a second call only sets the level.
 pub fn start(level: LevelFilter) {
     let _ = log::set_logger(&StandardErrorLogger);
     log::set_max_level(level);
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,5 +1,5 @@
-//! The program: without a command it is the node, which reads the configuration and serves until SIGTERM; with one, it
-//! speaks to a node's submission server, checks a file, or asks a node at its operations address.
+//! The `marbledeck` program. Without a command it runs the node until SIGTERM. The commands talk to a node's submission
+//! server or operations address, or check an operator file.
 #![forbid(unsafe_code)]
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
@@ -42,7 +42,7 @@
 }
 
 #[derive(Subcommand)]
-#[expect(clippy::large_enum_variant, reason = "made once, at the start")]
+#[expect(clippy::large_enum_variant, reason = "created only once, at the start")]
 enum Command {
     /// Run the node, as without a command
     Serve(Serve),
@@ -77,7 +77,7 @@
     Check { file: PathBuf },
 }
 
-/// Why the program ends with a failure.
+/// Why the program fails.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error(transparent)]
@@ -123,7 +123,7 @@
 /// Runs the node until SIGTERM.
 fn serve(options: &Serve) -> Result<(), RunError> {
     let operator_config = read_operator_config(options)?;
-    // Before all else: a signal that comes while the node starts is neither lost nor its end.
+    // Registered early, so that a signal during the start is neither lost nor kills the process.
     let signals = Signals {
         end: signal_pipe(signal_hook::consts::SIGTERM)?,
         reload: signal_pipe(signal_hook::consts::SIGHUP)?,
@@ -149,10 +149,11 @@
     Ok(config)
 }
 
-/// A file that may not grow is a full disk for the store of consensus, and no reason to end.
+/// Handles SIGXFSZ, so that a write beyond the file size limit fails with an error, which the consensus store treats
+/// like a full disk, instead of killing the process.
 fn ignore_file_size_signal() -> io::Result<()> {
-    let noted: Arc<AtomicBool> = Arc::default();
-    signal_hook::flag::register(signal_hook::consts::SIGXFSZ, noted)?;
+    let received: Arc<AtomicBool> = Arc::default();
+    signal_hook::flag::register(signal_hook::consts::SIGXFSZ, received)?;
     Ok(())
 }
 
@@ -162,7 +163,7 @@
     Ok(())
 }
 
-/// Asks a node's operations address for its workers.
+/// Prints the workers of the node with this operations address, page by page.
 fn print_members(address: &str) -> Result<(), RunError> {
     let mut call = "members".to_owned();
     loop {
@@ -174,7 +175,7 @@
             print!("{answer}");
             return Ok(());
         };
-        // The line that counts the workers is that of the last answer.
+        // The last line of a page counts its workers; only that of the last page is printed.
         let lines = page.rsplit_once('\n').map_or("", |(lines, _)| lines);
         println!("{lines}");
         call = format!("members after {}", next.trim_end());
@@ -186,7 +187,7 @@
     clap_complete::generate(shell, &mut command, "marbledeck", &mut io::stdout());
 }
 
-/// The reading end of a pipe that gets a byte at each such signal.
+/// Returns the read end of a pipe that receives a byte at each such signal.
 fn signal_pipe(signal: i32) -> io::Result<UnixStream> {
     let (reader, writer) = UnixStream::pair()?;
     signal_hook::low_level::pipe::register(signal, writer)?;
--- a/crates/node/src/node/builder.rs
+++ b/crates/node/src/node/builder.rs
@@ -1,9 +1,9 @@
-//! Composition: makes the parts of a node from its configuration.
+//! Creates the components of a node from its configuration.
 
 use super::limits::SharedLimits;
+use super::replacement::{Readiness, Takeover};
 use super::shutdown::Lifecycle;
 use super::signals::Signals;
-use super::succession::{Inheritance, Readiness};
 use super::{Node, ReadConfig, LOG_INTERVAL};
 use crate::admin::Admin;
 use crate::clients::Clients;
@@ -35,36 +35,36 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A node cannot start.
+/// Why a node cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A socket, an address or another resource of the system cannot be had.
+    /// A socket, an address or another system resource is not available.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The dispatcher does not take the settings.
+    /// The dispatcher has rejected the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The licences and the classes of jobs do not fit together.
+    /// The licensing settings name a class that the platform settings do not have.
     #[error(transparent)]
     Licensing(#[from] UnknownClassError),
 }
 
-/// The parts that are there already, while others are made.
+/// The components created so far.
 struct Builder {
     now: Micros,
     node_name: String,
     seed: u64,
-    inheritance: Inheritance,
+    takeover: Takeover,
     context: Context,
     services: Vec<Box<dyn Service>>,
 }
 
 impl Node {
-    /// Listens, and starts from the state of the process that it replaces, or from the list in its file. SIGHUP reads
-    /// the configuration anew through `read_config`.
+    /// Opens the listening sockets and starts from the state of the process that it replaces, or else from the cached
+    /// list in its file. On SIGHUP, the configuration is reloaded with `read_config`.
     ///
     /// # Errors
-    /// An address cannot be listened at, or the settings contradict themselves.
+    /// If a listening socket cannot be opened, or the settings contradict each other.
     pub fn new(
         config: NodeConfig,
         operator_config: OperatorConfig,
@@ -75,7 +75,7 @@
         let now = clock.now();
         let limits = SharedLimits::new(config.limits, &operator_config);
         let net = Net::new()?;
-        let workers = Workers::new(worker_figures(&config, &operator_config));
+        let workers = Workers::new(workers_config(&config, &operator_config));
         let (discovery, fleet) = new_discovery(now, &config);
         let core = Core::new(config.settings, config.names, config.seed, now)?;
         let handover_socket = config.handover_socket.as_deref();
@@ -83,7 +83,7 @@
             now,
             node_name: config.name,
             seed: config.seed,
-            inheritance: Inheritance::receive(handover_socket, config.listen),
+            takeover: Takeover::receive(handover_socket, config.listen),
             context: Context {
                 now,
                 net,
@@ -99,7 +99,7 @@
         let clients = builder.start_clients(config.listen, limits.resources())?;
         builder.start_submission(operator_config.submission)?;
         let operators = builder.start_operators(config.operators)?;
-        let list = builder.take_over_or(config.cached_list);
+        let list = builder.initial_list(config.cached_list);
         let static_workers = builder.add_static_source(operator_config.static_workers);
         builder.start_eureka(operator_config.eureka, operator_config.self_preservation);
         builder.start_gossip(config.peers.filter(|_| operator_config.gossip));
@@ -132,14 +132,14 @@
     }
 }
 
-/// The workers of the operator file, and the source that they count as.
+/// The static workers of the operator file, and the membership source that reports them.
 struct StaticWorkers {
     source: SourceId,
     reports: Vec<SourceReport>,
 }
 
 impl Builder {
-    /// How events of the next service's sockets find it.
+    /// The peer that routes socket events to the next service to be added.
     fn next_peer(&self) -> Peer {
         Peer::Service(self.services.len() as u8)
     }
@@ -151,7 +151,7 @@
     ) -> io::Result<Clients> {
         Clients::new(
             address,
-            self.inheritance.client_listener.take(),
+            self.takeover.client_listener.take(),
             limits.client_connections,
             limits.body_bytes,
             &mut self.context.net,
@@ -162,8 +162,8 @@
         let Some(config) = config else {
             return Ok(());
         };
-        let listener = self.inheritance.take_listener(config.listen);
-        // Ids of jobs differ between nodes and between starts.
+        let listener = self.takeover.take_listener(config.listen);
+        // The prefix makes job ids unique among nodes and among restarts of a node.
         let job_id_prefix = format!("{}-{:x}", self.node_name, self.seed);
         let peer = self.next_peer();
         let net = &mut self.context.net;
@@ -173,7 +173,7 @@
             self.node_name,
             submission.addr
         );
-        if self.inheritance.has_service(submission.name()) {
+        if self.takeover.replaces_service(submission.name()) {
             submission.handle_predecessor(self.now);
         }
         self.services.push(Box::new(submission));
@@ -189,13 +189,13 @@
         Ok(Some(operators))
     }
 
-    /// The endpoint list to start from: that of the process that this one replaces, or else the cached one.
-    fn take_over_or(&mut self, cached_list: Option<EndpointList>) -> EndpointList {
-        if self.inheritance.link.is_none() {
+    /// The endpoint list to start from: the list of the predecessor if there is one, else the cached list.
+    fn initial_list(&mut self, cached_list: Option<EndpointList>) -> EndpointList {
+        if self.takeover.link.is_none() {
             return cached_list.unwrap_or_default();
         }
         log::info!("{} takes over from a process that runs", self.node_name);
-        let state = std::mem::take(&mut self.inheritance.state.discovery);
+        let state = std::mem::take(&mut self.takeover.state.discovery);
         let Context {
             discovery, fleet, ..
         } = &mut self.context;
@@ -204,7 +204,7 @@
         state.list
     }
 
-    /// Without static workers there is no such source.
+    /// Adds a membership source for the static workers, if there are any.
     fn add_static_source(&mut self, reports: Vec<SourceReport>) -> Option<StaticWorkers> {
         if reports.is_empty() {
             return None;
@@ -262,7 +262,7 @@
         self.services.push(Box::new(federation));
     }
 
-    /// Tells the core of all workers that are known.
+    /// Reports all known workers to the core: the endpoint list, the static workers and the reports of the predecessor.
     fn load_lists(&mut self, list: EndpointList, static_workers: Option<StaticWorkers>) {
         let now = self.now;
         let Context {
@@ -278,8 +278,8 @@
             let change = fleet.members.apply_full_list(now, source, reports);
             fleet.apply_change(now, change, core);
         }
-        // What other sources had reported to the process that this one replaces, until they report anew.
-        for (name, list) in std::mem::take(&mut self.inheritance.state.sources) {
+        // The reports that other sources sent to the predecessor count until these sources report again.
+        for (name, list) in std::mem::take(&mut self.takeover.state.sources) {
             if let Some(source) = fleet.members.source(&name) {
                 let reports = discovery::to_reports(&list);
                 let change = fleet.members.apply_full_list(now, source, reports);
@@ -290,10 +290,10 @@
 
     fn start_handover(&mut self, path: Option<&Path>) -> io::Result<Handover> {
         let net = &mut self.context.net;
-        let link = self.inheritance.link.take();
+        let link = self.takeover.link.take();
         let predecessor = link.map(|link| net.add_connection(link.into(), Peer::Partner));
         let mut handover = Handover::new(path, predecessor.transpose()?, net);
-        if !self.inheritance.state.services.is_empty() {
+        if !self.takeover.state.services.is_empty() {
             let names = self.services.iter().map(|service| service.name());
             let names = names.map(str::to_owned).collect();
             handover.send_to_all(&Message::Services(names), net);
@@ -302,9 +302,9 @@
     }
 }
 
-fn worker_figures(config: &NodeConfig, operator_config: &OperatorConfig) -> WorkersConfig {
+fn workers_config(config: &NodeConfig, operator_config: &OperatorConfig) -> WorkersConfig {
     let submission = operator_config.submission.iter();
-    let by_submission = submission.flat_map(|submission| &submission.workers);
+    let submission_workers = submission.flat_map(|submission| &submission.workers);
     WorkersConfig {
         report_fields: config.report_fields,
         has_load_endpoint: config.workers_report_load,
@@ -312,11 +312,11 @@
         connect_timeout: config.connect_timeout,
         progress_interval: config.progress_interval,
         max_connections: config.limits.worker_connections,
-        submission_workers: by_submission.map(|id| worker_id(id)).collect(),
+        submission_workers: submission_workers.map(|id| worker_id(id)).collect(),
     }
 }
 
-/// The client of discovery, and the fleet, whose first source it is.
+/// The discovery client, and the fleet with discovery as its first membership source.
 fn new_discovery(now: Micros, config: &NodeConfig) -> (Discovery, Fleet) {
     let mut members = Membership::new(config.zones.clone(), config.kinds.clone());
     let source = members.add_source("directory", None);
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -1,4 +1,4 @@
-//! The end of each turn: what the core has decided is carried out, and all that was written leaves.
+//! The end of each event-loop iteration: executes the core's commands and writes all buffered output.
 
 use super::Node;
 use crate::context::Context;
@@ -6,7 +6,7 @@
 use marbledeck_dispatcher::{Micros, WorkerId};
 
 impl Node {
-    /// Carries out what the core wants done, and writes it out.
+    /// Executes the core's commands and flushes all connections.
     pub(super) fn finish_turn(&mut self, now: Micros) {
         self.carry_out(now);
         if self.context.workers.has_unsent() {
@@ -19,8 +19,9 @@
         workers.record_written(net, core);
     }
 
-    /// The last look before attempts begin. This process may have stood still, or been busy for long with what had come
-    /// before: what forbids an attempt counts though it came after that was decided. All bytes leave right after this.
+    /// Checks again, right before the flush, whether the attempts that were decided may still be sent. The process may
+    /// have been suspended or busy since the decision, and in the meantime a new list, a client's departure or a
+    /// deadline may have made an attempt invalid.
     fn recheck_before_sending(&mut self) {
         let now = self.clock.now();
         let context = &mut self.context;
@@ -33,23 +34,26 @@
                 .discovery
                 .handle_event(now, ready.token, fleet, net, core);
         }
-        // What has come now may have been written a while ago, and is not read to its end.
+        // The answer just read may be old and incomplete, so the age of the list is checked again.
         let now = self.clock.now();
         context.now = now;
         context.discovery.wake(now, fleet, net, core);
-        let leaving = context.workers.requests_leaving(net);
+        let unsent = context.workers.requests_leaving(net);
         let revision = context.discovery.revision();
-        log::trace!("{} calls may leave by revision {revision}", leaving.len());
-        self.clients.drop_departed(now, leaving, net, core);
+        log::trace!(
+            "{} unsent calls may be sent by revision {revision} of the worker list",
+            unsent.len()
+        );
+        self.clients.drop_departed(now, unsent, net, core);
         context.workers.withdraw_stale(now, fleet, net, core);
         context.workers.refresh_deadlines(now, net);
-        // What becomes of their jobs is not left to the next turn.
+        // Requests whose attempts were withdrawn are retried or answered in this iteration.
         self.carry_out(now);
     }
 
-    /// Carries out what the core and the services want done.
+    /// Executes the core's commands, then the remaining work of the services.
     pub(super) fn carry_out(&mut self, now: Micros) {
-        // First, so that the other process knows of a job that is passed on before any worker does.
+        // Sent first, so that the other process learns of a handed-over job before any worker does.
         self.send_partner_messages(now);
         self.carry_out_commands(now);
         for number in 0..self.services.len() {
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Asks a worker for its load, and the services for what they know of it.
+    /// Probes a worker for its load, and asks the services for what they know about it.
     fn probe(&mut self, now: Micros, worker: WorkerId) {
         for service in &mut self.services {
             service.handle_probe(now, worker, &mut self.context);
--- a/crates/node/src/node/limits.rs
+++ b/crates/node/src/node/limits.rs
@@ -1,4 +1,4 @@
-//! What the node may hold, and how its two processes share it while one replaces the other.
+//! Resource limits of the node, and how its two processes share them while one replaces the other.
 
 use super::Node;
 use crate::admin;
@@ -6,18 +6,18 @@
 use crate::federation;
 use marbledeck_dispatcher::Micros;
 
-/// The limits of the node, and the part of them that is this process's.
+/// The resource limits of the node and the number of processes that share its rate limits.
 pub(super) struct SharedLimits {
-    /// The descriptors that the services may hold.
+    /// File descriptors that are reserved for the services.
     reserved_descriptors: usize,
-    /// What all processes may hold together, without those descriptors.
+    /// Limits for all processes of the node together, without the reserved descriptors.
     resources: ResourceLimits,
-    /// How many processes share the rate limits.
+    /// Number of processes that share the rate limits.
     rate_sharers: u32,
 }
 
 impl SharedLimits {
-    /// The limits of a process that does not share them yet.
+    /// The limits of a node with a single process.
     pub(super) fn new(resources: ResourceLimits, operator_config: &OperatorConfig) -> Self {
         let reserved_descriptors = reserved_descriptors(operator_config);
         SharedLimits {
@@ -27,18 +27,18 @@
         }
     }
 
-    /// What all processes may hold together.
+    /// Limits for all processes of the node together.
     pub(super) fn resources(&self) -> ResourceLimits {
         self.resources
     }
 
-    /// Takes other limits over from the configuration.
+    /// Replaces the limits by those of a reloaded configuration.
     pub(super) fn replace(&mut self, resources: ResourceLimits) {
         self.resources = without_reserved(resources, self.reserved_descriptors);
     }
 }
 
-/// The descriptors of the services come off the clients'.
+/// Deducts the descriptors of the services from those for client connections, of which at least one stays.
 fn without_reserved(resources: ResourceLimits, reserved_descriptors: usize) -> ResourceLimits {
     let client_connections = resources
         .client_connections
@@ -62,8 +62,8 @@
 }
 
 impl Node {
-    /// Shares what the node may hold and do with the other process of it, as long as there is one, and leaves new
-    /// connections to a successor that serves.
+    /// Halves resource and rate limits while another process of this node runs, and leaves new connections to a
+    /// successor once it serves.
     pub(super) fn share_limits(&mut self, now: Micros) {
         let processes = 1 + usize::from(self.handover.has_partner());
         let resources = self.limits.resources;
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -1,17 +1,17 @@
-//! The node: the core with its services and connections, served by one event loop.
+//! One process of a node: the core, the services and all connections, run by a single-threaded event loop.
 //!
-//! `builder` puts the parts together; this module is the event loop. `commands` carries out what the core decides,
-//! `operators` what operators call for. `shutdown`, `reload` and `succession` are the steps of SIGTERM, SIGHUP
-//! and of replacing a running process; `limits` shares what the node may hold between its processes.
+//! `builder` creates the components and this module runs the event loop. `commands` executes the commands of the core,
+//! `operators` the calls of operators. `shutdown` handles SIGTERM, `reload` handles SIGHUP, `replacement` replaces a
+//! running process, and `limits` divides the resource limits between the processes of the node.
 
 mod builder;
 mod commands;
 mod limits;
 mod operators;
 mod reload;
+mod replacement;
 mod shutdown;
 mod signals;
-mod succession;
 
 pub use builder::StartError;
 pub use signals::Signals;
@@ -29,42 +29,43 @@
 use limits::SharedLimits;
 use marbledeck_dispatcher::Micros;
 use marbledeck_platform_settings::PlatformSettings;
+use replacement::Readiness;
 use shutdown::Lifecycle;
 use std::net::SocketAddr;
-use succession::Readiness;
 
-/// How often the counts are logged.
+/// Interval at which the request counts are logged.
 const LOG_INTERVAL: Micros = millis(10_000);
 
-/// Reads the configuration as it is now.
+/// Reads the current configuration; called on SIGHUP.
 pub type ReadConfig = Box<dyn Fn() -> Result<NodeConfig, ConfigError>>;
 
-/// The node: one process of it.
+/// One process of the node.
 pub struct Node {
     clock: Clock,
     context: Context,
     clients: Clients,
-    /// The services, by their numbers.
+    /// The services. [`Peer::Service`] holds a position in this list.
     services: Vec<Box<dyn Service>>,
     operators: Option<Admin>,
     handover: Handover,
     limits: SharedLimits,
     signals: Signals,
     read_config: ReadConfig,
-    /// The address of discovery that the file had when it was last read: only a change of it is acted upon.
+    /// The discovery address in the file when it was last read. A reload only applies a change of it, since the address
+    /// in use may come from the environment.
     discovery_in_file: Option<SocketAddr>,
-    /// The platform's settings of the start: changes of them are not acted upon.
+    /// The platform settings at the start. A reload does not apply changes to them.
     platform_settings: PlatformSettings,
     lifecycle: Lifecycle,
-    /// Whether the predecessor knows that this process can serve.
+    /// Whether the predecessor was notified that this process can serve.
     readiness: Readiness,
-    /// The names of the successor's services.
+    /// The names of the services that the successor runs.
     successor_services: Vec<String>,
     next_log: Micros,
 }
 
 impl Node {
-    /// Serves until SIGTERM has come and all that was open has ended.
+    /// Runs the event loop until SIGTERM was received and all open requests have ended.
     pub fn run(&mut self) {
         let mut events = Vec::new();
         loop {
@@ -77,7 +78,7 @@
                 return;
             }
             self.wait(&mut events);
-            // Timers first: however many events have come, they are punctual.
+            // Timers run first, so that a large batch of events does not delay them.
             self.wake(self.clock.now());
             for event in events.drain(..) {
                 if let Some(ready) = self.context.net.process_event(event) {
@@ -87,15 +88,15 @@
         }
     }
 
-    /// Waits until something happens or a timer is due.
+    /// Waits for socket events until the next timer is due, and tells discovery whether its connection was quiet.
     fn wait(&mut self, events: &mut Vec<SocketEvent>) {
         let from = self.clock.now();
         let next_wake = self.next_wake();
         let Context { net, discovery, .. } = &mut self.context;
-        let are_all = net.wait(from, next_wake, events);
+        let is_complete = net.wait(from, next_wake, events);
         let awaited = discovery.awaited();
         let is_awaited = |event: &SocketEvent| Some(event.token()) == awaited;
-        let found = if are_all && !events.iter().any(is_awaited) {
+        let found = if is_complete && !events.iter().any(is_awaited) {
             WaitFinding::Nothing
         } else {
             WaitFinding::Something
@@ -104,7 +105,7 @@
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let own = [
+        let timers = [
             self.context.core.next_wake(),
             self.context.workers.next_wake(),
             self.context.discovery.next_wake(),
@@ -119,10 +120,10 @@
             Some(self.next_log),
         ];
         let services = self.services.iter().map(|service| service.next_wake());
-        own.into_iter().chain(services).flatten().min()
+        timers.into_iter().chain(services).flatten().min()
     }
 
-    /// Handles all timers that are due.
+    /// Runs all timers that are due.
     fn wake(&mut self, now: Micros) {
         self.context.now = now;
         let Context {
@@ -133,7 +134,7 @@
             fleet,
             ..
         } = &mut self.context;
-        // First: by a list that is too old nothing is sent, whatever else is due.
+        // Discovery runs first: if its list has become too old, no other timer may send a job by it.
         discovery.wake(now, fleet, net, core);
         core.wake(now);
         workers.wake(now, net, core);
@@ -149,8 +150,11 @@
         if let Some(operators) = &mut self.operators {
             operators.wake(now, &mut self.context.net);
         }
-        if self.lifecycle.take_due_settling(now) {
-            log::info!("settling {} that are open", self.context.core.unanswered());
+        if self.lifecycle.take_end_requests_due(now) {
+            log::info!(
+                "settling: ending {} open requests before SIGKILL",
+                self.context.core.unanswered()
+            );
             self.context.core.end_open_requests(now);
         }
         if now >= self.next_log {
@@ -221,7 +225,7 @@
         }
     }
 
-    /// All sockets that the successor takes over.
+    /// All listening sockets that a successor takes over.
     fn listeners(&self) -> Vec<Token> {
         let of_services = self.services.iter().flat_map(|service| service.listeners());
         [self.clients.acceptor.listener()]
--- a/crates/node/src/node/operators.rs
+++ b/crates/node/src/node/operators.rs
@@ -1,4 +1,4 @@
-//! What operators call for.
+//! Execution of operator calls.
 
 use super::Node;
 use crate::admin::{self, Call};
@@ -8,14 +8,14 @@
 use marbledeck_dispatcher::Micros;
 
 impl Node {
-    /// Carries out an operator's call, and answers.
+    /// Executes an operator's call and sends the answer. Calls about records are passed to the services.
     pub(super) fn handle_operator_call(&mut self, now: Micros, caller: Token, call: Call) {
         let answer = match call {
             Call::Check => self.check_serving(),
             Call::Vars => {
                 let Context { core, fleet, .. } = &self.context;
                 let counts = fleet.count(|worker| core.is_ejected(now, worker));
-                let text = admin::describe_figures(core, counts);
+                let text = admin::describe_metrics(core, counts);
                 return self.send_to_operator(caller, &text);
             }
             Call::Members(after) => {
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Sends an answer of several lines.
+    /// Sends an answer of several lines to an operator.
     pub(super) fn send_to_operator(&mut self, caller: Token, text: &str) {
         if let Some(operators) = &mut self.operators {
             operators.send(caller, text, &mut self.context.net);
         }
     }
 
-    /// Whether this process can serve, and if not, why.
+    /// Checks whether this process can serve requests; the error is the reason why not.
     pub(super) fn check_serving(&self) -> admin::Answer {
         if self.lifecycle.is_shutting_down() {
             Err("ending".into())
@@ -58,7 +58,7 @@
         }
     }
 
-    /// An operator takes a worker out of service or puts it back.
+    /// Takes a worker out of service or puts it back, and informs the other process of this node.
     fn set_out_of_service(&mut self, now: Micros, id: String, is_out: bool) -> admin::Answer {
         if !self.context.fleet.members.is_known(&id) {
             return Err("unknown render worker".into());
@@ -74,7 +74,7 @@
         Ok(answer)
     }
 
-    /// Whichever process was called, both act on it.
+    /// Applies a worker's service state, whether the operator has called this process or the other one.
     pub(super) fn apply_out_of_service(&mut self, now: Micros, id: &str, is_out: bool) {
         log::info!("operators: {}", describe_service_state(id, is_out));
         let Context { core, fleet, .. } = &mut self.context;
--- a/crates/node/src/node/succession.rs
+++ b/crates/node/src/node/replacement.rs
@@ -1,5 +1,5 @@
-//! Replacing a running process of this node without a gap, seen from both: what the successor takes over, and how the
-//! messages between the two are handled.
+//! Replacement of a running process of this node without downtime. Contains both sides: the state and sockets that the
+//! successor takes over, and the handling of messages between the two processes.
 
 use super::Node;
 use crate::discovery::{self, DiscoveryState, EndpointEntry};
@@ -13,35 +13,35 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 
-/// What the running process knows that its successor is to start from.
+/// The state of the running process from which its successor starts.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct HandoverState {
-    /// What discovery and operators have stated.
+    /// The endpoint list and the workers that operators have taken out of service.
     #[serde(flatten)]
     pub(super) discovery: DiscoveryState,
-    /// The names of its services.
+    /// The names of the services that the process runs.
     #[serde(default, rename = "parties")]
     pub(super) services: Vec<String>,
-    /// The reports of its other sources, by their names.
+    /// The reports of all membership sources but discovery, by source name.
     #[serde(default)]
     pub(super) sources: BTreeMap<String, Vec<EndpointEntry>>,
 }
 
-/// Whether the predecessor knows that this process can serve.
+/// Whether the predecessor was notified that this process can serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Readiness {
-    /// It cannot serve yet.
+    /// This process cannot serve yet.
     Starting,
-    /// It can, and the predecessor was notified.
+    /// This process can serve, and the predecessor was notified.
     Announced,
 }
 
-/// What a starting process takes over.
+/// What a starting process takes over from its predecessor; the default if it starts on its own.
 #[derive(Default)]
-pub(super) struct Inheritance {
-    /// The link to the predecessor, if this process replaces one.
+pub(super) struct Takeover {
+    /// The connection to the predecessor, if this process replaces one.
     pub(super) link: Option<UnixStream>,
-    /// The predecessor's state; the default one where there is none.
+    /// The predecessor's state; the default if there is no predecessor.
     pub(super) state: HandoverState,
     /// The listening socket for clients.
     pub(super) client_listener: Option<OwnedFd>,
@@ -49,27 +49,27 @@
     listeners: Vec<OwnedFd>,
 }
 
-impl Inheritance {
-    /// Asks the running process of this node, if there is one at this path.
+impl Takeover {
+    /// Requests the state and sockets of the process that listens at this path, if there is one.
     pub(super) fn receive(path: Option<&Path>, client_address: SocketAddr) -> Self {
         let Some(predecessor) = path.and_then(handover::connect::<HandoverState>) else {
-            return Inheritance::default();
+            return Takeover::default();
         };
-        let mut inheritance = Inheritance {
+        let mut takeover = Takeover {
             link: None,
             state: predecessor.state,
             client_listener: None,
             listeners: predecessor.listeners,
         };
-        inheritance.client_listener = inheritance.take_listener(client_address);
-        // One that listens elsewhere is another node's: this one starts on its own.
-        if inheritance.client_listener.is_some() {
-            inheritance.link = Some(predecessor.stream);
+        takeover.client_listener = takeover.take_listener(client_address);
+        // A process that listens at another address belongs to another node; this process starts on its own.
+        if takeover.client_listener.is_some() {
+            takeover.link = Some(predecessor.stream);
         }
-        inheritance
+        takeover
     }
 
-    /// The socket that listens at this address, if it was passed on.
+    /// Removes and returns the inherited socket that listens at this address.
     pub(super) fn take_listener(&mut self, address: SocketAddr) -> Option<OwnedFd> {
         let listens_there = |listener: &OwnedFd| {
             let bound = rustix::net::getsockname(listener).ok();
@@ -79,8 +79,8 @@
         Some(self.listeners.swap_remove(position))
     }
 
-    /// Whether this process replaces one that has a service of this name.
-    pub(super) fn has_service(&self, name: &str) -> bool {
+    /// Whether the predecessor, if there is one, runs a service of this name.
+    pub(super) fn replaces_service(&self, name: &str) -> bool {
         self.link.is_some() && self.state.services.iter().any(|service| service == name)
     }
 }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Another process of this node has connected, has sent something, or is gone.
+    /// Handles a new connection, a message or the loss of another process of this node.
     pub(super) fn handle_handover_event(&mut self, now: Micros, event: Option<HandoverEvent>) {
         match event {
             Some(HandoverEvent::SuccessorConnected(successor)) => {
@@ -105,7 +105,7 @@
                 self.handle_partner_message(now, side, message);
             }
             Some(HandoverEvent::Lost(side)) => {
-                log::info!("the other process is gone");
+                log::info!("lost the connection to the other process ({side:?})");
                 self.notify_lost_partner(now, side);
             }
             None => {}
@@ -115,14 +115,14 @@
 
     fn accept_successor(&mut self, now: Micros, successor: Token) {
         if self.lifecycle.is_closed() {
-            // What this one has closed cannot be passed on: the other starts by itself.
+            // The listening sockets are closed and cannot be handed over, so the other process starts on its own.
             self.handover.drop_link(successor, &mut self.context.net);
             return;
         }
-        log::info!("another process comes to replace this one");
+        log::info!("a successor has connected; sending it the state and the listening sockets");
         let listeners = self.listeners();
         let state = self.handover_state(now);
-        // What was passed on to one that came before is passed on to this one anew.
+        // The state that an earlier successor had received is sent again to this one.
         self.successor_services.clear();
         self.notify_lost_partner(now, Side::Successor);
         self.handover
@@ -144,7 +144,7 @@
             Message::WorkerOut(id) => self.apply_out_of_service(now, &id, true),
             Message::WorkerBack(id) => self.apply_out_of_service(now, &id, false),
             Message::Serving => self.handle_serving_successor(now),
-            Message::ShuttingDown => log::info!("the other process ends"),
+            Message::ShuttingDown => log::info!("the other process ({side:?}) is shutting down"),
             Message::Services(names) => {
                 if side == Side::Successor {
                     self.successor_services = names;
@@ -160,7 +160,7 @@
     }
 
     fn handle_serving_successor(&mut self, now: Micros) {
-        log::info!("the other process serves");
+        log::info!("the successor serves; the services hand over their state");
         for service in &mut self.services {
             let mut names = self.successor_services.iter();
             if names.any(|name| name == service.name()) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Sends the services' messages to the other processes, as far as those read.
+    /// Sends the services' messages to the other processes while their connections have room.
     pub(super) fn send_partner_messages(&mut self, now: Micros) {
         for side in Side::BOTH {
             for number in 0..self.services.len() {
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -1,64 +1,66 @@
 //! SIGTERM: the steps of the graceful shutdown.
 //!
-//! New connections are accepted for a while longer, since the platform's front ends notice with some delay; a successor
-//! that serves ends this at once. Then nothing is accepted any more, and what is open is finished. What is still open
-//! shortly before SIGKILL is settled: each request gets its final answer.
+//! The node first drains: it still accepts connections for [`ACCEPT_GRACE`], because the platform's front ends notice
+//! the shutdown with some delay, or until a successor serves. Then it stops accepting and finishes the open requests.
+//! Requests that are still open shortly before SIGKILL are ended with a final answer.
 
 use super::{signals, Node};
 use crate::clock::millis;
 use crate::handover::Message;
 use marbledeck_dispatcher::Micros;
 
-/// For so long after SIGTERM new connections are accepted.
+/// How long new connections are accepted after SIGTERM.
 const ACCEPT_GRACE: Micros = millis(700);
-/// SIGKILL comes this long after SIGTERM and the longest deadline of a class.
+/// Time from SIGTERM to SIGKILL, beyond the longest deadline of any class.
 const KILL_DELAY: Micros = millis(700);
-/// No deadline of a class counts for more than this; nor may a successor take longer for what the services pass on.
+/// Upper bound on a class deadline in the shutdown schedule, and on the time in which a successor must take over the
+/// state of the services.
 const MAX_DEADLINE: Micros = millis(3000);
-/// So long before SIGKILL all that is open is settled: time for the answers to leave, on a busy machine too.
-const SETTLE_MARGIN: Micros = millis(300);
-/// So long before SIGKILL the process ends where all is answered, though some have not closed their connections yet.
+/// How long before SIGKILL all open requests are ended. This leaves time to send their answers even on a busy machine.
+const END_REQUESTS_MARGIN: Micros = millis(300);
+/// How long before SIGKILL the process exits once everything is answered, even if clients keep connections open.
 const EXIT_MARGIN: Micros = millis(100);
-/// How much longer a request may take that has begun to come.
-const HALF_READ_TIMEOUT: Micros = millis(1000);
+/// How long a request that was received only in part may take to arrive completely.
+const INCOMPLETE_REQUEST_TIMEOUT: Micros = millis(1000);
 
-/// Where the process is between its start and its end.
+/// Stage of the process between start and exit.
 pub(super) enum Lifecycle {
-    /// It serves.
+    /// Accepts and serves requests.
     Serving,
-    /// SIGTERM has come; new connections are still accepted.
+    /// SIGTERM was received; new connections are still accepted.
     Draining {
-        /// When nothing is accepted any more.
+        /// When the node stops accepting connections.
         close_at: Micros,
         /// The deadlines of the shutdown.
         deadlines: Deadlines,
     },
-    /// Nothing is accepted any more; what is open is being finished.
+    /// No connections are accepted; open requests are being finished.
     Closed {
-        /// When requests that have only come in part are next dropped.
-        drop_half_read_at: Micros,
-        /// Until then the successor may take over what the services pass on; none where that is not waited for.
+        /// When requests that were received only in part are next dropped.
+        drop_incomplete_at: Micros,
+        /// Until when the process waits for a successor to take over the state of the services; `None` if it does not
+        /// wait.
         successor_timeout: Option<Micros>,
         /// The deadlines of the shutdown.
         deadlines: Deadlines,
     },
 }
 
-/// What is due at fixed times after SIGTERM.
+/// Steps of the shutdown at fixed times after SIGTERM.
 #[derive(Clone, Copy)]
 pub(super) struct Deadlines {
-    /// When what is still open is settled; none once that is done.
-    settle_at: Option<Micros>,
-    /// From then on connections that others leave open do not keep the process from ending.
+    /// When the requests that are still open are ended; `None` once that is done.
+    end_requests_at: Option<Micros>,
+    /// From when the process may exit even if clients or workers keep connections open.
     exit_at: Micros,
 }
 
 impl Deadlines {
     fn new(now: Micros, longest_deadline: Micros) -> Self {
-        let killed_at = now + longest_deadline.min(MAX_DEADLINE) + KILL_DELAY;
+        let sigkill_at = now + longest_deadline.min(MAX_DEADLINE) + KILL_DELAY;
         Deadlines {
-            settle_at: Some(killed_at - SETTLE_MARGIN),
-            exit_at: killed_at - EXIT_MARGIN,
+            end_requests_at: Some(sigkill_at - END_REQUESTS_MARGIN),
+            exit_at: sigkill_at - EXIT_MARGIN,
         }
     }
 }
@@ -70,15 +72,15 @@
             Lifecycle::Serving => return None,
             Lifecycle::Draining { close_at, .. } => (*close_at, None),
             Lifecycle::Closed {
-                drop_half_read_at,
+                drop_incomplete_at,
                 successor_timeout,
                 ..
-            } => (*drop_half_read_at, *successor_timeout),
+            } => (*drop_incomplete_at, *successor_timeout),
         };
         let deadlines = self.deadlines()?;
         [
             Some(step_at),
-            deadlines.settle_at,
+            deadlines.end_requests_at,
             Some(deadlines.exit_at),
             successor_timeout,
         ]
@@ -87,17 +89,17 @@
         .min()
     }
 
-    /// Whether SIGTERM has come.
+    /// Whether SIGTERM was received.
     pub(super) fn is_shutting_down(&self) -> bool {
         !matches!(self, Lifecycle::Serving)
     }
 
-    /// Whether nothing is accepted any more.
+    /// Whether the node has stopped accepting connections.
     pub(super) fn is_closed(&self) -> bool {
         matches!(self, Lifecycle::Closed { .. })
     }
 
-    /// Stops waiting for the successor once its time is over.
+    /// Stops waiting for the successor when its timeout has expired.
     pub(super) fn expire_successor_timeout(&mut self, now: Micros) {
         if let Lifecycle::Closed {
             successor_timeout, ..
@@ -107,17 +109,17 @@
         }
     }
 
-    /// Whether what is open is to be settled now; true only once.
-    pub(super) fn take_due_settling(&mut self, now: Micros) -> bool {
+    /// Whether the open requests must be ended now. Returns true only once.
+    pub(super) fn take_end_requests_due(&mut self, now: Micros) -> bool {
         let deadlines = match self {
             Lifecycle::Serving => return false,
             Lifecycle::Draining { deadlines, .. } | Lifecycle::Closed { deadlines, .. } => {
                 deadlines
             }
         };
-        let is_due = deadlines.settle_at.is_some_and(|due| due <= now);
+        let is_due = deadlines.end_requests_at.is_some_and(|due| due <= now);
         if is_due {
-            deadlines.settle_at = None;
+            deadlines.end_requests_at = None;
         }
         is_due
     }
@@ -131,11 +133,11 @@
         }
     }
 
-    /// Begins to finish what is open.
+    /// Stops accepting connections and starts to finish the open requests.
     fn close(&mut self, now: Micros, successor_timeout: Option<Micros>) {
         if let Some(deadlines) = self.deadlines() {
             *self = Lifecycle::Closed {
-                drop_half_read_at: now + HALF_READ_TIMEOUT,
+                drop_incomplete_at: now + INCOMPLETE_REQUEST_TIMEOUT,
                 successor_timeout,
                 deadlines,
             };
@@ -144,13 +146,13 @@
 }
 
 impl Node {
-    /// SIGTERM: begins to drain. What is open is finished, and what still comes is served.
+    /// Starts to drain on SIGTERM: open requests are finished, and new ones are still served for a while.
     pub(super) fn shut_down(&mut self, now: Micros) {
         signals::drain(&mut self.signals.end);
         if self.lifecycle.is_shutting_down() {
             return;
         }
-        log::info!("ending");
+        log::info!("ending: received SIGTERM; draining");
         let longest_deadline = self.context.core.names().max_deadline();
         self.lifecycle = Lifecycle::Draining {
             close_at: now + ACCEPT_GRACE,
@@ -167,7 +169,8 @@
         }
     }
 
-    /// The successor serves: nothing is accepted any more, and the services have some time to pass on what they hold.
+    /// Stops accepting connections because the successor serves. The services get up to [`MAX_DEADLINE`] to hand over
+    /// their state.
     pub(super) fn close_for_successor(&mut self, now: Micros) {
         self.lifecycle.close(now, Some(now + MAX_DEADLINE));
         self.stop_accepting(now);
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Takes the steps of the shutdown that are due, and tells whether the process may end.
+    /// Performs the shutdown steps that are due. Returns whether the process may exit.
     pub(super) fn is_finished(&mut self, now: Micros) -> bool {
         match &mut self.lifecycle {
             Lifecycle::Serving => return false,
@@ -191,10 +194,10 @@
                 }
             }
             Lifecycle::Closed {
-                drop_half_read_at, ..
+                drop_incomplete_at, ..
             } => {
-                if *drop_half_read_at <= now {
-                    *drop_half_read_at = now + HALF_READ_TIMEOUT;
+                if *drop_incomplete_at <= now {
+                    *drop_incomplete_at = now + INCOMPLETE_REQUEST_TIMEOUT;
                     self.clients.drop_incomplete(&mut self.context.net);
                 }
             }
@@ -211,8 +214,8 @@
         let is_handed_over = successor_timeout.is_none()
             || self.services.iter().all(|service| service.is_handed_over())
                 && self.handover.is_flushed(net);
-        let may_leave_open = deadlines.exit_at <= now;
-        let is_sent = net.is_closed() || may_leave_open && net.is_flushed();
+        let may_exit_with_open_connections = deadlines.exit_at <= now;
+        let is_sent = net.is_closed() || may_exit_with_open_connections && net.is_flushed();
         self.clients.is_idle() && self.context.core.is_idle() && is_sent && is_handed_over
     }
 }
--- a/crates/node/src/node/signals.rs
+++ b/crates/node/src/node/signals.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-/// The reading ends of the pipes that become readable at a signal; they do not block.
+/// The non-blocking read ends of the pipes that receive a byte at each signal.
 pub struct Signals {
     /// SIGTERM.
     pub end: UnixStream,
@@ -13,10 +13,10 @@
 }
 
 impl Signals {
-    /// Has the event loop wait for them.
+    /// Registers both pipes with the event loop.
     ///
     /// # Errors
-    /// There is no descriptor left.
+    /// No file descriptor is free.
     pub(super) fn register(&self, net: &mut Net) -> io::Result<()> {
         net.signal(self.end.try_clone()?.into(), Peer::TerminateSignal)?;
         net.signal(self.reload.try_clone()?.into(), Peer::ReloadSignal)?;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Takes all that a signal's pipe holds: several signals that have come by now are one.
+/// Empties a signal's pipe, so that several pending signals are handled as one.
 pub(super) fn drain(pipe: &mut UnixStream) {
     let mut bytes = [0; 16];
     while matches!(pipe.read(&mut bytes), Ok(length) if length > 0) {}
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -1,8 +1,7 @@
-//! The interface of services: parts that register with the event loop, and that the node can do without.
+//! The interface of services: optional components of the node, such as batch submission and gossip.
 //!
-//! The event loop knows a service by its number only. It passes on what has happened on its sockets and what has become
-//! of requests, asks when it next wants to be woken, and carries its messages to the other process of this node while
-//! one replaces the other.
+//! The event loop addresses a service by its position in a list. It delivers socket events, timers and the progress of
+//! requests, and carries the service's messages to the other process of this node while one replaces the other.
 
 use crate::admin;
 use crate::context::Context;
@@ -12,31 +11,31 @@
 use marbledeck_dispatcher::{Micros, RequestId, WorkerId};
 use serde_json::Value;
 
-/// One service. What it has no use for has a default that does nothing.
+/// An optional component of the node. Callbacks that a service does not need have defaults that do nothing.
 pub trait Service {
-    /// The name by which the same service of another process is found.
+    /// The name that identifies the same service in another process.
     fn name(&self) -> &'static str;
 
-    /// The listening sockets that are passed on to a successor.
+    /// The listening sockets that are handed over to a successor.
     fn listeners(&self) -> Vec<Token> {
         Vec::new()
     }
 
-    /// Something has happened on one of its sockets.
+    /// Handles an event on one of the service's sockets.
     fn handle_event(&mut self, now: Micros, event: Ready, context: &mut Context);
 
-    /// When [`Service::wake`] is next wanted.
+    /// When [`Service::wake`] must be called next; `None` if no timer is set.
     fn next_wake(&self) -> Option<Micros> {
         None
     }
 
-    /// Handles the timers that are due.
+    /// Runs the timers that are due.
     fn wake(&mut self, _now: Micros, _context: &mut Context) {}
 
-    /// Does what is left to do at the end of a turn, when the core's commands are carried out.
+    /// Completes the work of an event-loop iteration, after the core's commands were executed.
     fn finish_turn(&mut self, _now: Micros, _context: &mut Context) {}
 
-    /// Takes the final answer of a request, and tells whether the request was one of this service's.
+    /// Handles the final answer of a request. Returns whether the request belongs to this service.
     fn handle_answer(
         &mut self,
         _now: Micros,
@@ -47,16 +46,16 @@
         false
     }
 
-    /// A worker is asked for its load.
+    /// Called when a worker is probed for its load.
     fn handle_probe(&mut self, _now: Micros, _worker: WorkerId, _context: &mut Context) {}
 
-    /// An attempt is sent to a worker.
+    /// Called when an attempt is sent to a worker.
     fn handle_attempt_start(&mut self, _now: Micros, _worker: WorkerId) {}
 
-    /// An attempt at a worker has ended, however.
+    /// Called when an attempt at a worker has ended, with any outcome.
     fn handle_attempt_end(&mut self, _now: Micros, _worker: WorkerId) {}
 
-    /// A worker has begun to run a request.
+    /// Called when a worker has started to run a request.
     fn handle_run_start(
         &mut self,
         _now: Micros,
@@ -66,11 +65,11 @@
     ) {
     }
 
-    /// A request that ran waits for a retry.
+    /// Called when a request that had run waits for a retry.
     fn handle_requeue(&mut self, _now: Micros, _id: RequestId) {}
 
-    /// An operator calls. Tells whether the call is this service's; it is then answered by one
-    /// [`Service::next_operator_reply`].
+    /// Handles an operator's call. Returns whether the call belongs to this service; the service then answers it with
+    /// one [`Service::next_operator_reply`].
     fn handle_operator_call(
         &mut self,
         _now: Micros,
@@ -81,37 +80,37 @@
         false
     }
 
-    /// The next answer to an operator.
+    /// Removes and returns the next answer to an operator, with the caller's connection.
     fn next_operator_reply(&mut self) -> Option<(Token, String)> {
         None
     }
 
-    /// Leaves new connections to a successor that serves, or accepts them again where that one is lost.
+    /// Leaves new connections to a successor that serves, or accepts them again if the successor is lost.
     fn set_succeeded(&mut self, _succeeded: bool, _context: &mut Context) {}
 
-    /// SIGTERM has come: nothing new is accepted.
+    /// Starts the shutdown after SIGTERM: no new work is accepted.
     fn begin_shutdown(&mut self, _now: Micros) {}
 
-    /// The node accepts nothing any more, and no process takes over what this service holds.
+    /// Called when the node stops accepting connections. Rejects waiting work unless a successor takes it over.
     fn abandon(&mut self, _now: Micros) {}
 
-    /// The process that this one replaces has a service of this name.
+    /// Called at the start if the predecessor runs a service of this name.
     fn handle_predecessor(&mut self, _now: Micros) {}
 
-    /// Begins to pass on what it holds: the successor has a service of this name, and serves.
+    /// Starts to hand over the service's state to a serving successor that has a service of this name.
     fn begin_handover(&mut self, _now: Micros, _context: &mut Context) {}
 
-    /// Whether nothing is still to be passed on.
+    /// Whether the service has nothing left to hand over.
     fn is_handed_over(&self) -> bool {
         true
     }
 
-    /// The next message for the service of this name in another process.
+    /// Removes and returns the next message to the service of this name in another process.
     fn next_partner_message(&mut self, _side: Side) -> Option<Value> {
         None
     }
 
-    /// A message of the service of this name in another process.
+    /// Handles a message from the service of this name in another process.
     fn handle_partner_message(
         &mut self,
         _now: Micros,
@@ -121,6 +120,6 @@
     ) {
     }
 
-    /// Another process is gone.
+    /// Called when the connection to another process is lost.
     fn handle_partner_lost(&mut self, _now: Micros, _side: Side) {}
 }
