--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -83,10 +83,10 @@
                 outcome,
                 report,
             } => {
-                if let Some(w) = self.fleet.position(worker) {
-                    self.fleet[w].probe_in_flight = false;
-                    self.record_outcome(now, w, outcome, report);
-                    self.handle_probe_ended(now, w, out);
+                if let Some(position) = self.fleet.position(worker) {
+                    self.fleet[position].probe_in_flight = false;
+                    self.record_outcome(now, position, outcome, report);
+                    self.handle_probe_ended(now, position, out);
                 }
             }
             Event::TimerExpired(timer) => self.handle_timer(now, RequestId(timer.0), out),
@@ -101,8 +101,8 @@
             return;
         };
         attempt.started_at = Some(now);
-        if let Some(w) = self.fleet.position(attempt.worker.worker) {
-            let worker = &mut self.fleet[w];
+        if let Some(position) = self.fleet.position(attempt.worker.worker) {
+            let worker = &mut self.fleet[position];
             worker.queue_delay.delay = now - attempt.sent_at;
             worker.queue_delay.measured_at = now;
             worker.dequeue(attempt.sent_at);
@@ -158,7 +158,7 @@
     /// Whether this worker is ejected at this time because of recent failures.
     pub fn is_ejected(&self, now: Micros, worker: WorkerId) -> bool {
         let position = self.fleet.position(worker);
-        position.is_some_and(|w| now < self.fleet[w].ejected_until)
+        position.is_some_and(|position| now < self.fleet[position].ejected_until)
     }
 }
 
--- a/crates/dispatcher/src/estimates.rs
+++ b/crates/dispatcher/src/estimates.rs
@@ -66,8 +66,8 @@
     /// this dispatcher in flight. The reported figure decays exponentially towards the mean, since
     /// the jobs of others start and end in the meantime. If attempts of this dispatcher are queued at
     /// the worker, no slot is free, whatever a report says.
-    pub(crate) fn free_slots(&self, now: Micros, w: usize) -> f64 {
-        let worker = &self.fleet[w];
+    pub(crate) fn free_slots(&self, now: Micros, position: usize) -> f64 {
+        let worker = &self.fleet[position];
         if !worker.queued_since.is_empty() {
             return 0.0;
         }
@@ -87,27 +87,28 @@
     pub(crate) fn record_outcome(
         &mut self,
         now: Micros,
-        w: usize,
+        position: usize,
         outcome: Outcome,
         report: Option<LoadReport>,
     ) {
-        self.record_report(now, w, report.unwrap_or_default());
+        self.record_report(now, position, report.unwrap_or_default());
         match outcome {
             Outcome::ConnectFailed | Outcome::Reset | Outcome::TimedOut | Outcome::Failed => {
-                self.eject(now, w);
+                self.eject(now, position);
             }
             // A rejection shows that no slot is free now, whatever was reported before.
             Outcome::Rejected => {
                 let slots = 0.0;
-                self.fleet[w].slots_left_by_others = Some(SlotObservation { slots, at: now });
+                self.fleet[position].slots_left_by_others =
+                    Some(SlotObservation { slots, at: now });
             }
             Outcome::Served | Outcome::Cancelled | Outcome::NotSent => {}
         }
-        self.fleet.mark_active(w);
+        self.fleet.mark_active(position);
     }
 
-    fn record_report(&mut self, now: Micros, w: usize, report: LoadReport) {
-        let worker = &mut self.fleet.workers[w];
+    fn record_report(&mut self, now: Micros, position: usize, report: LoadReport) {
+        let worker = &mut self.fleet.workers[position];
         let is_valid = |value: &f64| *value >= 0.0;
         let memory = report.free_memory.filter(is_valid).unwrap_or(0.0);
         worker.max_memory = worker.max_memory.max(memory);
--- a/crates/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/src/fleet.rs
@@ -12,7 +12,7 @@
     pub slots: f64,
 }
 
-/// All known workers. Other parts of the crate refer to a worker by its position, named `w`.
+/// All known workers. Other parts of the crate refer to a worker by its position.
 #[derive(Default)]
 pub(crate) struct Fleet {
     /// Sorted by id, so that decisions do not depend on the iteration order of a hash table.
@@ -48,10 +48,10 @@
         let active = self.active_ids();
         if kind != WorkerListKind::Delta {
             // Workers that a complete list omits are removed.
-            for w in 0..self.workers.len() {
-                let entry = self.workers[w].entry.clone();
+            for position in 0..self.workers.len() {
+                let entry = self.workers[position].entry.clone();
                 let state = WorkerState::Removed;
-                self.set_entry(w, WorkerEntry { state, ..entry });
+                self.set_entry(position, WorkerEntry { state, ..entry });
             }
         }
         // Inserting in order of id shifts few workers. The sort is stable: if there are several
@@ -66,31 +66,31 @@
 
     fn apply_entry(&mut self, entry: WorkerEntry) {
         match self.search(entry.worker) {
-            Ok(w) => {
-                if self.workers[w].entry.started_at != entry.started_at {
-                    self.workers[w].reset_after_restart();
+            Ok(position) => {
+                if self.workers[position].entry.started_at != entry.started_at {
+                    self.workers[position].reset_after_restart();
                 }
-                self.set_entry(w, entry);
+                self.set_entry(position, entry);
             }
             Err(_) if entry.state == WorkerState::Removed => {}
-            Err(w) => {
+            Err(position) => {
                 self.count_ready(&entry, 1.0);
                 let worker = Worker {
                     entry,
                     ..Worker::default()
                 };
-                self.ids.insert(w, worker.entry.worker);
-                self.workers.insert(w, Box::new(worker));
+                self.ids.insert(position, worker.entry.worker);
+                self.workers.insert(position, Box::new(worker));
             }
         }
     }
 
     /// Replaces a worker's list entry and updates the counters.
-    fn set_entry(&mut self, w: usize, entry: WorkerEntry) {
+    fn set_entry(&mut self, position: usize, entry: WorkerEntry) {
         let is_removed = |entry: &WorkerEntry| usize::from(entry.state == WorkerState::Removed);
         self.removed += is_removed(&entry);
         self.count_ready(&entry, 1.0);
-        let old = std::mem::replace(&mut self.workers[w].entry, entry);
+        let old = std::mem::replace(&mut self.workers[position].entry, entry);
         self.removed -= is_removed(&old);
         self.count_ready(&old, -1.0);
     }
@@ -121,7 +121,9 @@
     /// The ids of the workers that recently reported or were sent an attempt.
     fn active_ids(&self) -> Vec<WorkerId> {
         let active = self.recently_active.iter();
-        active.map(|&w| self[w].entry.worker).collect()
+        active
+            .map(|&position| self[position].entry.worker)
+            .collect()
     }
 
     /// Sets the recently active workers from their ids after positions have changed, in order of
@@ -151,21 +153,21 @@
     }
 
     /// The slots of workers of this worker's kind, as known from reports; 0 if there was none.
-    pub fn kind_slots(&self, w: usize) -> f64 {
-        self.kinds[&self[w].entry.kind].slots
+    pub fn kind_slots(&self, position: usize) -> f64 {
+        self.kinds[&self[position].entry.kind].slots
     }
 
-    pub fn mark_active(&mut self, w: usize) {
-        if !std::mem::replace(&mut self[w].recently_active, true) {
-            self.recently_active.push(w);
+    pub fn mark_active(&mut self, position: usize) {
+        if !std::mem::replace(&mut self[position].recently_active, true) {
+            self.recently_active.push(position);
         }
     }
 
     /// Removes stale workers from the recently active ones.
     pub fn deactivate_workers(&mut self, is_stale: impl Fn(&Worker) -> bool) {
         let workers = &mut self.workers;
-        self.recently_active.retain(|&w| {
-            let worker = &mut workers[w];
+        self.recently_active.retain(|&position| {
+            let worker = &mut workers[position];
             worker.recently_active = !is_stale(worker);
             worker.recently_active
         });
@@ -175,13 +177,13 @@
 impl Index<usize> for Fleet {
     type Output = Worker;
 
-    fn index(&self, w: usize) -> &Worker {
-        &self.workers[w]
+    fn index(&self, position: usize) -> &Worker {
+        &self.workers[position]
     }
 }
 
 impl IndexMut<usize> for Fleet {
-    fn index_mut(&mut self, w: usize) -> &mut Worker {
-        &mut self.workers[w]
+    fn index_mut(&mut self, position: usize) -> &mut Worker {
+        &mut self.workers[position]
     }
 }
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -39,15 +39,15 @@
     /// of one tenant are spaced out, so that old reports do not open the gate for many at once.
     fn passes_gate(&mut self, now: Micros, request: &Request) -> bool {
         let (mut reported, mut job_capacity, mut total_age) = (0.0, 0.0, 0.0);
-        for &w in &self.fleet.recently_active {
-            let observed = self.fleet[w].slots_left_by_others;
+        for &position in &self.fleet.recently_active {
+            let observed = self.fleet[position].slots_left_by_others;
             let age = observed.map(|observed| (now - observed.at).as_secs_f64());
             let is_fresh = |age: &f64| *age < MAX_GATE_REPORT_AGE_SECONDS;
-            let usable = |age: &f64| is_fresh(age) && self.is_eligible(now, request, w);
+            let usable = |age: &f64| is_fresh(age) && self.is_eligible(now, request, position);
             if let Some(age) = age.filter(usable) {
                 reported += 1.0;
                 total_age += age;
-                let jobs = self.free_slots(now, w) / request.job.slots;
+                let jobs = self.free_slots(now, position) / request.job.slots;
                 if jobs >= 1.0 {
                     job_capacity += jobs;
                 }
@@ -82,9 +82,9 @@
         let ready = self.fleet.ready_capacity(self.class(&request.job).kind);
         let slack = self.slack(&request.job);
         let mut overloaded = 0.0;
-        let eligible = |w: &&usize| self.is_eligible(now, request, **w);
-        for &w in self.fleet.recently_active.iter().filter(eligible) {
-            let worker = &self.fleet[w];
+        let eligible = |position: &&usize| self.is_eligible(now, request, **position);
+        for &position in self.fleet.recently_active.iter().filter(eligible) {
+            let worker = &self.fleet[position];
             let oldest = worker
                 .queued_since
                 .first()
@@ -92,7 +92,7 @@
             let current = worker.queue_delay.is_current(now);
             if oldest > slack || worker.queue_delay.delay > slack && current {
                 overloaded += 1.0;
-            } else if current || self.free_slots(now, w) >= 1.0 {
+            } else if current || self.free_slots(now, position) >= 1.0 {
                 return false;
             }
         }
--- a/crates/dispatcher/src/policy/probing.rs
+++ b/crates/dispatcher/src/policy/probing.rs
@@ -22,7 +22,7 @@
     /// A worker whose load was counted by the dispatchers does not count as reporting: such a count
     /// ages quickly and is probed for again.
     pub(super) fn needs_probing(&self) -> bool {
-        let has_reported = |w: &&usize| self.fleet[**w].counted_at.is_none();
+        let has_reported = |position: &&usize| self.fleet[**position].counted_at.is_none();
         let active = self.fleet.recently_active.iter();
         let reported = active.filter(has_reported).count() as f64;
         self.settings.limits.probes && 2.0 * reported < self.fleet.ready_capacity(None).workers
@@ -75,7 +75,8 @@
         };
         let unsent = !request.finished && !request.has_attempt_in_flight();
         let mut active = self.fleet.recently_active.iter();
-        let any_has_free_slots = active.any(|&w| self.has_free_slots(now, &request, w));
+        let any_has_free_slots =
+            active.any(|&position| self.has_free_slots(now, &request, position));
         let may_probe = request.age(now) < self.max_probe_window(&request.job);
         let hedge_due = |d: &Self| d.hedge_at(&request).is_some_and(|at| now >= at);
         if unsent && any_has_free_slots {
@@ -95,16 +96,23 @@
     /// probes and can be sent now. It does not take the first answer with a free slot, since that is
     /// rarely the best one. The first job that had probed this worker may go to any worker with free
     /// slots, the others are sent only if this worker has some.
-    pub(crate) fn handle_probe_ended(&mut self, now: Micros, w: usize, out: &mut Vec<Action>) {
-        let first_prober = self.remove_pending_probe(self.fleet[w].entry.worker);
+    pub(crate) fn handle_probe_ended(
+        &mut self,
+        now: Micros,
+        position: usize,
+        out: &mut Vec<Action>,
+    ) {
+        let first_prober = self.remove_pending_probe(self.fleet[position].entry.worker);
         let can_be_sent = |id: &RequestId| {
             let request = self.requests.get(id);
             let answered = request.filter(|r| r.pending_probes.is_empty() && r.is_waiting());
-            let has_free_slots = |r: &Request, w: usize| self.has_free_slots(now, r, w);
+            let has_free_slots =
+                |r: &Request, position: usize| self.has_free_slots(now, r, position);
             let mut active = self.fleet.recently_active.iter();
             answered.is_some_and(|r| {
-                has_free_slots(r, w)
-                    || Some(*id) == first_prober && active.any(|&w| has_free_slots(r, w))
+                has_free_slots(r, position)
+                    || Some(*id) == first_prober
+                        && active.any(|&position| has_free_slots(r, position))
             })
         };
         let first = self.probing.iter().copied().find(can_be_sent);
--- a/crates/dispatcher/src/policy/retry.rs
+++ b/crates/dispatcher/src/policy/retry.rs
@@ -34,7 +34,7 @@
         let (limits, last) = (&self.settings.limits, request.attempts.last()?);
         let is_repeatable = self.class(&request.job).idempotency != Idempotency::NotIdempotent;
         let is_permitted = limits.hedging && is_repeatable && limits.cancellation;
-        let failed = |w: usize| self.fleet[w].ejected_until > last.sent_at;
+        let failed = |position: usize| self.fleet[position].ejected_until > last.sent_at;
         let failed = self.fleet.position(last.worker.worker).is_some_and(failed);
         let is_queued_now =
             self.settings.reports_starts && last.is_queued() && request.is_waiting();
@@ -51,11 +51,11 @@
         mut request: Request,
         out: &mut Vec<Action>,
     ) {
-        let Some(w) = self.select_worker(now, &request) else {
+        let Some(position) = self.select_worker(now, &request) else {
             return self.give_up(request, out);
         };
-        self.record_send(now, w, &request);
-        let (id, entry) = (request.job.id, self.fleet[w].entry.clone());
+        self.record_send(now, position, &request);
+        let (id, entry) = (request.job.id, self.fleet[position].entry.clone());
         out.push(Action::Send {
             request: id,
             worker: entry.worker,
@@ -81,8 +81,8 @@
         self.requests.insert(id, request);
     }
 
-    fn record_send(&mut self, now: Micros, w: usize, request: &Request) {
-        self.fleet.mark_active(w);
+    fn record_send(&mut self, now: Micros, position: usize, request: &Request) {
+        self.fleet.mark_active(position);
         let slot_seconds = request.job.slots * self.expected_seconds(&request.job);
         let work = SentWork {
             at: now,
@@ -90,7 +90,7 @@
         };
         let window = self.settings.rules.overload_window;
         let reports_starts = self.settings.reports_starts;
-        self.fleet[w].record_send(request.job.slots, work, window, reports_starts);
+        self.fleet[position].record_send(request.job.slots, work, window, reports_starts);
     }
 
     /// Handles the end of an attempt: the request is closed, waits for another attempt, or is
@@ -111,9 +111,9 @@
             return self.retain(request, ended.request_closed);
         };
         let is_first_end = attempt.outcome.replace(ended.outcome).is_none();
-        if let Some(w) = self.fleet.position(ended.worker).filter(|_| is_first_end) {
-            self.fleet[w].record_end(request.job.slots, attempt);
-            self.record_outcome(now, w, ended.outcome, ended.report);
+        if let Some(position) = self.fleet.position(ended.worker).filter(|_| is_first_end) {
+            self.fleet[position].record_end(request.job.slots, attempt);
+            self.record_outcome(now, position, ended.outcome, ended.report);
         }
         if ended.outcome == Outcome::Served {
             let started_at = attempt.started_at.filter(|at| *at < now);
@@ -134,9 +134,9 @@
 
     /// Ejects a failing worker from selection. Each ejection lasts twice as long as the one before,
     /// up to the warm-up time; a served attempt resets it.
-    pub(crate) fn eject(&mut self, now: Micros, w: usize) {
+    pub(crate) fn eject(&mut self, now: Micros, position: usize) {
         let max = INITIAL_EJECTION.max(self.settings.rules.warm_up);
-        let worker = &mut self.fleet[w];
+        let worker = &mut self.fleet[position];
         worker.ejection = (worker.ejection + worker.ejection).clamp(INITIAL_EJECTION, max);
         worker.ejected_until = now + worker.ejection;
     }
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -12,8 +12,12 @@
 impl Dispatcher {
     /// Whether the request may be sent to this worker now: the worker is ready, the job fits it, and
     /// deadline, attempt limit, idempotency and slow start allow the attempt.
-    pub(super) fn is_eligible(&self, now: Micros, request: &Request, w: usize) -> bool {
-        let (job, worker, slots) = (&request.job, &self.fleet[w], self.fleet.kind_slots(w));
+    pub(super) fn is_eligible(&self, now: Micros, request: &Request, position: usize) -> bool {
+        let (job, worker, slots) = (
+            &request.job,
+            &self.fleet[position],
+            self.fleet.kind_slots(position),
+        );
         let (entry, kind) = (&worker.entry, self.class(job).kind);
         let repeat_deadline = self.repeat_deadline(request, entry);
         entry.state == WorkerState::Ready
@@ -24,34 +28,34 @@
             && (worker.max_memory == 0.0 || job.memory <= worker.max_memory)
             && !request.was_sent_to(entry.worker)
             && repeat_deadline.is_none_or(|deadline| now < deadline)
-            && self.has_slow_start_budget(now, w, job)
+            && self.has_slow_start_budget(now, position, job)
     }
 
     /// Whether the worker is known to have free slots for the request. A load that the dispatchers
     /// counted together is used only within the probe window and then probed for again: its estimate
     /// decays towards the mean, so every dispatcher that remembers a full worker would soon take it
     /// for a free one.
-    pub(super) fn has_free_slots(&self, now: Micros, request: &Request, w: usize) -> bool {
+    pub(super) fn has_free_slots(&self, now: Micros, request: &Request, position: usize) -> bool {
         let is_outdated = |at| now - at > self.probe_window(at, request);
-        if self.fleet[w].counted_at.is_some_and(is_outdated) {
+        if self.fleet[position].counted_at.is_some_and(is_outdated) {
             return false;
         }
         // A job without a token leaves one slot free for charged jobs.
         let reserved_slots = f64::from(u8::from(request.token_wait > 0.0 && self.needs_probing()));
-        let fits = self.free_slots(now, w) >= request.job.slots + reserved_slots;
-        fits && !self.is_outlier(now, w) && self.is_eligible(now, request, w)
+        let fits = self.free_slots(now, position) >= request.job.slots + reserved_slots;
+        fits && !self.is_outlier(now, position) && self.is_eligible(now, request, position)
     }
 
     /// Whether the worker is ejected now.
-    fn is_outlier(&self, now: Micros, w: usize) -> bool {
-        now < self.fleet[w].ejected_until
+    fn is_outlier(&self, now: Micros, position: usize) -> bool {
+        now < self.fleet[position].ejected_until
     }
 
     /// Selects a worker for the request; none if no worker is eligible.
     pub(super) fn select_worker(&mut self, now: Micros, request: &Request) -> Option<usize> {
         let active = self.fleet.recently_active.iter().copied();
         let mut with_free_slots: Vec<usize> = active
-            .filter(|&w| self.has_free_slots(now, request, w))
+            .filter(|&position| self.has_free_slots(now, request, position))
             .collect();
         if !with_free_slots.is_empty() {
             self.keep_least_loaded(now, &mut with_free_slots);
@@ -70,9 +74,9 @@
             return None; // Avoids a search of thousands of workers that are all draining.
         }
         let all = 0..self.fleet.workers.len();
-        let eligible = all.filter(|&w| self.is_eligible(now, request, w));
+        let eligible = all.filter(|&position| self.is_eligible(now, request, position));
         let (outliers, healthy): (Vec<_>, Vec<_>) =
-            eligible.partition(|&w| self.is_outlier(now, w));
+            eligible.partition(|&position| self.is_outlier(now, position));
         self.draw_weighted(
             now,
             if healthy.is_empty() {
@@ -89,10 +93,13 @@
         let max_slots = self.fleet.max_slots();
         let workers = self.fleet.workers.len();
         for _ in 0..MAX_SAMPLES.min(workers) {
-            let w = self.random.rand_range(0..workers as u64) as usize;
-            let accepted = self.random.rand_float() * max_slots < self.free_slots(now, w);
-            if accepted && !self.is_outlier(now, w) && self.is_eligible(now, request, w) {
-                return Some(w);
+            let position = self.random.rand_range(0..workers as u64) as usize;
+            let accepted = self.random.rand_float() * max_slots < self.free_slots(now, position);
+            if accepted
+                && !self.is_outlier(now, position)
+                && self.is_eligible(now, request, position)
+            {
+                return Some(position);
             }
         }
         None
@@ -103,21 +110,27 @@
     /// not all choose the same worker, and sending to the least loaded of a few random workers keeps
     /// the longest queue short (Azar et al. 1994).
     fn keep_least_loaded(&self, now: Micros, with_free_slots: &mut Vec<usize>) {
-        let is_counted = |w: usize| self.fleet[w].counted_at.is_some();
-        let counted = with_free_slots.iter().filter(|&&w| is_counted(w));
-        if let Some(max) = counted.map(|&w| self.weight(now, w)).reduce(f64::max) {
+        let is_counted = |position: usize| self.fleet[position].counted_at.is_some();
+        let counted = with_free_slots
+            .iter()
+            .filter(|&&position| is_counted(position));
+        if let Some(max) = counted
+            .map(|&position| self.weight(now, position))
+            .reduce(f64::max)
+        {
             // Slots are whole numbers, and within a probe window an estimate decays by less than half
             // a slot.
-            with_free_slots.retain(|&w| is_counted(w) && self.weight(now, w) > max - 0.5);
+            with_free_slots
+                .retain(|&position| is_counted(position) && self.weight(now, position) > max - 0.5);
         }
     }
 
     /// The weight of a worker in a draw: its free slots, which count more in this dispatcher's zone.
-    fn weight(&self, now: Micros, w: usize) -> f64 {
-        if self.fleet[w].entry.zone == self.settings.zone {
-            SAME_ZONE_WEIGHT * self.free_slots(now, w)
+    fn weight(&self, now: Micros, position: usize) -> f64 {
+        if self.fleet[position].entry.zone == self.settings.zone {
+            SAME_ZONE_WEIGHT * self.free_slots(now, position)
         } else {
-            self.free_slots(now, w)
+            self.free_slots(now, position)
         }
     }
 
@@ -126,13 +139,16 @@
     /// report would choose it. Using only this dispatcher's zone while it has free slots would crowd
     /// the busier zone while workers of another zone are idle.
     fn draw_weighted(&mut self, now: Micros, mut workers: Vec<usize>) -> Option<usize> {
-        let mut weights: Vec<f64> = workers.iter().map(|&w| self.weight(now, w)).collect();
+        let mut weights: Vec<f64> = workers
+            .iter()
+            .map(|&position| self.weight(now, position))
+            .collect();
         if weights.iter().sum::<f64>() <= 0.0 {
             // No free slot anywhere: draws evenly among the workers with the fewest queued attempts
             // of this dispatcher.
-            let queued = |w: usize| self.fleet[w].queued_since.len();
-            let fewest = workers.iter().map(|&w| queued(w)).min();
-            workers.retain(|&w| Some(queued(w)) == fewest);
+            let queued = |position: usize| self.fleet[position].queued_since.len();
+            let fewest = workers.iter().map(|&position| queued(position)).min();
+            workers.retain(|&position| Some(queued(position)) == fewest);
             weights = vec![1.0; workers.len()];
         }
         let mut remaining = self.random.rand_float() * weights.iter().sum::<f64>();
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -19,8 +19,8 @@
     /// window: if they were always the same few, the worker would get only the jobs that these happen
     /// to receive. A dispatcher that has itself just started does not know what it sent before its
     /// restart, and sends nothing to a cold worker for one window.
-    pub(super) fn has_slow_start_budget(&self, now: Micros, w: usize, job: &Job) -> bool {
-        let (worker, rules) = (&self.fleet[w], &self.settings.rules);
+    pub(super) fn has_slow_start_budget(&self, now: Micros, position: usize, job: &Job) -> bool {
+        let (worker, rules) = (&self.fleet[position], &self.settings.rules);
         let age = worker.entry.started_at.map(|at| now - at);
         let Some(age) = age.filter(|age| *age < rules.warm_up) else {
             return true;
@@ -28,7 +28,10 @@
         let to_gain = 1.0 - rules.initial_capacity;
         let gained = to_gain * age.as_secs_f64() / rules.warm_up.as_secs_f64();
         let capacity_fraction = rules.initial_capacity + gained;
-        let (slots, window) = (self.fleet.kind_slots(w).max(1.0), rules.overload_window);
+        let (slots, window) = (
+            self.fleet.kind_slots(position).max(1.0),
+            rules.overload_window,
+        );
         let budget = rules.overload_factor * capacity_fraction * slots * window.as_secs_f64();
         let budget_jobs = (budget / self.service_times.overall).floor();
         let recent = worker
