--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,18 +1,18 @@
-//! Why the adapter ends before its input does.
+//! The errors that end the adapter before its input ends.
 
 use marbledeck_platform_settings::PlatformSettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter ends. The message names the line of input.
+/// An error that ends the adapter. The message contains the number of the input line.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// The input cannot be read.
-    #[error("line {number}: {source}")]
+    /// A line of input cannot be read.
+    #[error("line {number}: cannot read standard input: {source}")]
     Input {
         /// The line's number, from 1.
         number: u64,
-        /// What the system reports.
+        /// The I/O error.
         source: io::Error,
     },
     /// A batch cannot be answered.
@@ -20,32 +20,32 @@
     Batch {
         /// The line's number, from 1.
         number: u64,
-        /// What is wrong with it.
+        /// The problem with the batch.
         source: BatchError,
     },
     /// The output cannot be written.
-    #[error("standard output: {0}")]
+    #[error("cannot write standard output: {0}")]
     Output(io::Error),
 }
 
-/// What is wrong with a batch.
+/// The problem with a batch.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// It is not in the form of the wire.
+    /// The line is not a batch in the format of the simulator.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// An instance was given settings that it cannot work with.
-    #[error("{instance}: {source}")]
+    /// The settings of an instance are invalid.
+    #[error("instance {instance}: invalid settings: {source}")]
     Settings {
-        /// The instance.
+        /// The name of the instance.
         instance: String,
-        /// What is wrong with them.
+        /// The problem with the settings.
         source: PlatformSettingsError,
     },
-    /// An instance has not been attached.
-    #[error("{instance}: a message before 'attach'")]
+    /// A message is addressed to an instance that is not attached.
+    #[error("instance {instance}: received a message before 'attach'")]
     NotAttached {
-        /// The instance.
+        /// The name of the instance.
         instance: String,
     },
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,26 +1,25 @@
-//! Hosts many independent instances: takes a batch of messages for them and writes their actions.
+//! Hosts independent dispatcher instances: passes the messages of a batch to them and writes their actions.
 
 use crate::error::BatchError;
-use crate::instance::{put_json, Instance};
+use crate::instance::{write_json, Instance};
 use crate::message::{Batch, InstanceMessages, Message};
 use marbledeck_dispatcher::{Action, Event, Micros};
 use std::collections::HashMap;
 
-/// All instances of this process.
+/// The attached instances, by name.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<Box<str>, Instance>,
-    /// Scratch space, empty between messages.
+    /// Buffers for the events and actions of a message, kept to reuse their allocations; empty between messages.
     events: Vec<Event>,
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Answers one line of input with one line in `out`, without the line's end.
+    /// Appends the answer to one line of input to `out`, without a line end.
     ///
     /// # Errors
-    /// A line that is not in the form of the wire, settings that cannot be worked with, or a message for an instance that
-    /// was never attached.
+    /// If the line is malformed, settings are invalid, or a message is addressed to an instance that is not attached.
     pub fn answer(&mut self, line: &str, out: &mut Vec<u8>) -> Result<(), BatchError> {
         let batch: Batch = serde_json::from_str(line)?;
         let now = Micros(batch.wall_us);
@@ -41,7 +40,7 @@
         Ok(())
     }
 
-    /// Writes the actions of one instance; tells whether there are any.
+    /// Passes the messages of one instance to it and writes its actions. Returns whether there are any actions.
     fn answer_instance(
         &mut self,
         now: Micros,
@@ -50,13 +49,13 @@
     ) -> Result<bool, BatchError> {
         let name = &*messages.who.0;
         out.extend_from_slice(b"{\"who\":");
-        put_json(out, &name);
+        write_json(out, &name);
         out.extend_from_slice(b",\"outbox\":[");
-        let empty = out.len();
+        let outbox_start = out.len();
         for message in messages.msgs {
-            self.handle(now, name, message, empty, out)?;
+            self.handle(now, name, message, outbox_start, out)?;
         }
-        let has_actions = out.len() > empty;
+        let has_actions = out.len() > outbox_start;
         out.extend_from_slice(b"]}");
         Ok(has_actions)
     }
@@ -66,7 +65,7 @@
         now: Micros,
         name: &str,
         message: Message,
-        empty: usize,
+        outbox_start: usize,
         out: &mut Vec<u8>,
     ) -> Result<(), BatchError> {
         match message {
@@ -90,7 +89,7 @@
                     instance.dispatcher.handle(now, event, &mut self.actions);
                 }
                 for action in self.actions.drain(..) {
-                    instance.write(action, empty, out);
+                    instance.write(action, outbox_start, out);
                 }
             }
         }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: a dispatcher, and the translation between its events and actions and the wire's.
+//! A dispatcher instance, and the translation between simulator messages and its events and actions.
 
 use crate::message::{Completed, ListEntry, Message, Order};
 use crate::requests::{OpenRequests, WorkerNames};
@@ -9,10 +9,10 @@
 use marbledeck_platform_settings::{PlatformSettings, PlatformSettingsError, ReportFields};
 use serde::Serialize;
 
-/// The topic of a status note that tells of a start.
+/// The topic of a status note for the start of an attempt.
 const TOPIC_STARTED: u32 = 1;
 
-/// A dispatcher with the names that its wire uses.
+/// A dispatcher, with the simulator's names of its workers and requests.
 pub struct Instance {
     pub dispatcher: Dispatcher,
     report_fields: ReportFields,
@@ -21,10 +21,10 @@
 }
 
 impl Instance {
-    /// A newly attached instance.
+    /// Creates the instance of an `attach` message.
     ///
     /// # Errors
-    /// Settings that a dispatcher cannot work with.
+    /// If the settings are invalid.
     pub fn new(
         settings: &PlatformSettings,
         seed: u64,
@@ -40,7 +40,7 @@
         })
     }
 
-    /// The dispatcher's event for a message; none for what concerns a request that is over.
+    /// Translates a message into an event of the dispatcher. Messages about requests that are not open are ignored.
     pub fn translate(&mut self, message: Message, events: &mut Vec<Event>) {
         match message {
             Message::Order(order) => events.push(self.job_received(&order)),
@@ -128,7 +128,7 @@
         let state = match &*entry.state.0 {
             "active" => WorkerState::Ready,
             "left" => WorkerState::Removed,
-            // Nothing new is sent to a worker in a state that is not known.
+            // A worker in an unknown state is sent no new attempts.
             _ => WorkerState::Draining,
         };
         WorkerEntry {
@@ -141,11 +141,11 @@
         }
     }
 
-    /// Writes an action, after a comma unless it is the first since `empty`. Nothing is written for a request that is
-    /// over.
-    pub fn write(&mut self, action: Action, empty: usize, out: &mut Vec<u8>) {
+    /// Appends an action to the outbox that starts at `outbox_start`, with a comma unless it is the first one. Actions
+    /// for requests that are no longer open are omitted.
+    pub fn write(&mut self, action: Action, outbox_start: usize, out: &mut Vec<u8>) {
         let start = out.len();
-        if start > empty {
+        if start > outbox_start {
             out.push(b',');
         }
         if self.write_action(action, out).is_none() {
@@ -155,50 +155,50 @@
 
     fn write_action(&mut self, action: Action, out: &mut Vec<u8>) -> Option<()> {
         match action {
-            // A send takes no time here: it cannot come too late.
+            // `send_before` is ignored, because a send takes no time in the simulator.
             Action::Send {
                 request, worker, ..
             } => {
                 let name = self.requests.begin_attempt(request)?;
-                put_json(out, &("try", name, self.workers.name(worker), 0));
+                write_json(out, &("try", name, self.workers.name(worker), 0));
             }
             Action::Reject {
                 request,
                 retry_after,
             } => {
                 let name = self.requests.name(request)?;
-                let retry_after_us = retry_after.map_or(0, |span| span.0);
-                put_json(out, &("push-back", name, retry_after_us));
+                let retry_after_us = retry_after.map_or(0, |delay| delay.0);
+                write_json(out, &("push-back", name, retry_after_us));
                 self.requests.end(request);
             }
             Action::Fail(request) => {
                 let name = self.requests.name(request)?;
-                put_json(out, &("lose", name));
+                write_json(out, &("lose", name));
                 self.requests.end(request);
             }
             Action::Cancel { request, attempt } => {
                 let name = self.requests.name(request)?;
-                put_json(out, &("retract", name, attempt));
+                write_json(out, &("retract", name, attempt));
             }
             Action::Probe(worker) => {
-                put_json(out, &("health-check", self.workers.name(worker)));
+                write_json(out, &("health-check", self.workers.name(worker)));
             }
-            Action::SetTimer { at, timer } => put_json(out, &("arm", at.0, timer.0)),
-            Action::WatchWorkers => put_json(out, &("observe", true)),
+            Action::SetTimer { at, timer } => write_json(out, &("arm", at.0, timer.0)),
+            Action::WatchWorkers => write_json(out, &("observe", true)),
         }
         Some(())
     }
 }
 
-/// Appends a value.
+/// Appends a value as JSON.
 ///
 /// # Panics
-/// Never: writing JSON to memory cannot fail.
-pub fn put_json<T: Serialize>(out: &mut Vec<u8>, value: &T) {
-    serde_json::to_writer(out, value).expect("JSON to memory");
+/// Never, since writing JSON to memory cannot fail.
+pub fn write_json<T: Serialize>(out: &mut Vec<u8>, value: &T) {
+    serde_json::to_writer(out, value).expect("writing JSON to memory cannot fail");
 }
 
-/// An outcome that is not known may have run, like an error.
+/// Converts the code of an outcome. An unknown code is treated as a failure, after which the job may have run.
 fn outcome(code: u32) -> Outcome {
     match code {
         0 => Outcome::Served,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! The simulator's adapter: reads batches of events line by line and answers each with one line of actions.
+//! Adapter that runs the dispatcher in the simulator: reads one batch of events per line from standard input and writes
+//! one line with the resulting actions to standard output.
 
 mod error;
 mod host;
@@ -22,7 +23,7 @@
     }
 }
 
-/// Answers every line of the input, until it ends.
+/// Answers each line of the input until its end.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut line = String::new();
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -1,10 +1,10 @@
-//! The simulator's messages as types.
+//! Types for the messages of the simulator.
 
 use marbledeck_platform_settings::{PlatformSettings, RawLoadReport};
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Text that is borrowed from the line where it holds no escapes.
+/// A string that is borrowed from the input line unless it contains escape sequences.
 #[derive(Debug, Deserialize)]
 #[serde(transparent)]
 pub struct Text<'a>(#[serde(borrow)] pub Cow<'a, str>);
@@ -13,9 +13,9 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Batch<'a> {
-    /// The clock, in microseconds.
+    /// The simulated time, in microseconds.
     pub wall_us: u64,
-    /// The messages, by instance.
+    /// The messages of each instance.
     #[serde(borrow)]
     pub schedulers: Vec<InstanceMessages<'a>>,
 }
@@ -23,10 +23,10 @@
 /// The messages for one instance.
 #[derive(Debug, Deserialize)]
 pub struct InstanceMessages<'a> {
-    /// The instance.
+    /// The name of the instance.
     #[serde(borrow)]
     pub who: Text<'a>,
-    /// What has happened, in order.
+    /// The messages, in order of time.
     #[serde(borrow)]
     pub msgs: Vec<Message<'a>>,
 }
@@ -34,14 +34,14 @@
 /// One message.
 #[derive(Debug)]
 pub enum Message<'a> {
-    /// A newly started instance.
+    /// The start of an instance.
     Attach {
         seed: u64,
         settings: Box<PlatformSettings>,
     },
-    /// The list of workers, or part of it.
+    /// The list of workers, or changes to it.
     Topology {
-        /// How much of it.
+        /// Whether the list is cached, complete, a delta, or a failed poll.
         kind: Text<'a>,
         entries: Vec<ListEntry<'a>>,
     },
@@ -57,7 +57,7 @@
     Lapsed(Text<'a>),
     /// The instance was killed.
     Killed,
-    /// The answer of a streamed job has begun.
+    /// The response to a streamed job has started.
     AckFirst { txn: Text<'a>, attempt: u32 },
     /// The end of a probe.
     HealthResult {
@@ -69,14 +69,14 @@
     Wakeup(u64),
     /// The end of an attempt.
     Completed(Completed<'a>),
-    /// A message that is not known: it does nothing.
+    /// An unknown message, which is ignored.
     Unknown,
 }
 
 /// A client's request.
 #[derive(Debug)]
 pub struct Order<'a> {
-    /// The request's id on the wire.
+    /// The simulator's id of the request.
     pub txn: Text<'a>,
     /// Position of its class in the settings.
     pub class: u32,
@@ -84,7 +84,7 @@
     pub tenant: u32,
     /// How long the client waits, in microseconds.
     pub time_left_us: i64,
-    /// Expected work, in microseconds.
+    /// Expected run time, in microseconds.
     pub cost_guess_us: Option<f64>,
     pub slots: f64,
     pub memory: f64,
@@ -93,14 +93,14 @@
 /// The end of an attempt.
 #[derive(Debug)]
 pub struct Completed<'a> {
-    /// The request's id on the wire.
+    /// The simulator's id of the request.
     pub txn: Text<'a>,
     pub outcome_code: u32,
-    /// Whether the request is over.
+    /// Whether the request ends with this attempt.
     pub request_closed: bool,
     pub worker: Text<'a>,
     pub attempt: u32,
-    /// Time since the send, in microseconds.
+    /// Time from send to end, in microseconds.
     pub latency_us: u64,
     pub report: Option<RawLoadReport>,
 }
@@ -114,7 +114,7 @@
     /// Position of its kind in the settings.
     pub kind: u32,
     pub worker: Text<'a>,
-    /// When its process last started, in microseconds; 0 or none if long ago.
+    /// When its process last started, in microseconds; 0 or `None` if long ago.
     pub start_time_us: Option<u64>,
     pub cell: Option<u32>,
 }
--- a/crates/simulator-adapter/src/parse.rs
+++ b/crates/simulator-adapter/src/parse.rs
@@ -1,11 +1,12 @@
-//! Reads messages from their positional form: an array of a name and values in a fixed order.
+//! Deserialization of messages from positional arrays: a name, then values in a fixed order. Further values at the end
+//! are ignored.
 
 use crate::message::{Completed, ListEntry, Message, Order, Text};
 use serde::de::{Error, IgnoredAny, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
 
-/// The next value: none where it is null or left out.
+/// Reads the next value; `None` if it is null or missing.
 fn optional<'de, T, A>(values: &mut A) -> Result<Option<T>, A::Error>
 where
     T: Deserialize<'de>,
@@ -14,7 +15,7 @@
     Ok(values.next_element::<Option<T>>()?.flatten())
 }
 
-/// The next value, which must be there.
+/// Reads the next value, which must be present.
 fn required<'de, T, A>(values: &mut A, name: &str) -> Result<T, A::Error>
 where
     T: Deserialize<'de>,
@@ -24,7 +25,7 @@
     value.ok_or_else(|| A::Error::custom(format_args!("missing value '{name}'")))
 }
 
-/// Passes over a value that is not used.
+/// Skips a value that the adapter does not use.
 fn skip<'de, A: SeqAccess<'de>>(values: &mut A) -> Result<(), A::Error> {
     values.next_element::<IgnoredAny>().map(|_| ())
 }
@@ -35,7 +36,7 @@
     type Value = Message<'de>;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a message: an array that starts with its name")
+        f.write_str("a message: an array that starts with the message name")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut values: A) -> Result<Message<'de>, A::Error> {
@@ -141,7 +142,7 @@
     type Value = ListEntry<'de>;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a line of the list: an array")
+        f.write_str("an entry of the worker list: an array")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut values: A) -> Result<ListEntry<'de>, A::Error> {
