--- a/crates/cli/src/context.rs
+++ b/crates/cli/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command needs: the client and the form of the output.
+//! The context of every command: the client and the output format.
 
 use crate::args::Common;
 use crate::output;
@@ -6,17 +6,17 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The form of the results.
+/// The output format of the results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OutputFormat {
-    /// Text for people.
+    /// Human-readable text.
     Text,
     /// One JSON object per line.
     Json,
 }
 
 impl OutputFormat {
-    /// The form that the arguments ask for.
+    /// The output format that the arguments select.
     pub(crate) fn new(common: &Common) -> Self {
         if common.json {
             OutputFormat::Json
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Prints a result as an object or as this text.
+    /// Prints a result as a JSON object or as the given text.
     pub(crate) fn print(self, object: &impl Serialize, text: impl FnOnce() -> String) {
         match self {
             OutputFormat::Json => output::print_json(object),
@@ -34,16 +34,16 @@
     }
 }
 
-/// The client and the form of the output.
+/// The client and the output format of a command.
 pub(crate) struct CommandContext {
     pub(crate) client: Client,
     pub(crate) format: OutputFormat,
-    /// No notes and no progress bar.
+    /// Whether to suppress notes and the progress bar.
     pub(crate) quiet: bool,
 }
 
 impl CommandContext {
-    /// The context that the arguments ask for.
+    /// Creates the context from the arguments.
     pub(crate) fn new(common: &Common) -> Self {
         CommandContext {
             client: Client::new(client_settings(common)),
@@ -57,7 +57,7 @@
         self.format.print(info, || output::format_job(info));
     }
 
-    /// Prints a note for people to standard error.
+    /// Prints a note to standard error, unless `--quiet` is given.
     pub(crate) fn print_note(&self, text: &str) {
         if !self.quiet {
             eprintln!("{text}");
@@ -65,7 +65,7 @@
     }
 }
 
-/// The client settings that the arguments ask for.
+/// Creates the client settings from the arguments.
 pub(crate) fn client_settings(common: &Common) -> Settings {
     let duration = |seconds: f64| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX);
     Settings {
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command has failed.
+//! The error type of the commands.
 
 use crate::Status;
 use marbledeck_submission_client::Error;
@@ -15,10 +15,10 @@
     /// A request to the node has failed.
     #[error(transparent)]
     Request(#[from] Error),
-    /// The file of `--input` cannot be read.
+    /// The file given with `--input` cannot be read.
     #[error("--input {}: {source}", path.display())]
     Input {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// Why it cannot be read.
         source: io::Error,
@@ -26,7 +26,7 @@
 }
 
 impl CommandError {
-    /// After how many milliseconds the node accepts a retry, if it has said so.
+    /// The number of milliseconds after which the node asks to retry, if it has sent one.
     pub(crate) fn retry_after_ms(&self) -> Option<u64> {
         match self {
             CommandError::Request(error) => error.problem()?.retry_after_ms,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The exit status.
+    /// The exit status of the program for this error.
     pub(crate) fn exit_code(&self) -> ExitCode {
         match self {
             CommandError::Request(error) => Status::of_error(error).into(),
--- a/crates/cli/src/jobs/mod.rs
+++ b/crates/cli/src/jobs/mod.rs
@@ -128,7 +128,7 @@
     Ok(Status::Ok)
 }
 
-/// Prints the results of jobs.
+/// Prints the results of jobs; a job without a result is described on standard error.
 fn print_results(context: &CommandContext, job_ids: &[String]) -> Result<Status, CommandError> {
     let mut status = Status::Ok;
     for job_id in job_ids {
@@ -143,7 +143,7 @@
     Ok(status)
 }
 
-/// Carries out a control operation on the selected jobs.
+/// Performs a control operation on the selected jobs, and prints how many were changed.
 fn control(
     context: &CommandContext,
     selection: JobSelection,
--- a/crates/cli/src/jobs/selection.rs
+++ b/crates/cli/src/jobs/selection.rs
@@ -1,9 +1,9 @@
-//! The jobs that a command is about.
+//! Conversion of the selected jobs of a command line into requests.
 
 use crate::args::JobSelection;
 use marbledeck_submission_client::{Client, Error, Filter, Targets};
 
-/// The selected jobs, as the targets of an operation.
+/// Converts the selection into the targets of an operation.
 pub(super) fn targets(selection: JobSelection) -> Targets {
     match selection {
         JobSelection {
@@ -24,7 +24,7 @@
     }
 }
 
-/// The ids of the selected jobs.
+/// Returns the ids of the selected jobs; requests them from the node if a session or an array is selected.
 pub(super) fn job_ids(client: &Client, selection: JobSelection) -> Result<Vec<String>, Error> {
     if !selection.jobs.is_empty() {
         return Ok(selection.jobs);
--- a/crates/cli/src/jobs/submission.rs
+++ b/crates/cli/src/jobs/submission.rs
@@ -19,7 +19,7 @@
     pub(super) wait: bool,
 }
 
-/// Submits a job; waits for its result if `wait` is set.
+/// Submits a job; if `wait` is set, waits for its end and prints its result.
 pub(super) fn run_job(
     context: &CommandContext,
     mut args: TemplateArgs,
@@ -44,7 +44,7 @@
     Ok(Status::of_ended_job(&info))
 }
 
-/// Submits a job for each index; waits for the end of all if the options say so.
+/// Submits a bulk job; if `options.wait` is set, waits until all its jobs have ended.
 pub(super) fn run_bulk(
     context: &CommandContext,
     mut args: TemplateArgs,
@@ -76,7 +76,7 @@
     Ok(status)
 }
 
-/// The template that the arguments describe.
+/// Creates the job template from the arguments.
 fn template(args: TemplateArgs) -> Result<Template, CommandError> {
     let mut template = Template {
         remote_command: args.command,
@@ -85,7 +85,9 @@
         submission_key: args.key,
         job_name: args.name,
         min_slots: args.slots,
-        deadline_ms: args.deadline.map(|span| (span.as_millis() as u64).max(1)),
+        deadline_ms: args
+            .deadline
+            .map(|deadline| (deadline.as_millis() as u64).max(1)),
         deadline_time: args.until,
         start_time: args.start,
         submit_as_hold: args.hold,
@@ -97,14 +99,14 @@
     Ok(template)
 }
 
-/// Reads the file of `--input`, where `-` stands for standard input.
+/// Reads the file given with `--input`; `-` means standard input.
 fn read_input(path: PathBuf) -> Result<Vec<u8>, CommandError> {
-    let read = if path.as_os_str() == "-" {
+    let result = if path.as_os_str() == "-" {
         read_stdin()
     } else {
         std::fs::read(&path)
     };
-    read.map_err(|source| CommandError::Input { path, source })
+    result.map_err(|source| CommandError::Input { path, source })
 }
 
 fn read_stdin() -> io::Result<Vec<u8>> {
@@ -113,7 +115,7 @@
     Ok(bytes)
 }
 
-/// A message with the index of the job that it is about.
+/// Converts a message to JSON and adds the index of its job.
 fn with_index(message: &impl Serialize, index: i64) -> Value {
     let mut value = serde_json::to_value(message).unwrap_or_default();
     value["index"] = index.into();
--- a/crates/cli/src/jobs/waits.rs
+++ b/crates/cli/src/jobs/waits.rs
@@ -11,7 +11,7 @@
 
 /// The options of `marbledeck job wait`.
 pub(super) struct WaitOptions {
-    /// Whether to wait for any job, not for all.
+    /// Whether to wait for only one of the jobs instead of all.
     any: bool,
     goal: WaitGoal,
     timeout: Option<Duration>,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Waits for any or all of the selected jobs, and prints them.
+/// Waits for any or all of the selected jobs, and prints the jobs that have reached the goal.
 pub(super) fn wait(
     context: &CommandContext,
     selection: JobSelection,
@@ -58,10 +58,10 @@
         if !seen.insert(job_id.clone()) {
             continue;
         }
-        let left = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
+        let remaining = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
         let info = match options.goal {
-            WaitGoal::Started => client.wait_started(&job_id, left)?,
-            WaitGoal::Terminated => client.wait_terminated(&job_id, left)?,
+            WaitGoal::Started => client.wait_started(&job_id, remaining)?,
+            WaitGoal::Terminated => client.wait_terminated(&job_id, remaining)?,
         };
         context.print_job(&info);
         status = status.max(Status::of_job(&info));
--- a/crates/cli/src/jobs/watch.rs
+++ b/crates/cli/src/jobs/watch.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// How often the connection is checked while no events arrive.
+/// Interval at which the connection is checked while no events arrive.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Prints the events of a session, at most `count` of them.
@@ -20,25 +20,25 @@
 ) -> Result<Status, CommandError> {
     let format = OutputFormat::new(common);
     let (sender, events) = channel();
-    // Sending fails only once this function has returned.
+    // Sending fails only after this function has returned, when events are no longer needed.
     let on_event = move |event: Event| drop(sender.send(event));
     let client = Client::with_events(client_settings(common), Box::new(on_event));
     client.open_session(session, since)?;
-    let mut left = count;
-    while left != Some(0) {
+    let mut remaining = count;
+    while remaining != Some(0) {
         let Ok(event) = events.recv_timeout(CHECK_INTERVAL) else {
-            // The request replaces a lost connection.
+            // Any request reconnects if the connection was lost.
             client.sessions()?;
             continue;
         };
         format.print(&event, || format_event(&event));
-        left = left.map(|left| left - 1);
+        remaining = remaining.map(|remaining| remaining - 1);
     }
     client.close();
     Ok(Status::Ok)
 }
 
-/// An event as one line of text.
+/// Formats an event as one line of text.
 fn format_event(event: &Event) -> String {
     match event {
         Event::NewState {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! The command line of batch submission: `marbledeck job ...`, `marbledeck session ...`, `marbledeck queues`,
-//! `machines` and `capabilities`.
+//! Commands for batch submission: `marbledeck job ...`, `marbledeck session ...`, `marbledeck queues`, `machines` and
+//! `capabilities`.
 //!
 //! Results go to standard output, as text or with `--json` as one object per line; everything else goes to standard
 //! error. The exit status is a [`Status`].
--- a/crates/cli/src/monitoring.rs
+++ b/crates/cli/src/monitoring.rs
@@ -6,7 +6,7 @@
 use crate::{output, Status};
 use marbledeck_submission_client::{Machine, Operation, Queue};
 
-/// Runs a command on the node.
+/// Runs a command about the node.
 pub(crate) fn run(command: NodeCommand) -> Result<Status, CommandError> {
     match command {
         NodeCommand::Queues(common) => {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,6 +1,6 @@
 //! Printing of results to standard output.
 //!
-//! If the reader of standard output has gone, the program ends silently, as other tools do.
+//! If standard output is closed, such as by `head`, the program exits silently.
 
 use marbledeck_submission_client::JobInfo;
 use serde::Serialize;
@@ -30,7 +30,7 @@
     }
 }
 
-/// A job as one line of text.
+/// Formats a job as one line of text.
 pub(crate) fn format_job(info: &JobInfo) -> String {
     let state = match &info.job_sub_state {
         Some(sub_state) => format!("{} ({sub_state})", info.job_state),
--- a/crates/cli/src/parse.rs
+++ b/crates/cli/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of argument values: time spans, points in time and job states.
+//! Parsing of argument values: durations, points in time and job states.
 
 #[cfg(test)]
 mod tests;
@@ -6,10 +6,10 @@
 use marbledeck_submission_client::JobState;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Why the value of an argument is invalid.
+/// The value of an argument is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ParseError {
-    /// Not a time span.
+    /// Not a duration.
     #[error("'{0}' is no span: want a number and one of ms, s, m, h, as in 20s")]
     Duration(String),
     /// Not a point in time.
@@ -20,15 +20,15 @@
     State(String),
 }
 
-/// The names of all job states, for people.
+/// The names of all job states, separated by commas.
 fn state_names() -> String {
     JobState::ALL.map(JobState::as_str).join(", ")
 }
 
-/// Parses a time span with its unit.
+/// Parses a duration with its unit, seconds by default.
 ///
 /// # Errors
-/// If the text is not a number and a unit, or the span is too large.
+/// If the text is not a number with a known unit, or the duration is too large.
 pub(crate) fn parse_duration(text: &str) -> Result<Duration, ParseError> {
     let invalid = || ParseError::Duration(text.to_owned());
     let number_end = text.find(|c: char| !c.is_ascii_digit() && c != '.');
@@ -44,14 +44,14 @@
     Duration::try_from_secs_f64(seconds).map_err(|_| invalid())
 }
 
-/// Parses a point in time, in Unix seconds or as a time span from now; returns Unix milliseconds.
+/// Parses a point in time, given in Unix seconds or as `+` and a duration from now, into Unix milliseconds.
 ///
 /// # Errors
-/// If the text is neither of them.
+/// If the text is neither.
 pub(crate) fn parse_time(text: &str) -> Result<u64, ParseError> {
-    if let Some(span) = text.strip_prefix('+') {
+    if let Some(duration) = text.strip_prefix('+') {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        let time = now.unwrap_or_default() + parse_duration(span)?;
+        let time = now.unwrap_or_default() + parse_duration(duration)?;
         return Ok(time.as_millis() as u64);
     }
     let invalid = || ParseError::Time(text.to_owned());
@@ -60,7 +60,7 @@
     Ok(time.as_millis() as u64)
 }
 
-/// Parses a job state, in upper or lower case.
+/// Parses the name of a job state, ignoring case.
 ///
 /// # Errors
 /// If there is no such state.
--- a/crates/cli/src/sessions.rs
+++ b/crates/cli/src/sessions.rs
@@ -43,7 +43,7 @@
         .print(&json!({ "session": name }), || name.to_owned());
 }
 
-/// Prints a session's last event and the number of its jobs in each state.
+/// Prints the number of a session's last event and the number of its jobs in each state.
 fn show(context: &CommandContext, name: &str) -> Result<(), CommandError> {
     let last_event = context.client.open_session(name, None)?;
     let mut counts: BTreeMap<JobState, usize> = BTreeMap::new();
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,23 +1,23 @@
-//! The result of a command, as its exit status.
+//! The exit status of a command.
 
 use marbledeck_submission_client::{Error, ErrorId, JobInfo, JobState};
 use std::process::ExitCode;
 
-/// The result of a command, as its exit status.
+/// The exit status of a command. For several jobs, it is the greatest status of any of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Status {
-    /// The command has succeeded; all jobs that it waited for are `DONE`.
+    /// The command has succeeded, and all jobs that it waited for are `DONE`.
     Ok = 0,
-    /// A job has failed, or one of several jobs was not changed.
+    /// A job has failed, or a control operation did not apply to some of the jobs.
     Failed = 1,
-    /// The node has rejected the request for good.
+    /// The node has rejected the request permanently.
     Denied = 3,
     /// There is no connection to the node.
     Unreachable = 4,
-    /// The node has rejected the request for now (`EX_TEMPFAIL`).
+    /// The node has rejected the request temporarily (`EX_TEMPFAIL` in `sysexits.h`).
     TryLater = 75,
-    /// A wait has timed out, as with `timeout(1)`.
+    /// A wait has timed out (the status of `timeout(1)`).
     TimedOut = 124,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Status {
-    /// The status for an error of a request.
+    /// The status for a failed request.
     pub fn of_error(error: &Error) -> Self {
         match error {
             Error::Connection(_) => Status::Unreachable,
