--- a/crates/node/src/admin/call.rs
+++ b/crates/node/src/admin/call.rs
@@ -23,10 +23,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// The line is not UTF-8.
-    #[error("not text")]
+    #[error("the call is not UTF-8 text")]
     NotText,
     /// A call about a worker does not have exactly one id.
-    #[error("want the id of one render worker")]
+    #[error("want the id of exactly one render worker")]
     NoWorkerId,
     /// The call is not known.
     #[error(
@@ -35,8 +35,8 @@
     Unknown,
     /// The connection was closed before the end of the line. The call is not executed, since a part of `set-down w12`
     /// may name another worker.
-    #[error("half a call")]
-    CutOff,
+    #[error("incomplete call: the line has no end")]
+    Incomplete,
     /// The line is longer than the limit for its call.
     #[error("the call is too long")]
     TooLong,
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -173,7 +173,7 @@
     };
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end <= max_length => Call::parse(&bytes[..end]).map(Some),
-        None if bytes.len() <= max_length && input_ended => Err(CallError::CutOff),
+        None if bytes.len() <= max_length && input_ended => Err(CallError::Incomplete),
         None if bytes.len() <= max_length => Ok(None),
         _ => Err(CallError::TooLong),
     }
--- a/crates/node/src/node/operators.rs
+++ b/crates/node/src/node/operators.rs
@@ -32,7 +32,7 @@
                 }) {
                     return;
                 }
-                Err("there is no part [agreement] in the operator file".into())
+                Err("the operator file has no section [agreement]".into())
             }
         };
         if let Some(operators) = &mut self.operators {
