--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -20,9 +20,9 @@
 #[derive(Parser)]
 #[command(name = "marbledeck", version, args_conflicts_with_subcommands = true)]
 #[command(
-    after_help = "Without a command it serves, as the environment says: LB_CONFIG, LB_LISTEN, LB_DISCOVERY, LB_OPS.\n\
-                  Exit status: 0 done, 1 a job has failed, 2 usage, 3 denied, 4 no connection, 75 refused for now, \
-                  124 a wait timed out."
+    after_help = "Without a command it runs a node, configured by the environment: LB_CONFIG, LB_LISTEN, LB_DISCOVERY, LB_OPS.\n\
+                  Exit status: 0 done, 1 a job has failed, 2 usage error, 3 denied, 4 no connection, 75 rejected temporarily, \
+                  124 a wait has timed out."
 )]
 struct Arguments {
     #[command(flatten)]
@@ -33,10 +33,10 @@
 
 #[derive(Args)]
 struct Serve {
-    /// The file of the front for batch submission, which is off without it
+    /// Configuration file of the server for batch submission, which is off by default
     #[arg(long, value_name = "FILE")]
     submission: Option<PathBuf>,
-    /// The operator file: submission, membership, Eureka, static workers
+    /// The operator file, with settings for submission, membership, Eureka and static workers
     #[arg(long, value_name = "FILE", conflicts_with = "submission")]
     site: Option<PathBuf>,
 }
@@ -44,26 +44,26 @@
 #[derive(Subcommand)]
 #[expect(clippy::large_enum_variant, reason = "created only once, at the start")]
 enum Command {
-    /// Run the node, as without a command
+    /// Run the node; the default without a command
     Serve(Serve),
-    /// Hand in jobs, ask after them, control them
+    /// Submit, query and control jobs
     #[command(subcommand)]
     Job(JobCommand),
-    /// Job sessions
+    /// Manage job sessions
     #[command(subcommand)]
     Session(SessionCommand),
-    /// The classes of jobs
+    /// List the classes of jobs
     Queues(Common),
-    /// The render workers
+    /// List the render workers
     Machines(Common),
-    /// What the submission front supports and what not
+    /// Show which features the submission server supports
     Capabilities(Common),
-    /// The operator file
+    /// Commands for the operator file
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Each worker, and which source says what of it, from a node's operators' address
+    /// List the workers of a node with the reports of each source
     Members {
-        /// Where the node answers operators
+        /// The node's operations address
         #[arg(env = "LB_OPS", value_name = "HOST:PORT")]
         ops: String,
     },
@@ -73,7 +73,7 @@
 
 #[derive(Subcommand)]
 enum ConfigCommand {
-    /// Read and check an operator file, and say what is wrong with it
+    /// Check an operator file and report its errors
     Check { file: PathBuf },
 }
 
