--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -125,7 +125,7 @@
     let operator_config = read_operator_config(options)?;
     // Registered early, so that a signal during the start is neither lost nor kills the process.
     let signals = Signals {
-        end: signal_pipe(signal_hook::consts::SIGTERM)?,
+        terminate: signal_pipe(signal_hook::consts::SIGTERM)?,
         reload: signal_pipe(signal_hook::consts::SIGHUP)?,
     };
     if operator_config.consensus.is_some() {
--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -148,7 +148,7 @@
 impl Node {
     /// Starts to drain on SIGTERM: open requests are finished, and new ones are still served for a while.
     pub(super) fn shut_down(&mut self, now: Micros) {
-        signals::drain(&mut self.signals.end);
+        signals::drain(&mut self.signals.terminate);
         if self.lifecycle.is_shutting_down() {
             return;
         }
--- a/crates/node/src/node/signals.rs
+++ b/crates/node/src/node/signals.rs
@@ -7,7 +7,7 @@
 /// The non-blocking read ends of the pipes that receive a byte at each signal.
 pub struct Signals {
     /// SIGTERM.
-    pub end: UnixStream,
+    pub terminate: UnixStream,
     /// SIGHUP.
     pub reload: UnixStream,
 }
@@ -18,7 +18,7 @@
     /// # Errors
     /// No file descriptor is free.
     pub(super) fn register(&self, net: &mut Net) -> io::Result<()> {
-        net.signal(self.end.try_clone()?.into(), Peer::TerminateSignal)?;
+        net.signal(self.terminate.try_clone()?.into(), Peer::TerminateSignal)?;
         net.signal(self.reload.try_clone()?.into(), Peer::ReloadSignal)?;
         Ok(())
     }
