--- a/crates/node/src/node/shutdown.rs
+++ b/crates/node/src/node/shutdown.rs
@@ -179,7 +179,7 @@
     fn stop_accepting(&mut self, now: Micros) {
         self.clients.close_idle(now, &mut self.context.net);
         for service in &mut self.services {
-            service.abandon(now);
+            service.stop_accepting(now);
         }
     }
 
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -92,7 +92,7 @@
     fn begin_shutdown(&mut self, _now: Micros) {}
 
     /// Called when the node stops accepting connections. Rejects waiting work unless a successor takes it over.
-    fn abandon(&mut self, _now: Micros) {}
+    fn stop_accepting(&mut self, _now: Micros) {}
 
     /// Called at the start if the predecessor runs a service of this name.
     fn handle_predecessor(&mut self, _now: Micros) {}
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -317,7 +317,7 @@
         self.server.begin_shutdown();
     }
 
-    fn abandon(&mut self, now: Micros) {
+    fn stop_accepting(&mut self, now: Micros) {
         if !self.server.is_sending_handover() {
             self.server.reject_waiting(now);
         }
