--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -16,7 +16,7 @@
     #[error(transparent)]
     Request(#[from] Error),
     /// The file given with `--input` cannot be read.
-    #[error("--input {}: {source}", path.display())]
+    #[error("cannot read --input {}: {source}", path.display())]
     Input {
         /// The path of the file.
         path: PathBuf,
--- a/crates/cli/src/jobs/watch.rs
+++ b/crates/cli/src/jobs/watch.rs
@@ -52,6 +52,6 @@
             let sub_state = job_sub_state.as_deref().unwrap_or_default();
             format!("{number:>8} {job_id:<28} {job_state} {sub_state}")
         }
-        Event::Gap { from, to, .. } => format!("{from:>8} to {to}: no longer known"),
+        Event::Gap { from, to, .. } => format!("{from:>8} to {to}: events no longer stored"),
     }
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -44,7 +44,7 @@
     };
     eprintln!("marbledeck: {error}");
     if let Some(ms) = error.retry_after_ms() {
-        eprintln!("marbledeck: come back in {:.1} s", ms as f64 / 1000.0);
+        eprintln!("marbledeck: retry in {:.1} s", ms as f64 / 1000.0);
     }
     error.exit_code()
 }
--- a/crates/cli/src/monitoring.rs
+++ b/crates/cli/src/monitoring.rs
@@ -31,7 +31,7 @@
 
 fn format_queue(queue: &Queue) -> String {
     let deadline = queue.deadline_ms as f64 / 1000.0;
-    let keyed = if queue.keyed { ", wants a key" } else { "" };
+    let keyed = if queue.keyed { ", requires a key" } else { "" };
     format!("{:<20} given up after {deadline:.1} s{keyed}", queue.name)
 }
 
--- a/crates/cli/src/parse.rs
+++ b/crates/cli/src/parse.rs
@@ -10,13 +10,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ParseError {
     /// Not a duration.
-    #[error("'{0}' is no span: want a number and one of ms, s, m, h, as in 20s")]
+    #[error("'{0}' is not a duration: expected a number and one of ms, s, m, h, such as 20s")]
     Duration(String),
     /// Not a point in time.
-    #[error("'{0}' is no time: want Unix seconds, or + and a span, as in +20m")]
+    #[error("'{0}' is not a time: expected Unix seconds, or + and a duration, such as +20m")]
     Time(String),
     /// Not a job state.
-    #[error("'{0}' is no state: want one of {states}", states = state_names())]
+    #[error("'{0}' is not a job state: expected one of {states}", states = state_names())]
     State(String),
 }
 
--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -57,7 +57,7 @@
 #[case(&["-x"], 2, "'-x'")]
 #[case(&["jbo"], 2, "'jbo'")]
 #[case(&["job", "run", "/x"], 2, "--class")]
-#[case(&["job", "run", "/x", "--class", "c", "--deadline", "soon"], 2, "'soon' is no span")]
+#[case(&["job", "run", "/x", "--class", "c", "--deadline", "soon"], 2, "'soon' is not a duration")]
 #[case(&["job", "wait"], 2, "--array")]
 #[case(&["job", "list", "--state", "SLEEPING"], 2, "QUEUED_HELD")]
 #[case(&["job", "list", "--patience", "0"], 4, "no connection to the node")]
--- a/crates/node/tests/golden/command_line.rs
+++ b/crates/node/tests/golden/command_line.rs
@@ -152,7 +152,7 @@
 /// Times and spans of jobs.
 fn hide_times(text: &str) -> String {
     let text = without_numbers_after(text, "TimeMs\":", "<time>");
-    let text = without_numbers_after(&text, "come back in ", "<seconds>");
+    let text = without_numbers_after(&text, "retry in ", "<seconds>");
     without_numbers_after(&text, " on w1 ", "<seconds>")
 }
 
