--- a/crates/node/src/config/node.rs
+++ b/crates/node/src/config/node.rs
@@ -295,7 +295,7 @@
         Some(level) => level.parse().map_err(|_| {
             ConfigError::new(
                 "MARBLEDECK_LOG",
-                "want off, error, warn, info, debug or trace",
+                "must be off, error, warn, info, debug or trace",
             )
         }),
     }
@@ -327,7 +327,7 @@
     match seed {
         None => Ok(std::process::id().into()),
         Some(digits) => u64::from_str_radix(digits, 16).map_err(|_| {
-            ConfigError::new("LB_CONFIG: seed", "want a number in hexadecimal digits")
+            ConfigError::new("LB_CONFIG: seed", "must be a number in hexadecimal digits")
         }),
     }
 }
--- a/crates/node/src/config/operator.rs
+++ b/crates/node/src/config/operator.rs
@@ -128,12 +128,12 @@
             .transpose()?;
         if licensing.is_some() && file.consensus.is_none() {
             let key = format!("{source}: seats");
-            return Err(ConfigError::new(key, "wants a part [agreement]"));
+            return Err(ConfigError::new(key, "requires the section [agreement]"));
         }
         if file.federation.is_some() && (file.consensus.is_none() || file.submission.is_none()) {
             return Err(ConfigError::new(
                 format!("{source}: sites"),
-                "wants the parts [agreement] and [submission]",
+                "requires the sections [agreement] and [submission]",
             ));
         }
         let site = file
@@ -186,7 +186,7 @@
     fn check(self, source: &str) -> Result<String, ConfigError> {
         if self.name.is_empty() || self.name.contains('/') {
             let key = format!("{source}: sites.name");
-            return Err(ConfigError::new(key, "want a name without a slash"));
+            return Err(ConfigError::new(key, "must be a name without a slash"));
         }
         Ok(self.name)
     }
@@ -201,7 +201,10 @@
         let key = format!("{source}: static[{position}]");
         if section.id.is_empty() || workers.iter().any(|known| known.id == section.id) {
             let key = format!("{key}.id");
-            return Err(ConfigError::new(key, "want an id that no other has"));
+            return Err(ConfigError::new(
+                key,
+                "must be an id that no other static worker has",
+            ));
         }
         let address = parse_address(format!("{key}.address"), &section.address)?;
         workers.push(SourceReport {
--- a/crates/node/src/config_error.rs
+++ b/crates/node/src/config_error.rs
@@ -55,10 +55,10 @@
     #[error(transparent)]
     PlatformSettings(#[from] PlatformSettingsError),
     /// The text is not an IP address with a port.
-    #[error("'{0}' is no address with a port")]
+    #[error("'{0}' is not an IP address with a port")]
     NotAnAddress(String),
     /// A number is outside its inclusive range.
-    #[error("want {min} to {max}")]
+    #[error("must be between {min} and {max}")]
     OutOfRange {
         /// The smallest allowed value.
         min: usize,
@@ -66,7 +66,7 @@
         max: usize,
     },
     /// A number is below the smallest allowed value.
-    #[error("want {0} or more")]
+    #[error("must be at least {0}")]
     TooSmall(usize),
     /// The URL of a registry is not usable.
     #[error("'{url}': {wanted}")]
@@ -77,10 +77,10 @@
         wanted: &'static str,
     },
     /// A class requires a licence that is not in the list of licences.
-    #[error("'{0}' is none of the licences")]
+    #[error("'{0}' is not in the list of licences")]
     UnknownLicence(String),
     /// The list of peers has no entry for this node, given its number.
-    #[error("want one for each node: this one has number {0}")]
+    #[error("must have an entry for each node; there is none for this node, number {0}")]
     NoPeerForNode(usize),
     /// A value breaks some other rule, given as text.
     #[error("{0}")]
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -159,7 +159,7 @@
 
 fn check_operator_file(file: &Path) -> Result<(), RunError> {
     OperatorConfig::read(file)?;
-    println!("{}: nothing is wrong", file.display());
+    println!("{}: no errors found", file.display());
     Ok(())
 }
 
