--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -17,16 +17,16 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-const SETTINGS: &str = r#"{"balancers":1,"new-key":[1,{"a":2}],"profiles":[{"effect":"safe","promise-us":400000,
+const FACTS: &str = r#"{"balancers":1,"new-key":[1,{"a":2}],"profiles":[{"effect":"safe","promise-us":400000,
 "deadline-us":6000000,"dedup-scope":"all"},{"effect":"unsafe","promise-us":800000,"deadline-us":9000000}],
 "bounds":{"probes":false,"try-limit":3,"retry-after":true,"max-retry-after-us":2000000},
 "family-info":{"report-x0":"free slots","tells-start":true},"stats":{"how":"pull","fields":["x0"]},
 "tenants":[{"name":"a","quota-per-s":50.0,"share":1.0}]}"#;
 
 fn attach() -> String {
-    let settings = SETTINGS.replace('\n', "");
+    let facts = FACTS.replace('\n', "");
     format!(
-        r#"{{"wall-us":1000,"schedulers":[{{"who":"scheduler_0","msgs":[["attach",5,{settings}],["topology","cached",1,[["active",0,1,0,"worker-a",null,0],["active",0,1,0,"worker-b",null,1,"more"]]]]}}]}}"#
+        r#"{{"wall-us":1000,"schedulers":[{{"who":"scheduler_0","msgs":[["attach",5,{facts}],["topology","cached",1,[["active",0,1,0,"worker-a",null,0],["active",0,1,0,"worker-b",null,1,"more"]]]]}}]}}"#
     )
 }
 
