--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -20,9 +20,10 @@
 #[derive(Parser)]
 #[command(name = "marbledeck", version, args_conflicts_with_subcommands = true)]
 #[command(
-    after_help = "Without a command it runs a node, configured by the environment: LB_CONFIG, LB_LISTEN, LB_DISCOVERY, LB_OPS.\n\
-                  Exit status: 0 done, 1 a job has failed, 2 usage error, 3 denied, 4 no connection, 75 rejected temporarily, \
-                  124 a wait has timed out."
+    after_help = "Without a command it runs a node, configured by the environment: LB_CONFIG, LB_LISTEN, LB_DISCOVERY, \
+                  LB_OPS.\n\
+                  Exit status: 0 done, 1 a job has failed, 2 usage error, 3 denied, 4 no connection, 75 rejected \
+                  temporarily, 124 a wait has timed out."
 )]
 struct Arguments {
     #[command(flatten)]
