--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! The command line of batch submission: `marbledeck job ...`, `marbledeck session ...`, `marbledeck queues`,
-//! `machines` and `capabilities`.
+//! Commands for batch submission: `marbledeck job ...`, `marbledeck session ...`, `marbledeck queues`, `machines` and
+//! `capabilities`.
 //!
 //! Results go to standard output, as text or with `--json` as one object per line; everything else goes to standard
 //! error. The exit status is a [`Status`].
@@ -44,7 +44,7 @@
     };
     eprintln!("marbledeck: {error}");
     if let Some(ms) = error.retry_after_ms() {
-        eprintln!("marbledeck: come back in {:.1} s", ms as f64 / 1000.0);
+        eprintln!("marbledeck: retry in {:.1} s", ms as f64 / 1000.0);
     }
     error.exit_code()
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,5 +1,5 @@
-//! The program: without a command it is the node, which reads the configuration and serves until SIGTERM; with one, it
-//! speaks to a node's submission server, checks a file, or asks a node at its operations address.
+//! The `marbledeck` program. Without a command it runs the node until SIGTERM. The commands talk to a node's submission
+//! server or operations address, or check an operator file.
 #![forbid(unsafe_code)]
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
@@ -20,9 +20,10 @@
 #[derive(Parser)]
 #[command(name = "marbledeck", version, args_conflicts_with_subcommands = true)]
 #[command(
-    after_help = "Without a command it serves, as the environment says: LB_CONFIG, LB_LISTEN, LB_DISCOVERY, LB_OPS.\n\
-                  Exit status: 0 done, 1 a job has failed, 2 usage, 3 denied, 4 no connection, 75 refused for now, \
-                  124 a wait timed out."
+    after_help = "Without a command it runs a node, configured by the environment: LB_CONFIG, LB_LISTEN, LB_DISCOVERY, \
+                  LB_OPS.\n\
+                  Exit status: 0 done, 1 a job has failed, 2 usage error, 3 denied, 4 no connection, 75 rejected \
+                  temporarily, 124 a wait has timed out."
 )]
 struct Arguments {
     #[command(flatten)]
@@ -33,37 +34,37 @@
 
 #[derive(Args)]
 struct Serve {
-    /// The file of the front for batch submission, which is off without it
+    /// Configuration file of the server for batch submission, which is off by default
     #[arg(long, value_name = "FILE")]
     submission: Option<PathBuf>,
-    /// The operator file: submission, membership, Eureka, static workers
+    /// The operator file, with settings for submission, membership, Eureka and static workers
     #[arg(long, value_name = "FILE", conflicts_with = "submission")]
     site: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
-#[expect(clippy::large_enum_variant, reason = "made once, at the start")]
+#[expect(clippy::large_enum_variant, reason = "created only once, at the start")]
 enum Command {
-    /// Run the node, as without a command
+    /// Run the node; the default without a command
     Serve(Serve),
-    /// Hand in jobs, ask after them, control them
+    /// Submit, query and control jobs
     #[command(subcommand)]
     Job(JobCommand),
-    /// Job sessions
+    /// Manage job sessions
     #[command(subcommand)]
     Session(SessionCommand),
-    /// The classes of jobs
+    /// List the classes of jobs
     Queues(Common),
-    /// The render workers
+    /// List the render workers
     Machines(Common),
-    /// What the submission front supports and what not
+    /// Show which features the submission server supports
     Capabilities(Common),
-    /// The operator file
+    /// Commands for the operator file
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Each worker, and which source says what of it, from a node's operators' address
+    /// List the workers of a node with the reports of each source
     Members {
-        /// Where the node answers operators
+        /// The node's operations address
         #[arg(env = "LB_OPS", value_name = "HOST:PORT")]
         ops: String,
     },
@@ -73,11 +74,11 @@
 
 #[derive(Subcommand)]
 enum ConfigCommand {
-    /// Read and check an operator file, and say what is wrong with it
+    /// Check an operator file and report its errors
     Check { file: PathBuf },
 }
 
-/// Why the program ends with a failure.
+/// Why the program fails.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error(transparent)]
@@ -123,9 +124,9 @@
 /// Runs the node until SIGTERM.
 fn serve(options: &Serve) -> Result<(), RunError> {
     let operator_config = read_operator_config(options)?;
-    // Before all else: a signal that comes while the node starts is neither lost nor its end.
+    // Registered early, so that a signal during the start is neither lost nor kills the process.
     let signals = Signals {
-        end: signal_pipe(signal_hook::consts::SIGTERM)?,
+        terminate: signal_pipe(signal_hook::consts::SIGTERM)?,
         reload: signal_pipe(signal_hook::consts::SIGHUP)?,
     };
     if operator_config.consensus.is_some() {
@@ -149,20 +150,21 @@
     Ok(config)
 }
 
-/// A file that may not grow is a full disk for the store of consensus, and no reason to end.
+/// Handles SIGXFSZ, so that a write beyond the file size limit fails with an error, which the consensus store treats
+/// like a full disk, instead of killing the process.
 fn ignore_file_size_signal() -> io::Result<()> {
-    let noted: Arc<AtomicBool> = Arc::default();
-    signal_hook::flag::register(signal_hook::consts::SIGXFSZ, noted)?;
+    let received: Arc<AtomicBool> = Arc::default();
+    signal_hook::flag::register(signal_hook::consts::SIGXFSZ, received)?;
     Ok(())
 }
 
 fn check_operator_file(file: &Path) -> Result<(), RunError> {
     OperatorConfig::read(file)?;
-    println!("{}: nothing is wrong", file.display());
+    println!("{}: no errors found", file.display());
     Ok(())
 }
 
-/// Asks a node's operations address for its workers.
+/// Prints the workers of the node with this operations address, page by page.
 fn print_members(address: &str) -> Result<(), RunError> {
     let mut call = "members".to_owned();
     loop {
@@ -174,7 +176,7 @@
             print!("{answer}");
             return Ok(());
         };
-        // The line that counts the workers is that of the last answer.
+        // The last line of a page counts its workers; only that of the last page is printed.
         let lines = page.rsplit_once('\n').map_or("", |(lines, _)| lines);
         println!("{lines}");
         call = format!("members after {}", next.trim_end());
@@ -186,7 +188,7 @@
     clap_complete::generate(shell, &mut command, "marbledeck", &mut io::stdout());
 }
 
-/// The reading end of a pipe that gets a byte at each such signal.
+/// Returns the read end of a pipe that receives a byte at each such signal.
 fn signal_pipe(signal: i32) -> io::Result<UnixStream> {
     let (reader, writer) = UnixStream::pair()?;
     signal_hook::low_level::pipe::register(signal, writer)?;
