--- a/crates/test-support/src/accept.rs
+++ b/crates/test-support/src/accept.rs
@@ -1,18 +1,20 @@
-//! The accept loop that all stand-ins share.
+//! The listener and the accept loop that the stubs share.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Listens on a free port of loopback.
+/// Binds a listener to a free port on 127.0.0.1 and returns it with its address.
 ///
 /// # Panics
-/// No port is free.
+/// The listener cannot be bound.
 pub(crate) fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener on loopback");
+    let address = listener
+        .local_addr()
+        .expect("the address of a bound listener");
     (listener, address)
 }
 
-/// Serves each connection on a thread of its own, until the program ends.
+/// Starts a thread that accepts connections until the program exits, and serves each connection on its own thread.
 pub(crate) fn serve_connections<S>(listener: TcpListener, server: S, serve: fn(&S, TcpStream))
 where
     S: Clone + Send + 'static,
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,16 +1,16 @@
-//! A client of the platform's front: one job at a time on a connection that is kept.
+//! A client of the node's HTTP front, which sends one job at a time on a keep-alive connection.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Far longer than any answer may take.
+/// Read timeout; far longer than any answer may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client with its connection.
+/// A client with one connection.
 pub struct JobClient {
     stream: BufReader<TcpStream>,
-    /// The node has said that it closes the connection.
+    /// Whether an answer had `Connection: close`.
     is_closing: bool,
 }
 
@@ -18,7 +18,7 @@
     /// Connects to a node.
     ///
     /// # Errors
-    /// The node takes no connection.
+    /// The connection to the node fails.
     pub fn connect(address: &str) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
@@ -29,10 +29,10 @@
         })
     }
 
-    /// Hands in a job of the class `preview`, and waits for its answer. Returns the status.
+    /// Sends a job of the class `preview`, waits for its answer and returns the HTTP status.
     ///
     /// # Errors
-    /// The connection ends before the answer does.
+    /// The connection fails or is closed before the answer is complete, or the answer has no status.
     pub fn run(&mut self, txn: &str, remaining_ms: u64) -> io::Result<u16> {
         let request = format!(
             "POST /{txn} HTTP/1.1\r\nHost: n\r\nX-Txn: {txn}\r\nX-Lane: preview\r\nX-Org: au\r\n\
@@ -42,7 +42,7 @@
         self.read_answer()
     }
 
-    /// Whether the node has said that it closes the connection.
+    /// Returns whether the node has announced that it closes the connection.
     pub fn is_closing(&self) -> bool {
         self.is_closing
     }
--- a/crates/test-support/src/cluster.rs
+++ b/crates/test-support/src/cluster.rs
@@ -1,4 +1,5 @@
-//! A cluster: several nodes of the program between the stand-ins, with voter_links between them that a test can cut.
+//! A cluster of several nodes with stubs of discovery and the workers. The connections to the voters go through
+//! [`NetworkLink`]s, so that a test can delay or interrupt them.
 
 use crate::environment::binary;
 use crate::process_log::ProcessLog;
@@ -12,28 +13,29 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The node's file, and the operator file, in a node's folder.
+/// Name of the node's configuration file in its folder.
 const CONFIG_FILE: &str = "config.json";
+/// Name of the operator file in the node's folder.
 const OPERATOR_FILE: &str = "site.toml";
-/// Far longer than anything takes; only a failure waits for so long.
+/// Time limit of every wait. It is far longer than a wait takes unless the test fails.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a cluster is made of.
+/// Options of a [`Cluster`].
 #[derive(Clone, Debug)]
 pub struct ClusterOptions {
-    /// Nodes, of which the first ones vote.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many of them vote.
+    /// Number of voters; the nodes with the lowest numbers vote.
     pub voters: usize,
-    /// Worker stand-ins.
+    /// Number of worker stubs.
     pub workers: usize,
-    /// The free slots that each worker reports.
+    /// Number of slots of each worker.
     pub slots: usize,
-    /// The lease, in milliseconds.
+    /// Duration of a lease, in milliseconds.
     pub lease_ms: u64,
-    /// The voters' step of time, in milliseconds.
+    /// Duration of a tick of the voters, in milliseconds.
     pub tick_ms: u64,
-    /// Further parts of each node's operator file.
+    /// Additional tables of each node's operator file.
     pub operator_keys: String,
     /// Whether each node has a submission front.
     pub submission: bool,
@@ -56,43 +58,43 @@
 
 /// One node of the cluster.
 pub struct ClusterNode {
-    /// Its number, from 1 on.
+    /// Its number, counted from 1.
     pub number: usize,
     folder: PathBuf,
     child: Option<Child>,
-    /// Processes of it that were started before and not ended.
-    former: Vec<Child>,
-    /// Where clients connect.
+    /// Processes of the node that were started before `child` and may still run.
+    earlier_processes: Vec<Child>,
+    /// The address for clients.
     pub client_address: String,
-    /// Where operators connect.
+    /// The address for operators.
     pub admin_address: String,
-    /// Where submitters connect; empty without a submission front.
+    /// The address for submitters; empty without a submission front.
     pub submission_address: String,
     log: ProcessLog,
-    /// The links to the voters, as this node knows them.
+    /// The links through which this node connects to the voters, in the order of their numbers.
     pub voter_links: Vec<NetworkLink>,
 }
 
-/// The cluster: it ends its nodes when it is dropped.
+/// Nodes that agree with each other, and the stubs that they speak to. Dropping it kills all nodes.
 pub struct Cluster {
-    /// Discovery.
+    /// The stub of discovery.
     pub discovery: DiscoveryStub,
-    /// The workers, all of them listed.
+    /// The worker stubs; discovery lists all of them.
     pub workers: Vec<WorkerStub>,
-    /// The nodes, by their numbers less 1.
+    /// The nodes; node `n` is at index `n - 1`.
     pub nodes: Vec<ClusterNode>,
     options: ClusterOptions,
     folder: PathBuf,
 }
 
 impl Cluster {
-    /// Starts the stand-ins and all nodes, and waits until each has a reading.
+    /// Starts the stubs and all nodes, and waits until each node has a valid reading of the records.
     ///
     /// # Panics
-    /// They do not start.
+    /// A node does not start within the time limit.
     pub fn start(options: ClusterOptions) -> Self {
-        static COUNT: AtomicU64 = AtomicU64::new(0);
-        let count = COUNT.fetch_add(1, Ordering::SeqCst);
+        static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+        let count = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let folder =
             std::env::temp_dir().join(format!("marbledeck-fleet-{}-{count}", std::process::id()));
         let discovery = DiscoveryStub::start();
@@ -106,7 +108,7 @@
             number,
             folder: folder.join(format!("n{number}")),
             child: None,
-            former: Vec::new(),
+            earlier_processes: Vec::new(),
             client_address: String::new(),
             admin_address: String::new(),
             submission_address: String::new(),
@@ -125,13 +127,14 @@
             cluster.spawn(number);
         }
         for number in 1..=cluster.nodes.len() {
-            cluster.wait_for_records(number, "a reading", |text| {
+            cluster.wait_for_records(number, "a valid reading of the records", |text| {
                 text.contains("reading for") && !text.contains("reading for 0 ms")
             });
         }
         cluster
     }
 
+    /// The text of a node's operator file.
     fn operator_file(&self, node: &ClusterNode) -> String {
         let options = &self.options;
         let mut text = String::new();
@@ -148,23 +151,28 @@
             options.lease_ms,
             options.tick_ms
         );
-        for (at, link) in node.voter_links.iter().enumerate() {
-            // Its own address is a free port; the voter_links of the others lead there.
-            let own = at + 1 == node.number;
-            let address = if own {
+        for (index, link) in node.voter_links.iter().enumerate() {
+            // A voter listens on a free port; the other nodes connect to it through their links.
+            let is_own = index + 1 == node.number;
+            let address = if is_own {
                 "127.0.0.1:0".to_owned()
             } else {
                 link.address.to_string()
             };
-            let _ = write!(text, "{{ number = {}, address = \"{address}\" }}, ", at + 1);
+            let _ = write!(
+                text,
+                "{{ number = {}, address = \"{address}\" }}, ",
+                index + 1
+            );
         }
         text + "]\n" + &options.operator_keys
     }
 
-    /// Starts a node, or starts it anew.
+    /// Starts a process of a node and waits until it accepts connections. A process of the node that still runs is not
+    /// ended: the new one takes over from it.
     ///
     /// # Panics
-    /// It does not start.
+    /// The process does not start within the time limit.
     pub fn spawn(&mut self, number: usize) {
         let log_length = self.nodes[number - 1].log.len();
         self.write_files(number);
@@ -172,15 +180,15 @@
         self.wait_until_started(number, log_length);
     }
 
-    /// Writes the node's file and the operator file.
+    /// Writes the node's configuration and its operator file.
     fn write_files(&self, number: usize) {
-        let at = number - 1;
+        let index = number - 1;
         let (discovery, list) = (self.discovery.address, self.discovery.endpoint_list());
-        let node = &self.nodes[at];
-        fs::create_dir_all(&node.folder).expect("a folder for temporary files");
+        let node = &self.nodes[index];
+        fs::create_dir_all(&node.folder).expect("create the folder of the node");
         let config = format!(
             r#"{{"name":"n{number}","discovery":"{discovery}","listen":"127.0.0.1:0","known":{list},
-            "settings":{{"balancers":{},"self-index":{at},"zone":0,"localities":["east"],"kinds":["std"],
+            "settings":{{"balancers":{},"self-index":{index},"zone":0,"localities":["east"],"kinds":["std"],
             "registry-mode":"subscribe","stats":{{"fields":["x0"],"how":"piggyback"}},
             "family-info":{{"class-kind":[-1,-1],"class-stretch":[2.0,2.5],"report-x0":"free slots",
             "tells-start":true,"progress-us":1000000}},
@@ -195,8 +203,9 @@
             {{"name":"sued","quota-per-s":100000,"share":0.5}}]}}}}"#,
             self.options.nodes
         );
-        fs::write(node.folder.join(CONFIG_FILE), config).expect("written");
-        fs::write(node.folder.join(OPERATOR_FILE), self.operator_file(node)).expect("written");
+        fs::write(node.folder.join(CONFIG_FILE), config).expect("write the node configuration");
+        fs::write(node.folder.join(OPERATOR_FILE), self.operator_file(node))
+            .expect("write the operator file");
     }
 
     fn spawn_process(&mut self, number: usize) {
@@ -208,19 +217,20 @@
         for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
             command.env_remove(name);
         }
-        // It must hold nothing of the test's that outlives it.
+        // The process must not inherit stdin or stdout: if it outlived the test, it would keep the test runner's pipes
+        // open.
         command.stdin(Stdio::null()).stdout(Stdio::null());
         command.arg("--site").arg(node.folder.join(OPERATOR_FILE));
         command.stderr(Stdio::piped());
-        let child = command.spawn().expect("the node starts");
-        // Entered before anything is waited for: whatever happens, it is ended with the cluster.
-        node.former.extend(node.child.replace(child));
-        let child = node.child.as_mut().expect("just entered");
-        let stderr = child.stderr.take().expect("piped");
+        let child = command.spawn().expect("start the marbledeck process");
+        // The child is stored before any wait, so that dropping the cluster kills it even if a wait panics.
+        node.earlier_processes.extend(node.child.replace(child));
+        let child = node.child.as_mut().expect("the child was just stored");
+        let stderr = child.stderr.take().expect("stderr is piped");
         node.log.follow(stderr, format!("n{number}"));
     }
 
-    /// Waits for the addresses that a process logs after so many lines.
+    /// Waits until a process has logged its addresses. `log_length` is the length of the node's log before the start.
     fn wait_until_started(&mut self, number: usize, log_length: usize) {
         let node = &mut self.nodes[number - 1];
         let wait_for = |text| node.log.wait_for(log_length, text, TIMEOUT);
@@ -232,19 +242,19 @@
         if number > self.options.voters {
             return;
         }
-        let voter = wait_for("takes connections at ");
-        let voter: SocketAddr = voter.parse().expect("an address");
+        let voter_address = wait_for("takes connections at ");
+        let voter_address: SocketAddr = voter_address.parse().expect("the address of a voter");
         for other in &self.nodes {
-            other.voter_links[number - 1].set_target(Some(voter));
+            other.voter_links[number - 1].set_target(Some(voter_address));
         }
     }
 
-    /// What a node answers to `records`.
+    /// Returns a node's answer to the `records` call; empty if the node does not answer.
     pub fn records(&self, number: usize) -> String {
         self.call_admin(number, "records").unwrap_or_default()
     }
 
-    /// Sends a line to a node's operators' address; the whole answer.
+    /// Sends an operator's call to a node and returns the whole answer.
     pub fn call_admin(&self, number: usize, call: &str) -> Option<String> {
         let mut stream = TcpStream::connect(&self.nodes[number - 1].admin_address).ok()?;
         stream.set_read_timeout(Some(TIMEOUT)).ok()?;
@@ -254,27 +264,34 @@
         Some(answer)
     }
 
-    /// Waits until a node's records are so.
+    /// Waits until `condition` holds for a node's answer to the `records` call. `expected` describes the condition in
+    /// the message of a failure.
     ///
     /// # Panics
-    /// They do not come to that.
-    pub fn wait_for_records(&self, number: usize, what: &str, is: impl Fn(&str) -> bool) {
+    /// The condition does not hold within the time limit.
+    pub fn wait_for_records(
+        &self,
+        number: usize,
+        expected: &str,
+        condition: impl Fn(&str) -> bool,
+    ) {
         let deadline = Instant::now() + TIMEOUT;
         loop {
             let text = self.records(number);
-            if is(&text) {
+            if condition(&text) {
                 return;
             }
             assert!(
                 Instant::now() < deadline,
-                "node {number}: {what} is not seen in {text}"
+                "node {number} does not show {expected} within {TIMEOUT:?}; last records: {text}"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Waits until a line of a node's log holds this, then kills one of its processes: for what must happen while
-    /// another one starts. Tells whether it came to that.
+    /// Starts a thread that waits until a node has logged a line that contains `text`, and then kills the process `pid`
+    /// with SIGKILL. With it a test ends a process at a chosen point of a handover. The thread returns whether the
+    /// process was killed.
     pub fn kill_once_logged(
         &self,
         number: usize,
@@ -297,18 +314,19 @@
         })
     }
 
-    /// Whether a line of a node's log holds this.
+    /// Returns whether a node has logged a line that contains `text`.
     ///
     /// # Panics
-    /// A test has panicked.
+    /// Another thread has panicked with the lock of the log.
     pub fn logged(&self, number: usize, text: &str) -> bool {
         self.nodes[number - 1].log.contains(text)
     }
 
-    /// From now on no file of a node's may grow beyond so many bytes; none for no limit.
+    /// Limits the size of the files that a node's process writes (`RLIMIT_FSIZE`), to simulate a full disk; `None`
+    /// removes the limit.
     ///
     /// # Panics
-    /// It does not run, or the limit cannot be set.
+    /// The node does not run, or the limit cannot be set.
     pub fn limit_files(&self, number: usize, bytes: Option<u64>) {
         use rustix::process::{prlimit, Pid, Resource, Rlimit};
         let pid = self.pid(number).and_then(|pid| Pid::from_raw(pid as i32));
@@ -316,48 +334,56 @@
             current: bytes,
             maximum: None,
         };
-        prlimit(pid, Resource::Fsize, limit).expect("the limit of a child");
+        prlimit(pid, Resource::Fsize, limit).expect("set the file size limit of the node");
     }
 
-    /// Waits until a line of a node's log holds this.
+    /// Waits until a node has logged a line that contains `text`.
     ///
     /// # Panics
-    /// None does.
+    /// The node logs no such line within the time limit.
     pub fn wait_for_log_line(&self, number: usize, text: &str) {
         let deadline = Instant::now() + TIMEOUT;
         while !self.logged(number, text) {
             assert!(
                 Instant::now() < deadline,
-                "node {number} does not log '{text}'"
+                "node {number} does not log '{text}' within {TIMEOUT:?}"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// The voter that leads.
+    /// Waits until a voter is the leader and returns its number.
     ///
     /// # Panics
-    /// None does.
+    /// No voter is elected within the time limit.
     pub fn leader(&self) -> usize {
         let deadline = Instant::now() + TIMEOUT;
         loop {
             let voters = 1..=self.options.voters;
-            let runs = |n: &usize| self.nodes[n - 1].child.is_some();
+            let is_running = |n: &usize| self.nodes[n - 1].child.is_some();
             if let Some(leader) = voters
-                .filter(runs)
+                .filter(is_running)
                 .find(|n| self.records(*n).contains(" leads,"))
             {
                 return leader;
             }
-            assert!(Instant::now() < deadline, "no voter leads");
+            assert!(
+                Instant::now() < deadline,
+                "no voter is the leader within {TIMEOUT:?}"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Kills a node.
+    /// Kills all processes of a node, and clears the target of the links to it if it is a voter.
     pub fn kill(&mut self, number: usize) {
         let node = &mut self.nodes[number - 1];
-        for mut child in node.child.take().into_iter().chain(node.former.drain(..)) {
+        for mut child in node
+            .child
+            .take()
+            .into_iter()
+            .chain(node.earlier_processes.drain(..))
+        {
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -366,29 +392,35 @@
         }
     }
 
-    /// Sends a node a signal, by its name.
+    /// Sends a signal, an option of `kill` such as `-TERM`, to a node.
     ///
     /// # Panics
-    /// It does not run.
+    /// The node does not run, or the signal cannot be sent.
     pub fn signal(&self, number: usize, signal: &str) {
-        let child = self.nodes[number - 1].child.as_ref().expect("it runs");
+        let child = self.nodes[number - 1]
+            .child
+            .as_ref()
+            .expect("the node runs");
         let sent = Command::new("kill")
             .args([signal, &child.id().to_string()])
             .status();
-        assert!(sent.is_ok_and(|status| status.success()), "kill {signal}");
+        assert!(
+            sent.is_ok_and(|status| status.success()),
+            "kill {signal} failed for node {number}"
+        );
     }
 
-    /// The id of a node's process.
+    /// Returns the id of a node's newest process, or `None` after [`Cluster::kill`].
     pub fn pid(&self, number: usize) -> Option<u32> {
         self.nodes[number - 1].child.as_ref().map(Child::id)
     }
 
-    /// Where a voter keeps what it must not forget.
+    /// Returns the folder of a voter's durable store.
     pub fn store(&self, number: usize) -> PathBuf {
         self.nodes[number - 1].folder.join("store")
     }
 
-    /// A folder of its own.
+    /// Returns the temporary folder of the cluster, which is removed on drop.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's discovery: the whole list, watches on its changes, and the ways in which answers may
-//! come.
+//! A stub of the platform's discovery. It serves the whole list of endpoints and answers long polls for changes. A test
+//! sets the encoding of its answers and how their bytes are delivered.
 
 use crate::accept::{listen, serve_connections};
 use crate::http;
@@ -10,56 +10,58 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The longest that a watch waits.
+/// Upper bound on `wait_ms`, the time that a long poll waits for a change.
 const MAX_WAIT_MS: u64 = 60_000;
-/// The bytes of a chunk, where answers come in chunks.
+/// Size of a chunk in answers with chunked transfer coding.
 const CHUNK_BYTES: usize = 4000;
 
-/// The form of an answer's body.
+/// The encoding of an answer's body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AnswerForm {
-    /// JSON without white space, its length in the head.
+    /// JSON without white space, with `Content-Length`.
     #[default]
     Compact,
-    /// Indented JSON, its length in the head.
+    /// Indented JSON, with `Content-Length`.
     Indented,
-    /// JSON without white space, in chunks.
+    /// JSON without white space, with chunked transfer coding.
     Chunked,
 }
 
-/// How the bytes of an answer come.
+/// How the bytes of an answer are delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// All at once.
+    /// All bytes at once.
     #[default]
     AtOnce,
-    /// So many bytes, and then the same number again after each pause.
+    /// Pieces of equal size with a pause after each.
     Paced {
-        /// The bytes of a piece.
+        /// Number of bytes in a piece.
         bytes: usize,
-        /// The time between two pieces.
+        /// Time between two pieces.
         pause: Duration,
     },
-    /// So many bytes; the rest after [`DiscoveryStub::resume`].
+    /// This number of bytes; the rest follows after a call of [`DiscoveryStub::resume`].
     StopAfter(usize),
-    /// So many bytes, and then the end of the connection.
+    /// This number of bytes; then the connection is closed.
     CutAfter(usize),
 }
 
-/// An entry of the list, as a test sets it.
+/// An entry for [`DiscoveryStub::set_workers`].
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint<'a> {
     /// The worker's id.
     pub id: &'a str,
-    /// Where it listens.
+    /// The address at which the worker listens.
     pub address: SocketAddr,
     /// `up`, `draining` or `removed`.
     pub phase: &'a str,
 }
 
+/// An entry of the list. Entries in phase `removed` are kept so that changes can report them.
 struct ListedWorker {
-    /// The revision of its last change.
+    /// The revision of the list at which this entry was last changed.
     revision: u64,
+    /// The entry as it is sent.
     member: Value,
 }
 
@@ -79,39 +81,40 @@
     workers: Vec<ListedWorker>,
     form: AnswerForm,
     delivery: Delivery,
-    /// Changes come as whole lists.
+    /// Whether changes are answered with the whole list.
     sends_whole_lists: bool,
-    /// Counts the calls of [`DiscoveryStub::resume`].
-    resumed: u64,
+    /// Number of calls of [`DiscoveryStub::resume`].
+    resume_count: u64,
     is_down: bool,
-    /// How many answers were begun.
+    /// Number of answers of which at least the start was sent.
     answers: usize,
-    /// A change counts as told when it is made, or when discovery is back, not when it is written.
-    pushes: bool,
-    /// When it was first told that a worker is not up, by its id; as long as it is not.
+    /// Whether lists are pushed. A change then counts as reported when it is made, or when an outage ends, instead of
+    /// when an answer reports it.
+    pushes_lists: bool,
+    /// For each worker that is not up, by its id: when discovery first reported that.
     notices: HashMap<String, Instant>,
 }
 
-/// The stand-in; it serves until the program ends.
+/// A stub of discovery, which serves until the program exits.
 #[derive(Clone)]
 pub struct DiscoveryStub {
-    /// Where to connect.
+    /// The address at which it listens.
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
-/// An answer that is to be written.
+/// An answer before its encoding.
 struct Answer {
     body: Value,
-    /// The ids of the workers that it says are not up.
+    /// The ids of the workers that the answer reports as not up.
     not_up: Vec<String>,
 }
 
 impl DiscoveryStub {
-    /// Listens on a free port, with an empty list.
+    /// Starts a stub with an empty list on a free port.
     ///
     /// # Panics
-    /// No port is free.
+    /// The listener cannot be bound.
     pub fn start() -> Self {
         let (listener, address) = listen();
         let discovery = DiscoveryStub {
@@ -126,7 +129,7 @@
         self.state.0.lock().expect("no panic holds it")
     }
 
-    /// Sets a worker's entry; `phase` is `up`, `draining` or `removed`.
+    /// Sets the entry of a worker and moves it to the end of the list; `phase` is `up`, `draining` or `removed`.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -141,7 +144,7 @@
         self.state.1.notify_all();
     }
 
-    /// Sets the entries of many workers in one change of the list; they come last, in this order.
+    /// Sets the entries of several workers in one revision and moves them to the end of the list, in this order.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -162,7 +165,7 @@
         self.state.1.notify_all();
     }
 
-    /// From now on answers have this form, and come in this way.
+    /// Sets the encoding and the delivery of later answers.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -171,24 +174,24 @@
         (state.form, state.delivery) = (form, delivery);
     }
 
-    /// From now on changes come as whole lists, or as changes again.
+    /// Sets whether later long polls are answered with the whole list instead of the changes.
     ///
     /// # Panics
     /// A thread has panicked before.
-    pub fn set_whole_lists(&self, whole: bool) {
-        self.state().sends_whole_lists = whole;
+    pub fn set_whole_lists(&self, whole_lists: bool) {
+        self.state().sends_whole_lists = whole_lists;
     }
 
-    /// Has the answers go on that have stopped.
+    /// Sends the rest of the answers that [`Delivery::StopAfter`] has stopped.
     ///
     /// # Panics
     /// A thread has panicked before.
     pub fn resume(&self) {
-        self.state().resumed += 1;
+        self.state().resume_count += 1;
         self.state.1.notify_all();
     }
 
-    /// Goes down: connections end, and new ones end at once; or comes back.
+    /// Starts or ends an outage. During an outage every request ends with a closed connection and no answer.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -199,7 +202,7 @@
         self.state.1.notify_all();
     }
 
-    /// How many answers were begun.
+    /// Returns the number of answers of which at least the start was sent.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -207,8 +210,8 @@
         self.state().answers
     }
 
-    /// When it was first told that a worker is not up: by the first byte of an answer, or where lists are pushed by the
-    /// change itself. None while it is up, or nothing was told.
+    /// Returns when discovery first reported that a worker is not up: the time of the first answer that says so or, if
+    /// lists are pushed, the time of the change. `None` if the worker is up or the change was not reported yet.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -216,16 +219,17 @@
         self.state().notices.get(id).copied()
     }
 
-    /// From now on lists count as pushed: a change is told when it is made, or when discovery is back.
+    /// Treats lists as pushed from now on: a change counts as reported when it is made or, if it is made during an
+    /// outage, when the outage ends.
     ///
     /// # Panics
     /// A thread has panicked before.
     pub fn push_lists(&self) {
-        self.state().pushes = true;
+        self.state().pushes_lists = true;
     }
 
-    /// Forgets what was told before of workers that are not up: a new process has not heard it, but where lists are
-    /// pushed, which counts from its start.
+    /// Clears the times that [`DiscoveryStub::notice`] returns, since a new process of the node has not received the
+    /// earlier answers. If lists are pushed, the current state counts as reported now.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -235,7 +239,7 @@
         state.push_notices();
     }
 
-    /// The whole list in discovery's form.
+    /// Returns the whole list, encoded as discovery sends it.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -265,7 +269,7 @@
         let _ = stream.shutdown(Shutdown::Both);
     }
 
-    /// Waits for changes after this revision. None where discovery goes down.
+    /// Waits up to `wait_ms` for a revision after `after` and returns the changes. `None` if an outage starts.
     fn changes(&self, after: u64, wait_ms: u64) -> Option<Answer> {
         let end = Instant::now() + Duration::from_millis(wait_ms.min(MAX_WAIT_MS));
         let mut state = self.state();
@@ -277,9 +281,9 @@
             let waited = self.state.1.wait_timeout(state, left);
             state = waited.expect("no panic holds it").0;
         }
-        let is_whole = state.sends_whole_lists && state.revision > after;
+        let sends_whole_list = state.sends_whole_lists && state.revision > after;
         let answer = || {
-            if is_whole {
+            if sends_whole_list {
                 state.whole_list()
             } else {
                 state.changes_after(after)
@@ -288,9 +292,9 @@
         (!state.is_down).then(answer)
     }
 
-    /// Writes an answer as the test wants it. None where the connection is to end.
+    /// Writes an answer with the current encoding and delivery. `None` if the connection must be closed.
     fn write(&self, stream: &mut TcpStream, answer: &Answer) -> Option<()> {
-        let (form, delivery, resumed) = {
+        let (form, delivery, resume_count) = {
             let mut state = self.state();
             if state.is_down {
                 return None;
@@ -300,7 +304,7 @@
             for id in &answer.not_up {
                 state.notices.entry(id.clone()).or_insert(now);
             }
-            (state.form, state.delivery, state.resumed)
+            (state.form, state.delivery, state.resume_count)
         };
         let bytes = encode(form, &answer.body);
         match delivery {
@@ -319,7 +323,7 @@
                     return Some(());
                 }
                 let state = self.state();
-                let stopped = |state: &mut State| state.resumed == resumed;
+                let stopped = |state: &mut State| state.resume_count == resume_count;
                 drop(self.state.1.wait_while(state, stopped));
                 stream.write_all(rest).ok()
             }
@@ -332,9 +336,9 @@
 }
 
 impl State {
-    /// Where lists are pushed, all that discovery has is told, unless it is down.
+    /// If lists are pushed and there is no outage, records that the current state was reported.
     fn push_notices(&mut self) {
-        if !self.pushes || self.is_down {
+        if !self.pushes_lists || self.is_down {
             return;
         }
         let now = Instant::now();
@@ -345,7 +349,7 @@
         }
     }
 
-    /// What was said before of these workers is over.
+    /// Forgets when these workers were first reported as not up.
     fn forget_notices<'a>(&mut self, ids: impl IntoIterator<Item = &'a str>) {
         for id in ids {
             self.notices.remove(id);
@@ -355,7 +359,7 @@
     fn whole_list(&self) -> Answer {
         let workers = self.workers.iter();
         let present = workers.filter(|worker| worker.member["phase"] != "removed");
-        // Who is gone is missing: that says as much.
+        // A removed worker is missing in a whole list, which also reports that it is not up.
         let not_up = self.workers.iter().filter(|worker| !worker.is_up());
         self.answer(true, present, not_up)
     }
@@ -367,6 +371,8 @@
         self.answer(false, changed, not_up)
     }
 
+    /// An answer with these entries. `complete` marks a whole list, and `not_up` are the workers that the answer
+    /// reports as not up.
     fn answer<'a>(
         &self,
         complete: bool,
@@ -382,12 +388,13 @@
     }
 }
 
+/// The JSON form of an entry.
 fn member(id: &str, address: SocketAddr, phase: &str, cell: usize) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "east", "flavor": "std",
         "cell": cell, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// An answer's head and body.
+/// Encodes the head and the body of an answer.
 fn encode(form: AnswerForm, body: &Value) -> Vec<u8> {
     let text = match form {
         AnswerForm::Indented => serde_json::to_string_pretty(body).unwrap_or_default(),
--- a/crates/test-support/src/environment.rs
+++ b/crates/test-support/src/environment.rs
@@ -1,4 +1,4 @@
-//! A node with its submission front, between the stand-ins.
+//! A test environment of one node with a submission front, stubs of the workers and a stub of discovery.
 
 use crate::process_log::ProcessLog;
 use crate::{DiscoveryStub, WorkerStub};
@@ -11,35 +11,36 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Far longer than anything takes; only a failure waits for so long.
+/// Time limit of every wait. It is far longer than a wait takes unless the test fails.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What an environment is made of.
+/// Options of a [`TestEnvironment`].
 #[derive(Clone, Debug)]
 pub struct EnvironmentOptions {
-    /// Worker stand-ins.
+    /// Number of worker stubs.
     pub workers: usize,
-    /// The free slots that each worker reports.
+    /// Number of slots of each worker.
     pub slots: usize,
-    /// Further lines of the submission front's file.
+    /// Additional lines of the `[submission]` table of the operator file.
     pub submission_keys: String,
-    /// The node's limit on memory.
+    /// The `memory_mb` limit in the node's configuration.
     pub memory_mb: usize,
-    /// The node's limit on descriptors.
+    /// The `sockets` limit in the node's configuration.
     pub sockets: usize,
-    /// What the token buckets of a tenant bear, in jobs a second.
+    /// The quota of each tenant, in jobs per second.
     pub quota: f64,
-    /// Further parts of the operator file.
+    /// Additional tables of the operator file.
     pub operator_keys: String,
-    /// Where the other nodes take datagrams; this one has the number 0.
+    /// Gossip addresses of the other nodes. The node of this environment has the index 0.
     pub peers: Vec<SocketAddr>,
-    /// How many of the workers discovery lists; all of them where none.
+    /// Number of workers that discovery lists at the start, or `None` for all of them.
     pub listed_workers: Option<usize>,
-    /// How the settings say that lists come: `subscribe` where the node asks for them; else they are pushed.
+    /// The `registry-mode` setting: with `subscribe` the node polls discovery for lists, otherwise lists are pushed to
+    /// it.
     pub registry_mode: &'static str,
-    /// The list in the node's file; that of discovery at the start of the process where none.
+    /// The endpoint list in the node's configuration, or `None` for discovery's list at the start of the process.
     pub known: Option<serde_json::Value>,
-    /// The least important level that the node logs.
+    /// The log level of the node.
     pub log_level: &'static str,
 }
 
@@ -62,38 +63,41 @@
     }
 }
 
-/// The environment: it ends its node when it is dropped.
+/// A node with the stubs that it speaks to. Dropping it kills the node's processes.
 pub struct TestEnvironment {
-    /// Discovery.
+    /// The stub of discovery.
     pub discovery: DiscoveryStub,
-    /// The workers.
+    /// The worker stubs.
     pub workers: Vec<WorkerStub>,
-    /// Where submitters connect.
+    /// The address for submitters.
     pub submission_address: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub client_address: String,
-    /// Where operators connect, at the process that was started last.
+    /// The address for operators, of the process that was started last.
     pub admin_address: String,
     folder: PathBuf,
     options: EnvironmentOptions,
     processes: Vec<Child>,
-    started: u64,
+    /// Number of processes started so far, those that have ended included.
+    spawn_count: u64,
     log: ProcessLog,
 }
 
-/// The node's program, as it was built beside the one that asks.
+/// Returns the path of the `marbledeck` binary that was built in the same profile as the running program.
 ///
 /// # Panics
-/// It was not built.
+/// The binary has not been built.
 pub fn binary() -> PathBuf {
-    let own = std::env::current_exe().expect("a program has a path");
-    let found = own.ancestors().map(|folder| folder.join("marbledeck"));
+    let executable = std::env::current_exe().expect("the path of this program");
+    let found = executable
+        .ancestors()
+        .map(|folder| folder.join("marbledeck"));
     let found = found.into_iter().find(|path| path.is_file());
-    found.expect("build the node first: cargo build, in the same profile")
+    found.expect("marbledeck binary not found: run cargo build in the same profile first")
 }
 
 impl TestEnvironment {
-    /// Starts the stand-ins and a node, and waits until it serves.
+    /// Starts the stubs and the node, and waits until the node accepts connections.
     ///
     /// # Panics
     /// The node does not start.
@@ -101,16 +105,16 @@
         TestEnvironment::start_with(options, |_| {})
     }
 
-    /// As [`TestEnvironment::start`], after discovery was prepared.
+    /// Like [`TestEnvironment::start`], but calls `prepare` on the discovery stub before the node starts.
     ///
     /// # Panics
     /// The node does not start.
     pub fn start_with(options: EnvironmentOptions, prepare: impl FnOnce(&DiscoveryStub)) -> Self {
-        static COUNT: AtomicU64 = AtomicU64::new(0);
-        let number = COUNT.fetch_add(1, Ordering::SeqCst);
+        static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let name = format!("marbledeck-test-support-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
-        fs::create_dir_all(&folder).expect("a folder for temporary files");
+        fs::create_dir_all(&folder).expect("create the folder of the test environment");
         let discovery = DiscoveryStub::start();
         let worker = |n: usize| WorkerStub::start(&format!("w{n}"), options.slots);
         let workers: Vec<WorkerStub> = (1..=options.workers).map(worker).collect();
@@ -130,17 +134,19 @@
             folder,
             options,
             processes: Vec::new(),
-            started: 0,
+            spawn_count: 0,
             log: ProcessLog::default(),
         };
         environment.spawn();
         environment
     }
 
+    /// The JSON configuration of the next process.
     fn config(&self) -> String {
         let (memory, sockets) = (self.options.memory_mb, self.options.sockets);
-        let (quota, started) = (self.options.quota, self.started);
-        // Where this one takes datagrams is known to whoever receives one from it.
+        let (quota, spawn_count) = (self.options.quota, self.spawn_count);
+        // The first peer is this node itself. Its gossip port is chosen at the start, and its peers learn the port from
+        // its datagrams.
         let mut peers = "\"127.0.0.1:1\"".to_owned();
         for peer in &self.options.peers {
             let _ = write!(peers, ",\"{peer}\"");
@@ -148,7 +154,7 @@
         let may_gossip = !self.options.peers.is_empty();
         let mode = self.options.registry_mode;
         format!(
-            r#"{{"name":"n0","seed":"{started:x}7","discovery":"{}",
+            r#"{{"name":"n0","seed":"{spawn_count:x}7","discovery":"{}",
             "limits":{{"memory_mb":{memory},"sockets":{sockets}}},
             "peer_listen":"127.0.0.1:0","peers":[{peers}],
             "known":{},
@@ -171,22 +177,23 @@
         )
     }
 
-    /// The list in the node's file.
+    /// The endpoint list in the configuration of the next process.
     fn known_list(&self) -> serde_json::Value {
         let known = self.options.known.clone();
         known.unwrap_or_else(|| self.discovery.endpoint_list())
     }
 
+    /// Writes the configuration, starts a process and waits until it has logged its addresses.
     fn spawn(&mut self) {
-        self.started += 1;
+        self.spawn_count += 1;
         let config = self.folder.join("config.json");
-        fs::write(&config, self.config()).expect("written");
-        let site = self.folder.join("site.toml");
+        fs::write(&config, self.config()).expect("write the node configuration");
+        let operator_file = self.folder.join("site.toml");
         let text = format!(
             "[submission]\nlisten = \"{}\"\n{}\n{}\n",
             self.submission_address, self.options.submission_keys, self.options.operator_keys
         );
-        fs::write(&site, text).expect("written");
+        fs::write(&operator_file, text).expect("write the operator file");
         let mut command = Command::new(binary());
         command
             .env("LB_CONFIG", &config)
@@ -196,12 +203,16 @@
             .env("TMPDIR", &self.folder);
         command.env_remove("LB_NAME").env_remove("LB_DISCOVERY");
         command.env("MARBLEDECK_LOG", self.options.log_level);
-        command.arg("--site").arg(&site).stderr(Stdio::piped());
-        let mut child = command.spawn().expect("the node starts");
-        let stderr = child.stderr.take().expect("piped");
+        command
+            .arg("--site")
+            .arg(&operator_file)
+            .stderr(Stdio::piped());
+        let mut child = command.spawn().expect("start the marbledeck process");
+        let stderr = child.stderr.take().expect("stderr is piped");
         self.processes.push(child);
         let log_length = self.log.len();
-        self.log.follow(stderr, format!("node {}", self.started));
+        self.log
+            .follow(stderr, format!("node {}", self.spawn_count));
         let wait_for = |text| self.log.wait_for(log_length, text, TIMEOUT);
         let submission_address = wait_for("takes submissions at ");
         let admin_address = wait_for("answers operators at ");
@@ -210,33 +221,36 @@
         self.admin_address = admin_address;
     }
 
-    /// Starts another process of the node beside the one that runs, and waits until it serves.
+    /// Starts a second process of the node, which takes over from the running one, and waits until it serves.
     ///
     /// # Panics
-    /// It does not serve in time.
+    /// The new process does not serve within the time limit.
     pub fn start_successor(&mut self) {
         self.spawn();
         let deadline = Instant::now() + TIMEOUT;
         while self.call_admin("check").as_deref() != Some("ACK serving") {
-            assert!(Instant::now() < deadline, "the new process does not serve");
+            assert!(
+                Instant::now() < deadline,
+                "the new process does not serve within {TIMEOUT:?}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Waits until a line of the log of any process holds this text. Returns what follows it.
+    /// Waits until a process has logged a line that contains `text`, and returns the rest of the line.
     ///
     /// # Panics
-    /// There is none in time.
+    /// No process logs such a line within the time limit.
     pub fn wait_for_log(&self, text: &str) -> String {
         self.log.wait_for(0, text, TIMEOUT)
     }
 
-    /// Whether a line of the log of any process holds this text.
+    /// Returns whether any process has logged a line that contains `text`.
     pub fn has_logged(&self, text: &str) -> bool {
         self.log.contains(text)
     }
 
-    /// What the node tells of its workers, a line each.
+    /// Returns all lines of the `members` call, one per worker, and reads page after page.
     pub fn members(&self) -> Vec<String> {
         let mut lines: Vec<String> = Vec::new();
         let mut call = "members".to_owned();
@@ -244,45 +258,48 @@
             let page = self.read_admin(&call);
             let page = page.lines().filter(|line| !line.starts_with("--"));
             lines.extend(page.map(str::to_owned));
-            let last = lines.last().and_then(|line| line.split(' ').next());
-            match last.map(|last| format!("members after {last}")) {
+            let last_id = lines.last().and_then(|line| line.split(' ').next());
+            match last_id.map(|id| format!("members after {id}")) {
                 Some(next) if next != call => call = next,
                 _ => return lines,
             }
         }
     }
 
-    /// All that a node answers to a call of an operator.
+    /// Sends an operator's call and returns all lines of the answer; empty if the connection fails.
     fn read_admin(&self, call: &str) -> String {
         use std::io::{Read, Write};
         let mut text = String::new();
         if let Ok(mut stream) = std::net::TcpStream::connect(&self.admin_address) {
-            let said = stream.write_all(format!("{call}\n").as_bytes());
-            let _ = said.and_then(|()| stream.read_to_string(&mut text).map(drop));
+            let written = stream.write_all(format!("{call}\n").as_bytes());
+            let _ = written.and_then(|()| stream.read_to_string(&mut text).map(drop));
         }
         text
     }
 
-    /// Waits until the line of a worker is so; none for one that has none.
+    /// Waits until `condition` holds for the worker's line of the `members` call; `None` stands for no line.
     ///
     /// # Panics
-    /// It does not come to that.
-    pub fn wait_for_member(&self, id: &str, is: impl Fn(Option<&str>) -> bool) {
+    /// The condition does not hold within the time limit.
+    pub fn wait_for_member(&self, id: &str, condition: impl Fn(Option<&str>) -> bool) {
         let deadline = Instant::now() + TIMEOUT;
         loop {
             let members = self.members();
             let line = members
                 .iter()
                 .find(|line| line.split(' ').next() == Some(id));
-            if is(line.map(String::as_str)) {
+            if condition(line.map(String::as_str)) {
                 return;
             }
-            assert!(Instant::now() < deadline, "{id}: {line:?}");
+            assert!(
+                Instant::now() < deadline,
+                "member {id} is not in the expected state after {TIMEOUT:?}: {line:?}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Sends a line to the operators' address of the process that was started last.
+    /// Sends an operator's call to the process that was started last and returns the first line of the answer.
     pub fn call_admin(&self, call: &str) -> Option<String> {
         use std::io::Write;
         let mut stream = std::net::TcpStream::connect(&self.admin_address).ok()?;
@@ -292,21 +309,24 @@
         Some(answer.trim_end().to_owned())
     }
 
-    /// Sends a signal to the process that was started as this one, from 0 on.
+    /// Sends a signal to a process. `index` counts the processes in the order of their start, from 0.
     ///
     /// # Panics
-    /// It cannot be sent.
-    pub fn signal(&self, which: usize, signal: &str) {
-        let id = self.processes[which].id().to_string();
-        let sent = Command::new("kill").args([signal, &id]).status();
-        assert!(sent.is_ok_and(|status| status.success()), "kill {signal}");
+    /// The signal cannot be sent.
+    pub fn signal(&self, index: usize, signal: &str) {
+        let pid = self.processes[index].id().to_string();
+        let sent = Command::new("kill").args([signal, &pid]).status();
+        assert!(
+            sent.is_ok_and(|status| status.success()),
+            "kill {signal} {pid} failed"
+        );
     }
 
-    /// Waits for the end of a process; tells whether its status was 0.
-    pub fn exits_cleanly(&mut self, which: usize) -> bool {
+    /// Waits for a process to exit and returns whether its exit status is 0; `false` if it doesn't exit in time.
+    pub fn exits_cleanly(&mut self, index: usize) -> bool {
         let deadline = Instant::now() + TIMEOUT;
         loop {
-            match self.processes[which].try_wait() {
+            match self.processes[index].try_wait() {
                 Ok(Some(status)) => return status.success(),
                 _ if Instant::now() > deadline => return false,
                 _ => std::thread::sleep(Duration::from_millis(5)),
@@ -314,21 +334,21 @@
         }
     }
 
-    /// The list in the file of processes that are started from now on; the newest where none.
+    /// Sets the endpoint list in the configuration of later processes; `None` stands for discovery's current list.
     pub fn set_known(&mut self, known: Option<serde_json::Value>) {
         self.options.known = known;
     }
 
-    /// The process id of the node that was started last.
+    /// Returns the id of the process that was started last.
     ///
     /// # Panics
-    /// None was started.
+    /// No process was started.
     pub fn process_id(&self) -> u32 {
-        self.processes.last().expect("started").id()
+        self.processes.last().expect("a process was started").id()
     }
 
-    /// Has the node that was started last end by SIGTERM, and by SIGKILL after so long; then starts another at the same
-    /// addresses. Returns whether it has ended by itself, with status 0.
+    /// Sends SIGTERM to the process that was started last, and SIGKILL if it still runs after `kill_after`. Then starts
+    /// another process at the same addresses. Returns whether the old process exited after SIGTERM with status 0.
     ///
     /// # Panics
     /// The node does not start.
@@ -345,7 +365,7 @@
         status.is_some_and(|status| status.success())
     }
 
-    /// Kills the node that was started last, and starts another at the same addresses.
+    /// Kills the process that was started last, and starts another one at the same addresses.
     pub fn crash_and_restart(&mut self) {
         if let Some(mut child) = self.processes.pop() {
             let _ = child.kill();
@@ -354,23 +374,23 @@
         self.spawn();
     }
 
-    /// The most memory that the node that was started last has held, in KiB.
+    /// Returns the peak resident memory of the process that was started last, in KiB.
     pub fn peak_kib(&self) -> Option<u64> {
-        let id = self.processes.last()?.id();
-        let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
+        let pid = self.processes.last()?.id();
+        let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
         line.split_ascii_whitespace().nth(1)?.parse().ok()
     }
 
-    /// The memory that it holds now, in KiB.
+    /// Returns the current resident memory of the process that was started last, in KiB.
     pub fn resident_kib(&self) -> Option<u64> {
-        let id = self.processes.last()?.id();
-        let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
+        let pid = self.processes.last()?.id();
+        let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
         line.split_ascii_whitespace().nth(1)?.parse().ok()
     }
 
-    /// A folder of its own.
+    /// Returns the temporary folder of the environment, which is removed on drop.
     pub fn folder(&self) -> &std::path::Path {
         &self.folder
     }
--- a/crates/test-support/src/eureka.rs
+++ b/crates/test-support/src/eureka.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a Eureka registry, on the public wire of its REST operations: register, renew, cancel, status
-//! overrides, whole lists and deltas, JSON and XML. A test can make it fail in several ways.
+//! A stub of a Eureka registry. It implements Eureka's REST operations register, renew, cancel, status override, full
+//! list and delta, in JSON and XML. A test can inject faults with [`EurekaBehaviour`].
 
 use crate::accept::{listen, serve_connections};
 use crate::http::{self, Request};
@@ -10,25 +10,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a registry does besides answering as it should.
+/// Faults of the registry; the default has none.
 #[derive(Clone, Debug, Default)]
 pub struct EurekaBehaviour {
-    /// Answers come so late.
+    /// Delay before each answer.
     pub delay: Duration,
-    /// Requests are read and never answered.
+    /// Requests are read but never answered.
     pub silent: bool,
-    /// Every request gets this status.
+    /// Every request is answered with this HTTP status and an empty body.
     pub status: Option<u16>,
-    /// Answers break off after so many bytes.
+    /// The connection is closed after this number of bytes of an answer.
     pub truncate_after: Option<usize>,
-    /// The hash code is never right.
+    /// `apps__hashcode` does not match the registered instances.
     pub wrong_hash: bool,
-    /// Changes do not show up in deltas.
+    /// Changes are left out of deltas.
     pub omits_deltas: bool,
-    /// Lists and deltas are empty.
+    /// Lists and deltas contain no instances.
     pub empty: bool,
 }
 
+/// A registered instance with its lease.
 #[derive(Clone)]
 struct Registration {
     instance: Map<String, Value>,
@@ -39,31 +40,32 @@
 
 #[derive(Default)]
 struct State {
-    /// By application and id.
+    /// Registered instances, by application and instance id.
     registrations: BTreeMap<(String, String), Registration>,
-    /// What has changed, and when.
-    recent: Vec<(Instant, String, Value)>,
+    /// Changes that deltas report: the time, the application and the instance.
+    recent_changes: Vec<(Instant, String, Value)>,
     behaviour: EurekaBehaviour,
-    /// How often each path was requested.
+    /// Number of requests of each path.
     requests: BTreeMap<String, usize>,
+    /// Number of cancels and expiries of each instance.
     cancelled: BTreeMap<(String, String), usize>,
-    /// Leases that run out are removed.
+    /// Whether instances are removed when their lease expires.
     expires: bool,
 }
 
-/// The stand-in; it serves until the program ends.
+/// A stub of a Eureka registry, which serves until the program exits.
 #[derive(Clone)]
 pub struct EurekaStub {
-    /// Where to connect.
+    /// The address at which it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-/// For how long a change shows up in deltas.
-const RECENT: Duration = Duration::from_secs(180);
+/// Time for which a change is reported in deltas, as in Eureka's default configuration.
+const DELTA_RETENTION: Duration = Duration::from_secs(180);
 
 impl EurekaStub {
-    /// Listens on a free port.
+    /// Starts an empty registry on a free port.
     pub fn start() -> Self {
         let (listener, address) = listen();
         let registry = EurekaStub {
@@ -74,7 +76,7 @@
         registry
     }
 
-    /// Where clients find it.
+    /// Returns the base URL for clients.
     pub fn url(&self) -> String {
         format!("http://{}/eureka", self.address)
     }
@@ -83,24 +85,24 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// From now on it behaves like this.
+    /// Sets the faults of later answers.
     pub fn set_behaviour(&self, behaviour: EurekaBehaviour) {
         self.state().behaviour = behaviour;
     }
 
-    /// From now on leases run out.
+    /// Removes instances from now on when their lease expires.
     pub fn enable_expiry(&self) {
         self.state().expires = true;
     }
 
-    /// Forgets everything, as at a restart.
+    /// Removes all registrations and changes, as a restart of the registry does.
     pub fn restart(&self) {
         let mut state = self.state();
         state.registrations.clear();
-        state.recent.clear();
+        state.recent_changes.clear();
     }
 
-    /// An instance's status as it is as_shown; none where it is not registration.
+    /// Returns the status of an instance as clients see it, with its override applied; `None` if it is not registered.
     pub fn status(&self, app: &str, id: &str) -> Option<String> {
         let state = self.state();
         let registration = state
@@ -110,18 +112,18 @@
         as_shown["status"].as_str().map(str::to_owned)
     }
 
-    /// How often an instance was cancelled, or has expired.
+    /// Returns how often an instance was cancelled or has expired.
     pub fn cancels(&self, app: &str, id: &str) -> usize {
         let key = (app.to_uppercase(), id.to_owned());
         self.state().cancelled.get(&key).copied().unwrap_or(0)
     }
 
-    /// How often a path was requested.
+    /// Returns how often a path was requested.
     pub fn request_count(&self, path: &str) -> usize {
         self.state().requests.get(path).copied().unwrap_or(0)
     }
 
-    /// Registers a worker as its own client would.
+    /// Registers a worker as its own Eureka client would.
     pub fn register(&self, app: &str, id: &str, addr: SocketAddr) {
         let instance = json!({"instanceId": id, "hostName": id, "app": app, "ipAddr": addr.ip().to_string(),
             "status": "UP", "port": {"$": addr.port(), "@enabled": "true"}, "vipAddress": "render",
@@ -129,12 +131,13 @@
         self.state().register(app, id, instance);
     }
 
-    /// Sets a status from outside; `UP` takes it back.
+    /// Overrides the status of an instance; `UP` removes the override.
     pub fn override_status(&self, app: &str, id: &str, status: &str) {
         self.state().set_status(app, id, status);
     }
 
-    /// Removes an instance, as by its own cancel after it has said DOWN, or else as an expired lease.
+    /// Removes an instance. With `on_purpose` it sets its status to DOWN and cancels itself; otherwise its lease
+    /// expires.
     pub fn remove(&self, app: &str, id: &str, on_purpose: bool) {
         let mut state = self.state();
         let key = (app.to_uppercase(), id.to_owned());
@@ -146,6 +149,7 @@
         state.cancel(&key);
     }
 
+    /// Answers the requests of a connection, with the faults that are set.
     fn serve(&self, mut stream: TcpStream) {
         let Ok(reading) = stream.try_clone() else {
             return;
@@ -210,12 +214,12 @@
     }
 }
 
-/// The key of an instance.
+/// The key of an instance; Eureka writes application names in upper case.
 fn key(app: &str, id: &str) -> (String, String) {
     (app.to_uppercase(), id.to_owned())
 }
 
-/// An answer of the registry.
+/// An HTTP response before the head is written.
 struct Answer {
     status: u16,
     content_type: &'static str,
@@ -246,7 +250,7 @@
 }
 
 impl State {
-    /// Registers an instance; the status of the answer.
+    /// Handles a registration and returns the HTTP status of the answer.
     fn handle_register(&mut self, app: &str, request: &Request) -> u16 {
         let Ok(value) = serde_json::from_slice::<Value>(&request.body) else {
             return 400;
@@ -261,7 +265,7 @@
         204
     }
 
-    /// Renews, cancels or overrides an instance; the status of the answer.
+    /// Handles a renewal, a cancel or a status override, and returns the HTTP status of the answer.
     fn handle_instance(&mut self, app: &str, id: &str, rest: &[&str], request: &Request) -> u16 {
         let key = key(app, id);
         if !self.registrations.contains_key(&key) {
@@ -284,7 +288,8 @@
         200
     }
 
-    fn stamp() -> String {
+    /// The current time in milliseconds since the epoch, as Eureka writes timestamps.
+    fn timestamp() -> String {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         now.unwrap_or_default().as_millis().to_string()
     }
@@ -296,22 +301,23 @@
         let app = app.to_uppercase();
         instance.insert("instanceId".to_owned(), id.into());
         instance.insert("app".to_owned(), app.clone().into());
-        instance.insert("lastDirtyTimestamp".to_owned(), Self::stamp().into());
-        let lease = &instance
+        instance.insert("lastDirtyTimestamp".to_owned(), Self::timestamp().into());
+        let lease_secs = &instance
             .get("leaseInfo")
             .map(|lease| lease["durationInSecs"].clone());
-        let lease = lease.as_ref().and_then(Value::as_u64).unwrap_or(90);
+        let lease_secs = lease_secs.as_ref().and_then(Value::as_u64).unwrap_or(90);
         let registration = Registration {
             instance,
             overridden_status: None,
             renewed: Instant::now(),
-            lease: Duration::from_secs(lease),
+            lease: Duration::from_secs(lease_secs),
         };
         let key = (app, id.to_owned());
         self.registrations.insert(key.clone(), registration);
-        self.changed(&key, "ADDED");
+        self.record_change(&key, "ADDED");
     }
 
+    /// The instance as lists and deltas show it, with its override and the action type.
     fn as_shown(registration: &Registration, action: &str) -> Value {
         let mut instance = registration.instance.clone();
         let overridden_status = registration
@@ -326,49 +332,56 @@
         Value::Object(instance)
     }
 
-    fn changed(&mut self, key: &(String, String), action: &str) {
+    /// Records a change of a registered instance for deltas.
+    fn record_change(&mut self, key: &(String, String), action: &str) {
         if let Some(registration) = self
             .registrations
             .get(key)
             .filter(|_| !self.behaviour.omits_deltas)
         {
             let as_shown = Self::as_shown(registration, action);
-            self.recent.push((Instant::now(), key.0.clone(), as_shown));
+            self.recent_changes
+                .push((Instant::now(), key.0.clone(), as_shown));
         }
     }
 
+    /// Sets the overridden status of an instance; `UP` removes the override.
     fn set_status(&mut self, app: &str, id: &str, status: &str) {
         let key = (app.to_uppercase(), id.to_owned());
         if let Some(registration) = self.registrations.get_mut(&key) {
             registration.overridden_status = (status != "UP").then(|| status.to_owned());
             registration
                 .instance
-                .insert("lastDirtyTimestamp".to_owned(), Self::stamp().into());
+                .insert("lastDirtyTimestamp".to_owned(), Self::timestamp().into());
         }
-        self.changed(&key, "MODIFIED");
+        self.record_change(&key, "MODIFIED");
     }
 
+    /// Removes an instance and counts the cancel.
     fn cancel(&mut self, key: &(String, String)) {
-        self.changed(key, "DELETED");
+        self.record_change(key, "DELETED");
         *self.cancelled.entry(key.clone()).or_default() += 1;
         self.registrations.remove(key);
     }
 
+    /// Drops changes that are too old for deltas and, if enabled, instances whose lease has expired.
     fn remove_expired(&mut self) {
-        self.recent.retain(|(at, ..)| at.elapsed() < RECENT);
+        self.recent_changes
+            .retain(|(at, ..)| at.elapsed() < DELTA_RETENTION);
         if self.expires {
-            let over =
+            let is_expired =
                 |registration: &Registration| registration.renewed.elapsed() > registration.lease;
-            let old: Vec<_> = self
+            let expired: Vec<_> = self
                 .registrations
                 .iter()
-                .filter(|(_, registration)| over(registration))
+                .filter(|(_, registration)| is_expired(registration))
                 .map(|(k, _)| k.clone())
                 .collect();
-            old.iter().for_each(|key| self.cancel(key));
+            expired.iter().for_each(|key| self.cancel(key));
         }
     }
 
+    /// The hash code `apps__hashcode`: the number of instances of each status.
     fn hash(&self) -> String {
         if self.behaviour.wrong_hash {
             return "UP_99999_".to_owned();
@@ -386,6 +399,7 @@
             .collect()
     }
 
+    /// The JSON form of a list of instances, grouped by application.
     fn applications(&self, instances: Vec<(String, Value)>) -> Value {
         let mut apps: BTreeMap<String, Vec<Value>> = BTreeMap::new();
         for (app, instance) in instances {
@@ -393,7 +407,7 @@
         }
         let apps: Vec<Value> = apps
             .into_iter()
-            .map(|(name, i)| json!({"name": name, "instance": i}))
+            .map(|(name, instances)| json!({"name": name, "instance": instances}))
             .collect();
         let hash = if self.behaviour.empty {
             String::new()
@@ -403,13 +417,14 @@
         json!({"applications": {"versions__delta": "1", "apps__hashcode": hash, "application": apps}})
     }
 
+    /// The full list of the instances for which `wanted` holds.
     fn list(&self, wanted: impl Fn(&Registration) -> bool) -> Value {
-        let registration = self
+        let listed = self
             .registrations
             .iter()
             .filter(|(_, registration)| !self.behaviour.empty && wanted(registration));
         self.applications(
-            registration
+            listed
                 .map(|((app, _), registration)| {
                     (app.clone(), Self::as_shown(registration, "ADDED"))
                 })
@@ -417,26 +432,27 @@
         )
     }
 
+    /// The changes of the retention time.
     fn delta(&self) -> Value {
-        let recent = self.recent.iter().filter(|_| !self.behaviour.empty);
+        let changes = self.recent_changes.iter().filter(|_| !self.behaviour.empty);
         self.applications(
-            recent
+            changes
                 .map(|(_, app, instance)| (app.clone(), instance.clone()))
                 .collect(),
         )
     }
 }
 
-/// The registry's XML of its JSON.
+/// Converts an answer from Eureka's JSON form to its XML form.
 fn to_xml(value: &Value) -> String {
-    fn escaped(text: &str) -> String {
+    fn escape(text: &str) -> String {
         text.replace('&', "&amp;")
             .replace('<', "&lt;")
             .replace('>', "&gt;")
     }
-    fn element(name: &str, value: &Value, out: &mut String) {
+    fn write_element(name: &str, value: &Value, out: &mut String) {
         match value {
-            Value::Array(items) => items.iter().for_each(|item| element(name, item, out)),
+            Value::Array(items) => items.iter().for_each(|item| write_element(name, item, out)),
             Value::Object(map) if map.contains_key("$") => {
                 let enabled = map
                     .get("@enabled")
@@ -449,17 +465,17 @@
                 *out += &format!("<{name}>");
                 map.iter()
                     .filter(|(key, _)| !key.starts_with('@'))
-                    .for_each(|(key, v)| element(key, v, out));
+                    .for_each(|(key, v)| write_element(key, v, out));
                 *out += &format!("</{name}>");
             }
-            Value::String(text) => *out += &format!("<{name}>{}</{name}>", escaped(text)),
+            Value::String(text) => *out += &format!("<{name}>{}</{name}>", escape(text)),
             other => *out += &format!("<{name}>{other}</{name}>"),
         }
     }
     let mut out = String::new();
     if let Value::Object(map) = value {
         map.iter()
-            .for_each(|(key, value)| element(key, value, &mut out));
+            .for_each(|(key, value)| write_element(key, value, &mut out));
     }
     out
 }
--- a/crates/test-support/src/http.rs
+++ b/crates/test-support/src/http.rs
@@ -1,36 +1,36 @@
-//! As much HTTP/1.1 as the stand-ins need.
+//! The part of HTTP/1.1 that the stubs need to read requests.
 
 use std::io::{self, BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// A request with its body.
+/// An HTTP request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     pub method: String,
     pub target: String,
-    /// Header fields, in order.
+    /// The header fields, in the order of the request.
     pub fields: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// A header field by its name, in any case.
+    /// Returns the value of a header field; the case of the name is ignored.
     pub fn field(&self, name: &str) -> Option<&str> {
         let mut fields = self.fields.iter();
-        let found = fields.find(|(known, _)| known.eq_ignore_ascii_case(name));
+        let found = fields.find(|(other, _)| other.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
-    /// A value of the query.
+    /// Returns the value of a parameter in the query string.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-        let found = pairs.find(|(known, _)| *known == name);
+        let found = pairs.find(|(other, _)| *other == name);
         found.map(|(_, value)| value)
     }
 }
 
-/// The next request of a connection; none at its end.
+/// Reads the next request of a connection; `None` if the connection was closed.
 pub fn read(stream: &mut BufReader<TcpStream>) -> io::Result<Option<Request>> {
     let mut line = String::new();
     if stream.read_line(&mut line)? == 0 {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,6 +1,7 @@
-//! A node between stand-ins: discovery, render workers and a Eureka registry that speak the platform's protocols on
-//! loopback, with behaviour that a test chooses. For tests and measurements only; it uses threads, and nothing of it is
-//! in the node.
+//! Test environments for the node: they start `marbledeck` processes together with stubs of discovery, of the render
+//! workers and of a Eureka registry. The stubs speak the platform's protocols on loopback, and a test sets their
+//! behaviour. Only tests and benchmarks use this crate; the node doesn't depend on it, so it may use blocking I/O and
+//! threads.
 #![forbid(unsafe_code)]
 
 mod accept;
--- a/crates/test-support/src/lossy_proxy.rs
+++ b/crates/test-support/src/lossy_proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy that loses answers: it copies lines between a submitter and a node, and breaks a connection just before a line
-//! that the test names.
+//! A proxy between a submitter and a node that loses an answer: instead of forwarding a line of the node that the test
+//! chooses, it closes the connection.
 
 use crate::accept::{listen, serve_connections};
 use std::io::{BufRead, BufReader, Write};
@@ -7,25 +7,25 @@
 use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Stands for no end to the lines that pass.
+/// Value of `lines_left` with which no line is lost.
 const UNLIMITED: i64 = -1;
 
-/// The proxy; it works until the program ends.
+/// A proxy that loses answers. It forwards until the program exits.
 #[derive(Clone)]
 pub struct LossyProxy {
-    /// Where to connect.
+    /// The address at which it listens.
     pub address: SocketAddr,
     target: Arc<Mutex<String>>,
-    /// Lines of the node that still pass before a connection breaks; negative for no end.
+    /// Number of lines of the node that are forwarded before one is lost; negative if none is to be lost.
     lines_left: Arc<AtomicI64>,
     broken_connections: Arc<AtomicUsize>,
 }
 
 impl LossyProxy {
-    /// Listens on a free port, and connects to this address.
+    /// Starts a proxy on a free port. `target` is the address of the node's submission front.
     ///
     /// # Panics
-    /// No port is free.
+    /// The listener cannot be bound.
     pub fn start(target: &str) -> Self {
         let (listener, address) = listen();
         let proxy = LossyProxy {
@@ -38,12 +38,13 @@
         proxy
     }
 
-    /// After so many more lines of the node, the next one is lost with its connection; then all pass again.
+    /// Forwards this number of lines of the node, then closes the connection in place of the next line. After that all
+    /// lines are forwarded again.
     pub fn lose_after(&self, lines: usize) {
         self.lines_left.store(lines as i64, Ordering::SeqCst);
     }
 
-    /// How many connections it has broken.
+    /// Returns the number of connections that were closed in place of a line.
     pub fn broken_connections(&self) -> usize {
         self.broken_connections.load(Ordering::SeqCst)
     }
@@ -68,6 +69,7 @@
         let _ = node.shutdown(Shutdown::Both);
     }
 
+    /// Copies lines from the node until either side closes its connection or a line is to be lost.
     fn copy_answers(&self, node: &TcpStream, mut to_client: TcpStream) {
         let mut lines = BufReader::new(node);
         let mut line = Vec::new();
--- a/crates/test-support/src/network_link.rs
+++ b/crates/test-support/src/network_link.rs
@@ -1,5 +1,5 @@
-//! A network link between two processes: bytes pass, pass late or stall, each direction by itself, as long as the test
-//! says so.
+//! A TCP proxy that simulates a network link between two processes. A test can delay or stall each direction
+//! independently.
 
 use crate::accept::{listen, serve_connections};
 use std::io::{ErrorKind, Read, Write};
@@ -7,17 +7,17 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// How often a direction without bytes looks whether its connection was reset.
+/// Read timeout, after which an idle direction checks whether its connection was reset.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What becomes of the bytes of one direction.
+/// How the link forwards the bytes of one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// They pass.
+    /// Bytes are forwarded at once.
     Open,
-    /// They wait until the direction is open again.
+    /// Bytes are held back until the direction has another state.
     Stalled,
-    /// They pass so much later.
+    /// Bytes are forwarded after this delay.
     Delayed(Duration),
 }
 
@@ -25,23 +25,23 @@
     target: Option<SocketAddr>,
     forward: LinkState,
     backward: LinkState,
-    /// Counts the resets: connections from before one are closed.
+    /// Number of resets. A connection is closed when this differs from its value at the start of the connection.
     resets: usize,
 }
 
-/// The link; it works until the program ends.
+/// A network link, which forwards until the program exits.
 #[derive(Clone)]
 pub struct NetworkLink {
-    /// Where to connect.
+    /// The address at which it listens.
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl NetworkLink {
-    /// Listens on a free port; connects nowhere yet.
+    /// Starts a link without a target on a free port.
     ///
     /// # Panics
-    /// No port is free.
+    /// The listener cannot be bound.
     pub fn start() -> Self {
         let (listener, address) = listen();
         let state = State {
@@ -58,18 +58,19 @@
         link
     }
 
+    /// Reads or changes the state, and wakes the directions that wait for a change.
     fn with_state<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let result = change(&mut self.state.0.lock().expect("no panic holds it"));
         self.state.1.notify_all();
         result
     }
 
-    /// New connections go there from now on; nowhere where there is none.
+    /// Sets the target of new connections; with `None` new connections are closed at once.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.with_state(|state| state.target = target);
     }
 
-    /// What becomes of bytes, those towards the target and those that come back.
+    /// Sets the states of the directions to the target (`forward`) and from it (`backward`).
     pub fn set_state(&self, forward: LinkState, backward: LinkState) {
         self.with_state(|state| {
             state.forward = forward;
@@ -77,26 +78,26 @@
         });
     }
 
-    /// Closes all connections that there are.
+    /// Closes all open connections.
     pub fn reset_connections(&self) {
         self.with_state(|state| state.resets += 1);
     }
 
-    fn serve(&self, near: TcpStream) {
+    fn serve(&self, client: TcpStream) {
         let (target, resets) = self.with_state(|state| (state.target, state.resets));
-        let Some(far) = target.and_then(|target| TcpStream::connect(target).ok()) else {
+        let Some(server) = target.and_then(|target| TcpStream::connect(target).ok()) else {
             return;
         };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (Ok(from_near), Ok(to_far)) = (near.try_clone(), far.try_clone()) else {
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let (Ok(reader), Ok(writer)) = (client.try_clone(), server.try_clone()) else {
             return;
         };
-        let own = self.clone();
-        std::thread::spawn(move || own.copy(from_near, to_far, resets, |state| state.forward));
-        self.copy(far, near, resets, |state| state.backward);
+        let link = self.clone();
+        std::thread::spawn(move || link.copy(reader, writer, resets, |state| state.forward));
+        self.copy(server, client, resets, |state| state.backward);
     }
 
-    /// Copies one direction until either end closes or the link is reset.
+    /// Copies one direction until either side closes its connection or the link is reset.
     fn copy(
         &self,
         mut from: TcpStream,
@@ -114,7 +115,7 @@
             }
             let (is_reset, link_state) = (state.resets != resets, direction(&state));
             drop(state);
-            let goes_on = match read {
+            let stays_open = match read {
                 _ if is_reset => false,
                 Ok(0) => false,
                 Ok(length) => {
@@ -125,7 +126,7 @@
                 }
                 Err(e) => matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
             };
-            if !goes_on {
+            if !stays_open {
                 let _ = from.shutdown(Shutdown::Both);
                 let _ = to.shutdown(Shutdown::Both);
                 return;
--- a/crates/test-support/src/process_log.rs
+++ b/crates/test-support/src/process_log.rs
@@ -1,16 +1,16 @@
-//! The log of a node's processes, as they write it to standard error.
+//! The log lines that a node's processes write to standard error.
 
 use std::io::{BufRead, BufReader};
 use std::process::ChildStderr;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Where this variable is set, the nodes' logs are shown.
+/// Environment variable; if it is set, the logs of the nodes are also printed to the test's standard error.
 const SHOW_LOG: &str = "MARBLEDECK_LAB_LOG";
-/// How often the log is looked at.
+/// Interval between two checks in [`ProcessLog::wait_for`].
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The lines of all processes of one node.
+/// The log lines of all processes of one node, in the order of their arrival.
 #[derive(Clone, Default)]
 pub(crate) struct ProcessLog(Arc<Mutex<Vec<String>>>);
 
@@ -19,7 +19,7 @@
         self.0.lock().expect("no panic holds it")
     }
 
-    /// Takes the lines of a process as they come.
+    /// Starts a thread that collects the lines of a process. `label` marks them if they are printed.
     pub fn follow(&self, stderr: ChildStderr, label: String) {
         let log = self.clone();
         std::thread::spawn(move || {
@@ -34,32 +34,37 @@
         });
     }
 
-    /// How many lines there are.
+    /// Returns the number of lines so far.
     pub fn len(&self) -> usize {
         self.lines().len()
     }
 
-    /// Whether a line holds this text.
+    /// Returns whether a line contains `text`.
     pub fn contains(&self, text: &str) -> bool {
         self.lines().iter().any(|line| line.contains(text))
     }
 
-    /// What follows a text in the first line that holds it, among those after the first so many.
+    /// Waits for a line that contains `text` after the first `skip` lines of the log, and returns the rest of that line
+    /// after `text`.
     ///
     /// # Panics
-    /// There is none in time.
-    pub fn wait_for(&self, after: usize, text: &str, timeout: Duration) -> String {
+    /// There is no such line within the timeout.
+    pub fn wait_for(&self, skip: usize, text: &str, timeout: Duration) -> String {
         let deadline = Instant::now() + timeout;
         loop {
             let lines = self.lines();
-            let mut found = lines[after..]
+            let mut found = lines[skip..]
                 .iter()
                 .filter_map(|line| line.split_once(text));
             if let Some((_, rest)) = found.next() {
                 return rest.trim().to_owned();
             }
-            let is_late = Instant::now() >= deadline;
-            assert!(!is_late, "no line has '{text}':\n{}", lines.join("\n"));
+            let is_timeout = Instant::now() >= deadline;
+            assert!(
+                !is_timeout,
+                "no log line contains '{text}' after {timeout:?}; the log:\n{}",
+                lines.join("\n")
+            );
             drop(lines);
             std::thread::sleep(POLL_INTERVAL);
         }
--- a/crates/test-support/src/worker.rs
+++ b/crates/test-support/src/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a render worker on the platform's wire: it records the jobs that it has started, and does with each
-//! what the test says.
+//! A stub of a render worker. It speaks the platform's worker protocol, records the jobs that it starts, and handles
+//! each job as the test chooses.
 
 use crate::accept::{listen, serve_connections};
 use crate::http::{self, Request};
@@ -9,59 +9,60 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a running job reports progress.
+/// Interval between two progress reports of a running job.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
-/// Longer than any test.
+/// Sleep time of a job that hangs; longer than any test runs.
 const FOREVER: Duration = Duration::from_secs(3600);
 
-/// A job as a worker sees it.
+/// A job request that a worker has received.
 #[derive(Clone, Debug)]
 pub struct ReceivedJob {
-    /// The client's id of the request.
+    /// The request id, from `X-Txn`.
     pub txn: String,
-    /// The idempotency key.
+    /// The idempotency key, from `Idempotency-Key`.
     pub key: Option<String>,
-    /// Path and query.
+    /// The path and the query of the request.
     pub target: String,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// When its last byte had come.
+    /// When the last byte of the request was received.
     pub received_at: Instant,
 }
 
-/// What a worker does with a job.
+/// How a worker handles a job.
 #[derive(Clone, Debug)]
 pub enum JobBehaviour {
-    /// Runs it for so long, then gives this result.
+    /// Runs the job for this time and completes it with this result.
     Serve(Duration, String),
-    /// Runs it for so long, and fails.
+    /// Runs the job for this time and reports that it failed.
     Fail(Duration),
-    /// Rejects it unseen.
+    /// Rejects the job without starting it, with status 503.
     Reject,
-    /// Starts it, and breaks the connection after so long.
+    /// Starts the job and closes the connection after this time.
     Reset(Duration),
-    /// Starts it, runs for so long, and hands it back unstarted.
+    /// Starts the job and hands it back after this time, with the state `returned`.
     HandBack(Duration),
-    /// Takes it, and sends nothing more.
+    /// Accepts the job and never answers.
     Hang,
 }
 
 type Behaviour = Arc<dyn Fn(&ReceivedJob) -> JobBehaviour + Send + Sync>;
 
-/// How a job ends that has started.
+/// The end of a started job.
 struct JobEnd {
+    /// The run time.
     after: Duration,
-    /// The last state that is reported; none where the connection breaks instead.
+    /// The final state that is reported; `None` if the connection is closed instead.
     state: Option<&'static str>,
     result: Option<String>,
 }
 
-/// The stand-in; it serves until the program ends.
+/// A stub of a worker, which serves until the program exits.
 #[derive(Clone)]
 pub struct WorkerStub {
-    /// Its id.
+    /// The id of the worker.
     pub id: String,
-    /// Where to connect.
+    /// The address at which it listens.
     pub address: SocketAddr,
     slots: usize,
     running: Arc<AtomicUsize>,
@@ -71,13 +72,13 @@
 }
 
 impl WorkerStub {
-    /// Listens on a free port, and serves jobs in a few milliseconds.
+    /// Starts a worker on a free port. Until [`WorkerStub::set_behaviour`] is called, it completes each job in 5 ms.
     ///
     /// # Panics
-    /// No port is free.
+    /// The listener cannot be bound.
     pub fn start(id: &str, slots: usize) -> Self {
         let (listener, address) = listen();
-        let serve_soon = |job: &ReceivedJob| {
+        let complete_soon = |job: &ReceivedJob| {
             JobBehaviour::Serve(Duration::from_millis(5), format!("made {}", job.target))
         };
         let worker = WorkerStub {
@@ -87,13 +88,13 @@
             running: Arc::default(),
             max_running: Arc::default(),
             started: Arc::default(),
-            behaviour: Arc::new(Mutex::new(Arc::new(serve_soon))),
+            behaviour: Arc::new(Mutex::new(Arc::new(complete_soon))),
         };
         serve_connections(listener, worker.clone(), WorkerStub::serve);
         worker
     }
 
-    /// From now on, jobs are treated like this.
+    /// Sets the function that chooses how later jobs are handled.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -104,7 +105,7 @@
         *self.behaviour.lock().expect("no panic holds it") = Arc::new(behaviour);
     }
 
-    /// All jobs that it has started.
+    /// Returns all jobs that the worker has started, in the order of their start.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -112,11 +113,12 @@
         self.started.lock().expect("no panic holds it").clone()
     }
 
-    /// The most jobs that it has run at a time.
+    /// Returns the highest number of jobs that ran at the same time.
     pub fn max_running(&self) -> usize {
         self.max_running.load(Ordering::SeqCst)
     }
 
+    /// The load report: the number of free slots.
     fn load_report(&self) -> String {
         let running = self.running.load(Ordering::SeqCst);
         let free = self.slots.saturating_sub(running);
@@ -137,7 +139,7 @@
         }
     }
 
-    /// None where the connection is to end.
+    /// Handles one job. Returns `None` if the connection must be closed.
     fn answer(&self, stream: &mut TcpStream, request: Request) -> Option<()> {
         let job = ReceivedJob {
             txn: request.field("X-Txn")?.to_owned(),
@@ -153,16 +155,16 @@
         }
         let txn = job.txn.clone();
         self.started.lock().expect("no panic holds it").push(job);
-        let end = |after, state, result| JobEnd {
+        let job_end = |after, state, result| JobEnd {
             after,
             state,
             result,
         };
         let end = match behaviour {
-            JobBehaviour::Serve(after, result) => end(after, Some("done"), Some(result)),
-            JobBehaviour::Fail(after) => end(after, Some("failed"), None),
-            JobBehaviour::HandBack(after) => end(after, Some("returned"), None),
-            JobBehaviour::Reset(after) => end(after, None, None),
+            JobBehaviour::Serve(after, result) => job_end(after, Some("done"), Some(result)),
+            JobBehaviour::Fail(after) => job_end(after, Some("failed"), None),
+            JobBehaviour::HandBack(after) => job_end(after, Some("returned"), None),
+            JobBehaviour::Reset(after) => job_end(after, None, None),
             JobBehaviour::Hang | JobBehaviour::Reject => {
                 std::thread::sleep(FOREVER);
                 return None;
@@ -179,12 +181,13 @@
         stream.write_all(head.as_bytes()).ok()
     }
 
+    /// Runs a job: reports its start, its progress and its end as chunks of one answer.
     fn run(&self, stream: &mut TcpStream, txn: &str, end: JobEnd) -> Option<()> {
         let running = self.running.fetch_add(1, Ordering::SeqCst) + 1;
         self.max_running.fetch_max(running, Ordering::SeqCst);
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let started = head.to_owned() + &self.chunk(txn, "started", "");
-        let mut connected = stream.write_all(started.as_bytes()).is_ok();
+        let mut is_connected = stream.write_all(started.as_bytes()).is_ok();
         let end_at = Instant::now() + end.after;
         loop {
             let left = end_at.saturating_duration_since(Instant::now());
@@ -192,26 +195,26 @@
                 break;
             }
             std::thread::sleep(left.min(PROGRESS_INTERVAL));
-            if connected && Instant::now() < end_at {
+            if is_connected && Instant::now() < end_at {
                 let progress = self.chunk(txn, "running", ",\"share\":0.5");
-                connected = stream.write_all(progress.as_bytes()).is_ok();
+                is_connected = stream.write_all(progress.as_bytes()).is_ok();
             }
         }
         self.running.fetch_sub(1, Ordering::SeqCst);
-        let state = end.state.filter(|_| connected)?;
+        let state = end.state.filter(|_| is_connected)?;
         let result = end.result.map_or(String::new(), |text| {
             format!(",\"result\":{}", serde_json::Value::from(text))
         });
-        let more = format!("{result},\"load\":{}", self.load_report());
-        let last = self.chunk(txn, state, &more) + "0\r\n\r\n";
+        let fields = format!("{result},\"load\":{}", self.load_report());
+        let last = self.chunk(txn, state, &fields) + "0\r\n\r\n";
         stream.write_all(last.as_bytes()).ok()
     }
 
-    /// A line of an answer, as a chunk.
-    fn chunk(&self, txn: &str, state: &str, more: &str) -> String {
+    /// One JSON line of an answer, as a chunk. `fields` holds additional JSON fields.
+    fn chunk(&self, txn: &str, state: &str, fields: &str) -> String {
         let from = &self.id;
         let line =
-            format!("{{\"id\":\"{txn}\",\"from\":\"{from}\",\"state\":\"{state}\"{more}}}\n");
+            format!("{{\"id\":\"{txn}\",\"from\":\"{from}\",\"state\":\"{state}\"{fields}}}\n");
         format!("{:x}\r\n{line}\r\n", line.len())
     }
 }
--- a/crates/test-support/src/worker_crowd.rs
+++ b/crates/test-support/src/worker_crowd.rs
@@ -1,5 +1,5 @@
-//! Many render workers in one stand-in: each has an address of its own, all serve what they get at once, and the time of
-//! each request's first byte is recorded.
+//! A stub of many render workers, for lists of thousands of endpoints. Each worker has its own address and completes
+//! each job at once; the arrival time of each request's first byte is recorded.
 
 use crate::http;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
@@ -8,62 +8,68 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Workers with one value of the address's third byte.
+/// Number of workers that share the third byte of their address.
 const WORKERS_PER_BLOCK: usize = 250;
-/// Listeners that are looked at in one turn.
-const EVENTS_PER_TURN: usize = 64;
-/// The second byte of the workers' addresses: far from that of other stand-ins.
-const NETWORK: u8 = 77;
+/// Maximum number of events returned by one call of `epoll_wait`.
+const MAX_EVENTS: usize = 64;
+/// Second byte of the workers' addresses. It differs from that of the other stubs, which listen on 127.0.0.1.
+const SECOND_BYTE: u8 = 77;
 
-/// A request as a worker has seen it.
+/// A request that a worker has received.
 #[derive(Clone, Debug)]
 pub struct SeenRequest {
-    /// The worker's number.
+    /// The number of the worker, from 0.
     pub worker: usize,
-    /// When its first byte had come.
+    /// When the first byte of the request was received.
     pub first_byte_at: Instant,
-    /// The client's id of the request.
+    /// The request id, from `X-Txn`.
     pub txn: String,
 }
 
-/// The stand-in; it serves until the program ends.
+/// A stub of many workers, which serves until the program exits.
 #[derive(Clone)]
 pub struct WorkerCrowd {
-    /// Where each worker listens, by its number.
+    /// The address of each worker, indexed by its number.
     pub addresses: Arc<Vec<SocketAddr>>,
     seen: Arc<Mutex<Vec<SeenRequest>>>,
 }
 
 impl WorkerCrowd {
-    /// Has so many workers listen on loopback, each at a free port.
+    /// Starts this number of workers on loopback, each with its own address and a free port.
     ///
     /// # Panics
-    /// There are too few descriptors or ports.
+    /// A listener cannot be bound, for example because the file descriptor limit is reached.
     pub fn start(workers: usize) -> Self {
         let listener = |n: usize| {
             let (block, host) = (n / WORKERS_PER_BLOCK, n % WORKERS_PER_BLOCK + 1);
-            let address = Ipv4Addr::new(127, NETWORK, block as u8, host as u8);
-            let listener = TcpListener::bind((address, 0)).expect("a free port");
-            listener.set_nonblocking(true).expect("a listener");
+            let address = Ipv4Addr::new(127, SECOND_BYTE, block as u8, host as u8);
+            let listener = TcpListener::bind((address, 0)).expect("bind the listener of a worker");
+            listener
+                .set_nonblocking(true)
+                .expect("set the listener of a worker to non-blocking mode");
             listener
         };
         let listeners: Vec<TcpListener> = (0..workers).map(listener).collect();
         let bound = listeners.iter().map(TcpListener::local_addr);
         let crowd = WorkerCrowd {
-            addresses: Arc::new(bound.map(|address| address.expect("bound")).collect()),
+            addresses: Arc::new(
+                bound
+                    .map(|address| address.expect("the address of a bound listener"))
+                    .collect(),
+            ),
             seen: Arc::default(),
         };
-        let accepting = crowd.clone();
-        std::thread::spawn(move || accepting.accept(&listeners));
+        let acceptor = crowd.clone();
+        std::thread::spawn(move || acceptor.accept(&listeners));
         crowd
     }
 
-    /// The id of a worker.
+    /// Returns the id of a worker.
     pub fn id(worker: usize) -> String {
         format!("s-{worker:05}")
     }
 
-    /// All requests that were seen.
+    /// Returns all requests that were received since the start or the last [`WorkerCrowd::take_seen`].
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -71,7 +77,7 @@
         self.seen.lock().expect("no panic holds it").clone()
     }
 
-    /// The requests that were seen since the last call of this.
+    /// Returns the same requests as [`WorkerCrowd::seen`] and clears the record.
     ///
     /// # Panics
     /// A thread has panicked before.
@@ -79,13 +85,15 @@
         std::mem::take(&mut *self.seen.lock().expect("no panic holds it"))
     }
 
+    /// Accepts connections at all listeners with one epoll instance.
     fn accept(&self, listeners: &[TcpListener]) {
-        let epoll = epoll::create(CreateFlags::CLOEXEC).expect("an epoll");
+        let epoll = epoll::create(CreateFlags::CLOEXEC).expect("create the epoll instance");
         for (number, listener) in listeners.iter().enumerate() {
             let data = EventData::new_u64(number as u64);
-            epoll::add(&epoll, listener, data, EventFlags::IN).expect("added");
+            epoll::add(&epoll, listener, data, EventFlags::IN)
+                .expect("add a listener to the epoll instance");
         }
-        let mut events = Vec::with_capacity(EVENTS_PER_TURN);
+        let mut events = Vec::with_capacity(MAX_EVENTS);
         loop {
             events.clear();
             let buffer = rustix::buffer::spare_capacity(&mut events);
@@ -120,7 +128,7 @@
             let Some(txn) = request.field("X-Txn") else {
                 return;
             };
-            let answer = served(&WorkerCrowd::id(worker), txn);
+            let answer = completed_answer(&WorkerCrowd::id(worker), txn);
             let txn = txn.to_owned();
             let seen = SeenRequest {
                 worker,
@@ -135,13 +143,13 @@
     }
 }
 
-/// The answer to a job that was served at once.
-fn served(worker: &str, txn: &str) -> String {
+/// The whole answer to a job that is completed at once.
+fn completed_answer(worker: &str, txn: &str) -> String {
     let mut answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
-    let last = ",\"result\":\"made\",\"load\":{\"x0\":8}";
-    for (state, more) in [("started", ""), ("done", last)] {
+    let end_fields = ",\"result\":\"made\",\"load\":{\"x0\":8}";
+    for (state, fields) in [("started", ""), ("done", end_fields)] {
         let line =
-            format!("{{\"id\":\"{txn}\",\"from\":\"{worker}\",\"state\":\"{state}\"{more}}}\n");
+            format!("{{\"id\":\"{txn}\",\"from\":\"{worker}\",\"state\":\"{state}\"{fields}}}\n");
         answer += &format!("{:x}\r\n{line}\r\n", line.len());
     }
     answer + "0\r\n\r\n"
