--- a/crates/test-support/src/bin/demo.rs
+++ b/crates/test-support/src/bin/demo.rs
@@ -1,22 +1,22 @@
-//! A first look: a node between stand-ins on loopback, a bulk of jobs handed in on the command line, and what the node
-//! tells of itself. Everything ends with it.
+//! Demonstrates a node with stubs on loopback: submits a bulk job with the command line client, then lists the machines
+//! and the queues. The node and the stubs are stopped at the end.
 
 use marbledeck_test_support::{binary, EnvironmentOptions, JobBehaviour, TestEnvironment};
 use std::process::{Command, ExitCode};
 use std::time::Duration;
 
 fn main() -> ExitCode {
-    let lab = TestEnvironment::start(EnvironmentOptions::default());
-    for worker in &lab.workers {
+    let environment = TestEnvironment::start(EnvironmentOptions::default());
+    for worker in &environment.workers {
         worker.set_behaviour(|job| {
             JobBehaviour::Serve(Duration::from_millis(40), format!("made {}", job.target))
         });
     }
     println!(
         "a node serves clients at {}, submitters at {}",
-        lab.client_address, lab.submission_address
+        environment.client_address, environment.submission_address
     );
-    let calls: [&[&str]; 3] = [
+    let command_lines: [&[&str]; 3] = [
         &[
             "job",
             "bulk",
@@ -36,13 +36,13 @@
         &["machines"],
         &["queues"],
     ];
-    for words in calls {
-        println!("\n$ marbledeck {}", words.join(" "));
-        let run = Command::new(binary())
-            .args(words)
-            .env("MARBLEDECK_NODE", &lab.submission_address)
+    for args in command_lines {
+        println!("\n$ marbledeck {}", args.join(" "));
+        let status = Command::new(binary())
+            .args(args)
+            .env("MARBLEDECK_NODE", &environment.submission_address)
             .status();
-        if !run.is_ok_and(|status| status.success()) {
+        if !status.is_ok_and(|status| status.success()) {
             return ExitCode::FAILURE;
         }
     }
