--- a/crates/drmaa/include/drmaa.h
+++ b/crates/drmaa/include/drmaa.h
@@ -1,4 +1,4 @@
-/* The C interface of DRMAA 1.0 (GFD.133, C binding), as marbledeck's libdrmaa.so has it. See docs/drmaa.md. */
+/* The C interface of DRMAA 1.0 (GFD.133, C binding) that marbledeck's libdrmaa.so implements. See docs/drmaa.md. */
 #ifndef MARBLEDECK_DRMAA_H
 #define MARBLEDECK_DRMAA_H
 
@@ -8,7 +8,7 @@
 extern "C" {
 #endif
 
-/* Lengths that every value fits in. */
+/* Buffer sizes, in bytes, that are large enough for every value of the kind. */
 #define DRMAA_ATTR_BUFFER 1024
 #define DRMAA_CONTACT_BUFFER 1024
 #define DRMAA_DRM_SYSTEM_BUFFER 1024
@@ -17,17 +17,21 @@
 #define DRMAA_JOBNAME_BUFFER 1024
 #define DRMAA_SIGNAL_BUFFER 32
 
+/* Timeouts and job ids with a special meaning for drmaa_synchronize, drmaa_wait and drmaa_control. */
 #define DRMAA_TIMEOUT_WAIT_FOREVER -1
 #define DRMAA_TIMEOUT_NO_WAIT 0
 #define DRMAA_JOB_IDS_SESSION_ANY "DRMAA_JOB_IDS_SESSION_ANY"
 #define DRMAA_JOB_IDS_SESSION_ALL "DRMAA_JOB_IDS_SESSION_ALL"
 
+/* Values of DRMAA_JS_STATE. */
 #define DRMAA_SUBMISSION_STATE_ACTIVE "drmaa_active"
 #define DRMAA_SUBMISSION_STATE_HOLD "drmaa_hold"
+/* Placeholders in attribute values: the index of a bulk job, the home directory and the working directory. */
 #define DRMAA_PLACEHOLDER_INCR "$drmaa_incr_ph$"
 #define DRMAA_PLACEHOLDER_HD "$drmaa_hd_ph$"
 #define DRMAA_PLACEHOLDER_WD "$drmaa_wd_ph$"
 
+/* Names of job template attributes; those with _V_ are vector attributes. */
 #define DRMAA_REMOTE_COMMAND "drmaa_remote_command"
 #define DRMAA_JS_STATE "drmaa_js_state"
 #define DRMAA_WD "drmaa_wd"
@@ -52,7 +56,7 @@
 #define DRMAA_CONTROL_RELEASE 3
 #define DRMAA_CONTROL_TERMINATE 4
 
-/* States of drmaa_job_ps. */
+/* Job states that drmaa_job_ps reports. */
 #define DRMAA_PS_UNDETERMINED 0x00
 #define DRMAA_PS_QUEUED_ACTIVE 0x10
 #define DRMAA_PS_SYSTEM_ON_HOLD 0x11
@@ -65,6 +69,7 @@
 #define DRMAA_PS_DONE 0x30
 #define DRMAA_PS_FAILED 0x40
 
+/* Error codes that the functions return. */
 enum {
     DRMAA_ERRNO_SUCCESS = 0,
     DRMAA_ERRNO_INTERNAL_ERROR = 1,
@@ -99,7 +104,7 @@
 typedef struct drmaa_attr_values_s drmaa_attr_values_t;
 typedef struct drmaa_job_ids_s drmaa_job_ids_t;
 
-/* The session of this process. Where contact is NULL, the environment's DRMAA_CONTACT counts. */
+/* Session. A process has at most one. If contact is NULL, the environment variable DRMAA_CONTACT is used. */
 int drmaa_init(const char *contact, char *error_diagnosis, size_t error_diag_len);
 int drmaa_exit(char *error_diagnosis, size_t error_diag_len);
 
@@ -117,7 +122,7 @@
 int drmaa_get_attribute_names(drmaa_attr_names_t **values, char *error_diagnosis, size_t error_diag_len);
 int drmaa_get_vector_attribute_names(drmaa_attr_names_t **values, char *error_diagnosis, size_t error_diag_len);
 
-/* Lists: gone through once, from the first element to DRMAA_ERRNO_NO_MORE_ELEMENTS. */
+/* Lists. Each list can be read once; after the last element the functions return DRMAA_ERRNO_NO_MORE_ELEMENTS. */
 int drmaa_get_next_attr_name(drmaa_attr_names_t *values, char *value, size_t value_len);
 int drmaa_get_next_attr_value(drmaa_attr_values_t *values, char *value, size_t value_len);
 int drmaa_get_next_job_id(drmaa_job_ids_t *values, char *value, size_t value_len);
@@ -146,7 +151,7 @@
 int drmaa_wifaborted(int *aborted, int stat, char *error_diagnosis, size_t error_diag_len);
 int drmaa_job_ps(const char *job_id, int *remote_ps, char *error_diagnosis, size_t error_diag_len);
 
-/* Of the library. */
+/* Information on the library. */
 const char *drmaa_strerror(int drmaa_errno);
 int drmaa_get_contact(char *contact, size_t contact_len, char *error_diagnosis, size_t error_diag_len);
 int drmaa_version(unsigned int *major, unsigned int *minor, char *error_diagnosis, size_t error_diag_len);
