--- a/crates/conformance/src/v2/capabilities.rs
+++ b/crates/conformance/src/v2/capabilities.rs
@@ -8,7 +8,7 @@
 pub(super) fn clauses() -> Vec<Clause> {
     vec![clause(
         "GFD.231, 5.9",
-        "The attributes that are supported, and those that are not, can be asked for",
+        "Supported and unsupported attributes can be queried",
         attributes_are_listed,
     )]
 }
--- a/crates/conformance/src/v2/data_types.rs
+++ b/crates/conformance/src/v2/data_types.rs
@@ -9,33 +9,33 @@
     vec![
         clause(
             "GFD.231, 4.4",
-            "The parametric index is filled in for each job of a bulk",
+            "The parametric index is replaced by the job's index in each job of a bulk job",
             parametric_index_is_filled_in,
         ),
         clause(
             "GFD.231, 4.5",
-            "Every optional feature is declared present or absent",
+            "Every optional feature is declared as supported or not supported",
             optional_features_are_declared,
         ),
         clause("GFD.231, 5.1", "A queue has a name", queue_has_a_name),
         clause(
             "GFD.231, 5.3",
-            "A machine has a name, whether it is available, and its load as far as it is known",
+            "A machine has a name, an availability flag and, if it is known, its load",
             machine_has_name_availability_and_load,
         ),
         clause(
             "GFD.231, 5.5",
-            "The information of a job names its id, state, queue, owner's account and times",
+            "The job information contains the id, state, queue, owner's account and times",
             job_information_is_complete,
         ),
         clause(
             "GFD.231, 5.5",
-            "What is not known of a job is not told",
+            "Attributes of the job information without a known value are omitted",
             unknown_information_is_absent,
         ),
         clause(
             "GFD.231, 5.5",
-            "Information of a job can be a filter; what is unset matches all",
+            "Job information can be used as a filter; unset attributes match all jobs",
             job_information_is_a_filter,
         ),
     ]
--- a/crates/conformance/src/v2/errors.rs
+++ b/crates/conformance/src/v2/errors.rs
@@ -9,17 +9,17 @@
     vec![
         clause(
             "GFD.231, 6",
-            "An argument that makes no sense is INVALID_ARGUMENT and names it",
+            "An invalid argument returns INVALID_ARGUMENT with the name of the argument",
             unknown_argument_is_named,
         ),
         clause(
             "GFD.231, 6",
-            "What cannot be done now is TRY_LATER",
+            "A request that cannot be served at the moment returns TRY_LATER",
             exhausted_sessions_are_try_later,
         ),
         clause(
             "GFD.231, 6",
-            "A bulk beyond what is taken at once is INVALID_ARGUMENT and names the bound",
+            "A bulk job above the size limit returns INVALID_ARGUMENT with the limit",
             oversized_bulk_names_the_limit,
         ),
     ]
--- a/crates/conformance/src/v2/job_arrays.rs
+++ b/crates/conformance/src/v2/job_arrays.rs
@@ -15,22 +15,22 @@
     vec![
         clause(
             "GFD.231, 8.5",
-            "An array tells its jobs, its session and its bound",
+            "A job array reports the number of its jobs, its session and its limit on parallel jobs",
             array_describes_itself,
         ),
         clause(
             "GFD.231, 8.5",
-            "hold and release act on all members that they can act on",
+            "hold and release apply to all jobs of the array whose state allows it",
             hold_and_release_act_on_all_members,
         ),
         clause(
             "GFD.231, 8.5",
-            "terminate ends all members, and none is started by it",
+            "terminate ends all jobs of the array and starts no further ones",
             terminate_ends_all_members,
         ),
         clause(
             "GFD.231, 8.5",
-            "reap forgets all members, and the array with them",
+            "reap removes all jobs of the array and the array itself",
             reap_removes_array_and_members,
         ),
     ]
--- a/crates/conformance/src/v2/job_requirements.rs
+++ b/crates/conformance/src/v2/job_requirements.rs
@@ -12,27 +12,27 @@
     vec![
         clause(
             "GFD.231, 5.7",
-            "A job may run in an advance reservation",
+            "A job can run in an advance reservation",
             reservation_is_rejected,
         ),
         clause(
             "GFD.231, 5.7",
-            "The queue can be asked for by name",
+            "A queue can be requested by name",
             queue_is_requested_by_name,
         ),
         clause(
             "GFD.231, 5.7",
-            "The least number of slots can be asked for; no number is refused",
+            "A minimum number of slots can be requested; a negative number is rejected",
             min_slots_are_checked,
         ),
         clause(
             "GFD.231, 5.7",
-            "The greatest number of slots can be asked for",
+            "A maximum number of slots can be requested",
             max_slots_are_rejected,
         ),
         clause(
             "GFD.231, 5.7",
-            "A priority can be asked for",
+            "A priority can be requested",
             priority_is_rejected,
         ),
         clause(
@@ -47,22 +47,18 @@
         ),
         clause(
             "GFD.231, 5.7",
-            "A job that has not ended by its deadline is ended",
+            "A job that runs past its deadline is terminated",
             deadline_ends_the_job,
         ),
+        clause("GFD.231, 5.7", "File staging", file_staging_is_rejected),
         clause(
             "GFD.231, 5.7",
-            "Files are staged in and out",
-            file_staging_is_rejected,
-        ),
-        clause(
-            "GFD.231, 5.7",
-            "Limits of resources",
+            "Resource limits",
             resource_limits_are_rejected,
         ),
         clause(
             "GFD.231, 5.7",
-            "An account that the job is booked to; one that is not known is refused",
+            "The job is charged to its accounting id; an unknown accounting id is rejected",
             accounting_id_is_checked,
         ),
     ]
--- a/crates/conformance/src/v2/job_sessions.rs
+++ b/crates/conformance/src/v2/job_sessions.rs
@@ -12,47 +12,47 @@
     vec![
         clause(
             "GFD.231, 8.2",
-            "A session tells of its jobs, and only of those",
+            "A session lists its own jobs and no others",
             session_lists_only_its_jobs,
         ),
         clause(
             "GFD.231, 8.2",
-            "A job array is found by its id; one that is not known is INVALID_ARGUMENT",
+            "A job array is found by its id; an unknown id returns INVALID_ARGUMENT",
             array_is_found_by_id,
         ),
         clause(
             "GFD.231, 8.2",
-            "A job that was run is known by its id until it is reaped",
+            "A job is found by its id until it is reaped",
             job_is_known_before_it_is_reaped,
         ),
         clause(
             "GFD.231, 8.2",
-            "A bulk is an array of jobs, one for each index from the first to the last",
+            "A bulk job creates a job array with one job for each index from the first to the last",
             bulk_has_a_job_per_index,
         ),
         clause(
             "GFD.231, 8.2",
-            "Indices that name no job are INVALID_ARGUMENT",
+            "Invalid indices return INVALID_ARGUMENT",
             empty_index_range_is_rejected,
         ),
         clause(
             "GFD.231, 8.2",
-            "No more members of a bulk run at a time than it says",
+            "A bulk job runs at most as many jobs at a time as its limit allows",
             max_parallel_is_kept,
         ),
         clause(
             "GFD.231, 8.2",
-            "waitAnyStarted gives a job of the list that runs or has ended",
+            "waitAnyStarted returns a job of the list that is running or has ended",
             wait_any_started_returns_a_started_job,
         ),
         clause(
             "GFD.231, 8.2",
-            "waitAnyTerminated gives a job of the list that has ended",
+            "waitAnyTerminated returns a job of the list that has ended",
             wait_any_terminated_returns_an_ended_job,
         ),
         clause(
             "GFD.231, 8.2",
-            "A wait for any of a list with an unknown job, or none, is INVALID_ARGUMENT",
+            "waitAnyStarted or waitAnyTerminated with an empty list or an unknown job returns INVALID_ARGUMENT",
             wait_any_rejects_bad_lists,
         ),
     ]
--- a/crates/conformance/src/v2/job_states.rs
+++ b/crates/conformance/src/v2/job_states.rs
@@ -15,22 +15,22 @@
     vec![
         clause(
             "GFD.231, 8.1",
-            "QUEUED_HELD, QUEUED, RUNNING and DONE follow each other",
+            "A job that is released and completes passes through QUEUED_HELD, QUEUED, RUNNING and DONE",
             states_follow_each_other,
         ),
         clause(
             "GFD.231, 8.1",
-            "A job that comes back from its machine is REQUEUED, and runs again",
+            "A job that its machine returns is REQUEUED and runs again",
             returned_job_is_requeued,
         ),
         clause(
             "GFD.231, 8.1",
-            "A job that cannot be finished is FAILED, with the reason in its sub-state",
+            "A job that cannot complete is FAILED, with the reason in its sub-state",
             failed_job_has_a_reason,
         ),
         clause(
             "GFD.231, 8.1",
-            "A final state is never left",
+            "A job in a final state does not change its state",
             final_state_is_never_left,
         ),
     ]
--- a/crates/conformance/src/v2/job_templates.rs
+++ b/crates/conformance/src/v2/job_templates.rs
@@ -13,47 +13,47 @@
     vec![
         clause(
             "GFD.231, 5.7",
-            "A template without a command is refused",
+            "A job template without a command is rejected",
             template_without_command_is_rejected,
         ),
         clause(
             "GFD.231, 5.7",
-            "Arguments reach the job",
+            "The arguments are passed to the job",
             arguments_reach_the_job,
         ),
         clause(
             "GFD.231, 5.7",
-            "A job submitted as held does not run before it is released",
+            "A job that is submitted on hold does not run before it is released",
             held_job_waits_for_release,
         ),
         clause(
             "GFD.231, 5.7",
-            "Whether a job may be rerun is honoured or refused by name",
+            "The rerunnable attribute is honoured, or rejected with its name",
             rerunnable_is_honoured_or_rejected,
         ),
         clause(
             "GFD.231, 5.7",
-            "An environment for the job",
+            "Environment variables of the job",
             job_environment_is_rejected,
         ),
         clause(
             "GFD.231, 5.7",
-            "A working directory for the job",
+            "Working directory of the job",
             working_directory_is_rejected,
         ),
         clause(
             "GFD.231, 5.7",
-            "The job category names a configured class; another is refused",
+            "The job category is the name of a configured class; any other name is rejected",
             job_category_is_a_configured_class,
         ),
         clause(
             "GFD.231, 5.7",
-            "E-mail addresses, and mails at the start and the end",
+            "E-mail addresses, and e-mails at the start and the end of the job",
             email_is_rejected,
         ),
         clause(
             "GFD.231, 5.7",
-            "A job name is shown with the job",
+            "The job name is part of the job information",
             job_name_is_shown,
         ),
         clause(
@@ -63,7 +63,7 @@
         ),
         clause(
             "GFD.231, 5.7",
-            "Output and error may be joined",
+            "Standard output and standard error can be joined",
             joined_files_are_rejected,
         ),
     ]
--- a/crates/conformance/src/v2/jobs.rs
+++ b/crates/conformance/src/v2/jobs.rs
@@ -14,62 +14,62 @@
     vec![
         clause(
             "GFD.231, 8.4",
-            "suspend brings a running job to a halt",
+            "suspend stops a running job until resume",
             suspend_is_not_supported,
         ),
         clause(
             "GFD.231, 8.4",
-            "suspend of a job that does not run is INVALID_STATE",
+            "suspend of a job that is not running returns INVALID_STATE",
             suspend_needs_a_running_job,
         ),
         clause(
             "GFD.231, 8.4",
-            "resume of a job that is not suspended is INVALID_STATE",
+            "resume of a job that is not suspended returns INVALID_STATE",
             resume_needs_a_suspended_job,
         ),
         clause(
             "GFD.231, 8.4",
-            "hold keeps a queued job from running",
+            "hold prevents a queued job from running",
             hold_keeps_a_queued_job,
         ),
         clause(
             "GFD.231, 8.4",
-            "hold of a job that a machine has, or that is held, is INVALID_STATE",
+            "hold of a job that is on a machine or on hold returns INVALID_STATE",
             hold_needs_a_queued_job,
         ),
         clause(
             "GFD.231, 8.4",
-            "release of a job that is not held is INVALID_STATE",
+            "release of a job that is not on hold returns INVALID_STATE",
             release_needs_a_held_job,
         ),
         clause(
             "GFD.231, 8.4",
-            "terminate ends a job in every state that is not final",
+            "terminate ends a job in any state that is not final",
             terminate_ends_unfinished_jobs,
         ),
         clause(
             "GFD.231, 8.4",
-            "reap of a job that has not ended is INVALID_STATE",
+            "reap of a job that has not ended returns INVALID_STATE",
             reap_needs_an_ended_job,
         ),
         clause(
             "GFD.231, 8.4",
-            "The state can be asked for at any time",
+            "The job state can be queried at any time",
             state_is_readable,
         ),
         clause(
             "GFD.231, 8.4",
-            "waitStarted returns once the job runs, and at once for one that has ended",
+            "waitStarted returns when the job starts, and immediately if the job has ended",
             wait_started_returns_for_ended_jobs,
         ),
         clause(
             "GFD.231, 8.4",
-            "A wait that takes too long is TIMEOUT, and the job goes on",
+            "A wait that exceeds its timeout returns TIMEOUT; the job continues",
             wait_timeout_leaves_the_job,
         ),
         clause(
             "GFD.231, 8.4",
-            "waitTerminated of many waiters on one job ends for each of them",
+            "waitTerminated returns for each of several waiters on the same job",
             wait_terminated_serves_many_waiters,
         ),
     ]
--- a/crates/conformance/src/v2/monitoring.rs
+++ b/crates/conformance/src/v2/monitoring.rs
@@ -9,22 +9,22 @@
     vec![
         clause(
             "GFD.231, 10.1",
-            "Monitoring shows the jobs of all sessions",
+            "Monitoring lists the jobs of all sessions",
             monitoring_shows_all_sessions,
         ),
         clause(
             "GFD.231, 10.1",
-            "Monitoring shows all queues, or those that are named",
+            "Monitoring lists all queues, or the queues with the given names",
             monitoring_shows_queues,
         ),
         clause(
             "GFD.231, 10.1",
-            "Monitoring shows all machines, or those that are named, and which take no jobs",
+            "Monitoring lists all machines, or the machines with the given names, and shows which accept no jobs",
             monitoring_shows_machines,
         ),
         clause(
             "GFD.231, 10.1",
-            "Monitoring shows reservations",
+            "Monitoring lists reservations",
             monitoring_has_no_reservations,
         ),
     ]
--- a/crates/conformance/src/v2/notifications.rs
+++ b/crates/conformance/src/v2/notifications.rs
@@ -12,12 +12,12 @@
     vec![
         clause(
             "GFD.231, 8.3",
-            "Every new state is told to who has the session open",
+            "Every state change is reported to the submitters that have the session open",
             new_states_are_notified,
         ),
         clause(
             "GFD.231, 8.3",
-            "States that were missed are told later, or named as missed",
+            "Missed state changes are reported later, or reported as missed",
             missed_states_are_replayed_or_named,
         ),
     ]
--- a/crates/conformance/src/v2/reservations.rs
+++ b/crates/conformance/src/v2/reservations.rs
@@ -7,7 +7,7 @@
 pub(super) fn clauses() -> Vec<Clause> {
     vec![clause(
         "GFD.231, 9.1",
-        "Reservations can be made and ended",
+        "Reservations can be created and terminated",
         reservations_are_absent,
     )]
 }
--- a/crates/conformance/src/v2/sessions.rs
+++ b/crates/conformance/src/v2/sessions.rs
@@ -11,12 +11,12 @@
     vec![
         clause(
             "GFD.231, 7.1",
-            "A session is created by name; the same name again is INVALID_ARGUMENT",
+            "A session is created by name; a name that is in use returns INVALID_ARGUMENT",
             session_name_is_unique,
         ),
         clause(
             "GFD.231, 7.1",
-            "A session can be opened again, also after the connection that made it has ended",
+            "A session can be opened again, also after the connection that created it has closed",
             session_outlives_its_connection,
         ),
         clause(
@@ -26,27 +26,27 @@
         ),
         clause(
             "GFD.231, 7.1",
-            "A closed session can be opened again; closing one that is not open is INVALID_SESSION",
+            "A closed session can be opened again; closing a session that is not open returns INVALID_SESSION",
             closed_session_is_opened_again,
         ),
         clause(
             "GFD.231, 7.1",
-            "A destroyed session is gone; its jobs go on",
+            "A destroyed session no longer exists; its jobs continue",
             jobs_outlive_their_session,
         ),
         clause(
             "GFD.231, 7.1",
-            "The names of the sessions can be listed",
+            "The session names can be listed",
             sessions_are_listed,
         ),
         clause(
             "GFD.231, 7.1",
-            "The system tells its name and version",
+            "The name and the version of the DRM system can be queried",
             system_has_name_and_version,
         ),
         clause(
             "GFD.231, 7.1",
-            "Sessions for reservations",
+            "Reservation sessions",
             reservation_sessions_are_absent,
         ),
     ]
