--- a/crates/test-support/src/bin/submission-bench.rs
+++ b/crates/test-support/src/bin/submission-bench.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Duration of a measurement of submissions.
-const MEASURED_TIME: Duration = Duration::from_secs(4);
+const SPAN: Duration = Duration::from_secs(4);
 
 /// A submitter with one connection, which reads and writes lines of the submission protocol.
 struct Submitter {
@@ -113,7 +113,7 @@
                 );
                 start.wait();
                 let started_at = Instant::now();
-                let end = started_at + MEASURED_TIME;
+                let end = started_at + SPAN;
                 // Held jobs accumulate: with them the measurement ends when the node is full and refuses one.
                 while Instant::now() < end && (refused == 0 || !held) {
                     let sent_at = Instant::now();
--- a/crates/test-support/src/cluster.rs
+++ b/crates/test-support/src/cluster.rs
@@ -317,7 +317,7 @@
     /// Returns whether a node has logged a line that contains `text`.
     ///
     /// # Panics
-    /// Another thread has panicked with the lock of the log.
+    /// Another thread has panicked while it held the lock.
     pub fn logged(&self, number: usize, text: &str) -> bool {
         self.nodes[number - 1].log.contains(text)
     }
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -86,7 +86,7 @@
     /// Number of calls of [`DiscoveryStub::resume`].
     resume_count: u64,
     is_down: bool,
-    /// Number of answers of which at least the start was sent.
+    /// Number of answers whose transmission has started.
     answers: usize,
     /// Whether lists are pushed. A change then counts as reported when it is made, or when an outage ends, instead of
     /// when an answer reports it.
@@ -126,13 +126,13 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.0.lock().expect("no panic holds it")
+        self.state.0.lock().expect("the lock is not poisoned")
     }
 
     /// Sets the entry of a worker and moves it to the end of the list; `phase` is `up`, `draining` or `removed`.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn set_worker(&self, id: &str, address: SocketAddr, phase: &str) {
         let mut state = self.state();
         state.revision += 1;
@@ -147,7 +147,7 @@
     /// Sets the entries of several workers in one revision and moves them to the end of the list, in this order.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn set_workers(&self, endpoints: &[ListedEndpoint]) {
         let mut state = self.state();
         state.revision += 1;
@@ -168,7 +168,7 @@
     /// Sets the encoding and the delivery of later answers.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn set_answers(&self, form: AnswerForm, delivery: Delivery) {
         let mut state = self.state();
         (state.form, state.delivery) = (form, delivery);
@@ -177,7 +177,7 @@
     /// Sets whether later long polls are answered with the whole list instead of the changes.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn set_whole_lists(&self, whole_lists: bool) {
         self.state().sends_whole_lists = whole_lists;
     }
@@ -185,7 +185,7 @@
     /// Sends the rest of the answers that [`Delivery::StopAfter`] has stopped.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn resume(&self) {
         self.state().resume_count += 1;
         self.state.1.notify_all();
@@ -194,7 +194,7 @@
     /// Starts or ends an outage. During an outage every request ends with a closed connection and no answer.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn set_down(&self, is_down: bool) {
         let mut state = self.state();
         state.is_down = is_down;
@@ -202,10 +202,10 @@
         self.state.1.notify_all();
     }
 
-    /// Returns the number of answers of which at least the start was sent.
+    /// Returns the number of answers whose transmission has started.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn answers(&self) -> usize {
         self.state().answers
     }
@@ -214,7 +214,7 @@
     /// lists are pushed, the time of the change. `None` if the worker is up or the change was not reported yet.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn notice(&self, id: &str) -> Option<Instant> {
         self.state().notices.get(id).copied()
     }
@@ -223,7 +223,7 @@
     /// outage, when the outage ends.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn push_lists(&self) {
         self.state().pushes_lists = true;
     }
@@ -232,7 +232,7 @@
     /// earlier answers. If lists are pushed, the current state counts as reported now.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn forget_notices(&self) {
         let mut state = self.state();
         state.notices.clear();
@@ -242,18 +242,18 @@
     /// Returns the whole list, encoded as discovery sends it.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn endpoint_list(&self) -> Value {
         self.state().whole_list().body
     }
 
     fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let Ok(reading) = stream.try_clone() else {
+        let Ok(reader) = stream.try_clone() else {
             return;
         };
-        let mut reading = BufReader::new(reading);
-        while let Ok(Some(request)) = http::read(&mut reading) {
+        let mut reader = BufReader::new(reader);
+        while let Ok(Some(request)) = http::read(&mut reader) {
             let number = |name| request.query(name)?.parse::<u64>().ok();
             let answer = match number("after") {
                 None => Some(self.state().whole_list()),
@@ -279,7 +279,7 @@
                 break;
             }
             let waited = self.state.1.wait_timeout(state, left);
-            state = waited.expect("no panic holds it").0;
+            state = waited.expect("the lock is not poisoned").0;
         }
         let sends_whole_list = state.sends_whole_lists && state.revision > after;
         let answer = || {
--- a/crates/test-support/src/eureka.rs
+++ b/crates/test-support/src/eureka.rs
@@ -108,8 +108,8 @@
         let registration = state
             .registrations
             .get(&(app.to_uppercase(), id.to_owned()))?;
-        let as_shown = State::as_shown(registration, "ADDED");
-        as_shown["status"].as_str().map(str::to_owned)
+        let shown = State::shown_instance(registration, "ADDED");
+        shown["status"].as_str().map(str::to_owned)
     }
 
     /// Returns how often an instance was cancelled or has expired.
@@ -151,11 +151,11 @@
 
     /// Answers the requests of a connection, with the faults that are set.
     fn serve(&self, mut stream: TcpStream) {
-        let Ok(reading) = stream.try_clone() else {
+        let Ok(reader) = stream.try_clone() else {
             return;
         };
-        let mut reading = BufReader::new(reading);
-        while let Ok(Some(request)) = http::read(&mut reading) {
+        let mut reader = BufReader::new(reader);
+        while let Ok(Some(request)) = http::read(&mut reader) {
             let behaviour = self.state().behaviour.clone();
             if behaviour.silent {
                 std::thread::sleep(Duration::from_secs(3600));
@@ -318,7 +318,7 @@
     }
 
     /// The instance as lists and deltas show it, with its override and the action type.
-    fn as_shown(registration: &Registration, action: &str) -> Value {
+    fn shown_instance(registration: &Registration, action: &str) -> Value {
         let mut instance = registration.instance.clone();
         let overridden_status = registration
             .overridden_status
@@ -339,9 +339,9 @@
             .get(key)
             .filter(|_| !self.behaviour.omits_deltas)
         {
-            let as_shown = Self::as_shown(registration, action);
+            let shown = Self::shown_instance(registration, action);
             self.recent_changes
-                .push((Instant::now(), key.0.clone(), as_shown));
+                .push((Instant::now(), key.0.clone(), shown));
         }
     }
 
@@ -388,9 +388,9 @@
         }
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for registration in self.registrations.values() {
-            let as_shown = Self::as_shown(registration, "ADDED");
+            let shown = Self::shown_instance(registration, "ADDED");
             *counts
-                .entry(as_shown["status"].as_str().unwrap_or("UNKNOWN").to_owned())
+                .entry(shown["status"].as_str().unwrap_or("UNKNOWN").to_owned())
                 .or_default() += 1;
         }
         counts
@@ -426,7 +426,7 @@
         self.applications(
             listed
                 .map(|((app, _), registration)| {
-                    (app.clone(), Self::as_shown(registration, "ADDED"))
+                    (app.clone(), Self::shown_instance(registration, "ADDED"))
                 })
                 .collect(),
         )
--- a/crates/test-support/src/lossy_proxy.rs
+++ b/crates/test-support/src/lossy_proxy.rs
@@ -50,7 +50,11 @@
     }
 
     fn serve(&self, client: TcpStream) {
-        let target = self.target.lock().expect("no panic holds it").clone();
+        let target = self
+            .target
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone();
         let Ok(node) = TcpStream::connect(target) else {
             return;
         };
--- a/crates/test-support/src/network_link.rs
+++ b/crates/test-support/src/network_link.rs
@@ -60,7 +60,7 @@
 
     /// Reads or changes the state, and wakes the directions that wait for a change.
     fn with_state<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
-        let result = change(&mut self.state.0.lock().expect("no panic holds it"));
+        let result = change(&mut self.state.0.lock().expect("the lock is not poisoned"));
         self.state.1.notify_all();
         result
     }
@@ -109,9 +109,9 @@
         let mut bytes = [0; 16 * 1024];
         loop {
             let read = from.read(&mut bytes);
-            let mut state = self.state.0.lock().expect("no panic holds it");
+            let mut state = self.state.0.lock().expect("the lock is not poisoned");
             while state.resets == resets && direction(&state) == LinkState::Stalled {
-                state = self.state.1.wait(state).expect("no panic holds it");
+                state = self.state.1.wait(state).expect("the lock is not poisoned");
             }
             let (is_reset, link_state) = (state.resets != resets, direction(&state));
             drop(state);
--- a/crates/test-support/src/process_log.rs
+++ b/crates/test-support/src/process_log.rs
@@ -16,7 +16,7 @@
 
 impl ProcessLog {
     fn lines(&self) -> MutexGuard<'_, Vec<String>> {
-        self.0.lock().expect("no panic holds it")
+        self.0.lock().expect("the lock is not poisoned")
     }
 
     /// Starts a thread that collects the lines of a process. `label` marks them if they are printed.
--- a/crates/test-support/src/worker.rs
+++ b/crates/test-support/src/worker.rs
@@ -97,20 +97,23 @@
     /// Sets the function that chooses how later jobs are handled.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn set_behaviour(
         &self,
         behaviour: impl Fn(&ReceivedJob) -> JobBehaviour + Send + Sync + 'static,
     ) {
-        *self.behaviour.lock().expect("no panic holds it") = Arc::new(behaviour);
+        *self.behaviour.lock().expect("the lock is not poisoned") = Arc::new(behaviour);
     }
 
     /// Returns all jobs that the worker has started, in the order of their start.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn started_jobs(&self) -> Vec<ReceivedJob> {
-        self.started.lock().expect("no panic holds it").clone()
+        self.started
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone()
     }
 
     /// Returns the highest number of jobs that ran at the same time.
@@ -127,11 +130,11 @@
 
     fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let Ok(reading) = stream.try_clone() else {
+        let Ok(reader) = stream.try_clone() else {
             return;
         };
-        let mut reading = BufReader::new(reading);
-        while let Ok(Some(request)) = http::read(&mut reading) {
+        let mut reader = BufReader::new(reader);
+        while let Ok(Some(request)) = http::read(&mut reader) {
             if self.answer(&mut stream, request).is_none() {
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
@@ -148,13 +151,20 @@
             received_at: Instant::now(),
             body: request.body,
         };
-        let behaviour = self.behaviour.lock().expect("no panic holds it").clone();
+        let behaviour = self
+            .behaviour
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone();
         let behaviour = behaviour(&job);
         if let JobBehaviour::Reject = behaviour {
             return self.reject(stream);
         }
         let txn = job.txn.clone();
-        self.started.lock().expect("no panic holds it").push(job);
+        self.started
+            .lock()
+            .expect("the lock is not poisoned")
+            .push(job);
         let job_end = |after, state, result| JobEnd {
             after,
             state,
--- a/crates/test-support/src/worker_crowd.rs
+++ b/crates/test-support/src/worker_crowd.rs
@@ -72,17 +72,17 @@
     /// Returns all requests that were received since the start or the last [`WorkerCrowd::take_seen`].
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn seen(&self) -> Vec<SeenRequest> {
-        self.seen.lock().expect("no panic holds it").clone()
+        self.seen.lock().expect("the lock is not poisoned").clone()
     }
 
     /// Returns the same requests as [`WorkerCrowd::seen`] and clears the record.
     ///
     /// # Panics
-    /// A thread has panicked before.
+    /// Another thread has panicked while it held the lock.
     pub fn take_seen(&self) -> Vec<SeenRequest> {
-        std::mem::take(&mut *self.seen.lock().expect("no panic holds it"))
+        std::mem::take(&mut *self.seen.lock().expect("the lock is not poisoned"))
     }
 
     /// Accepts connections at all listeners with one epoll instance.
@@ -112,17 +112,17 @@
 
     fn serve(&self, worker: usize, mut stream: TcpStream) {
         let _ = (stream.set_nonblocking(false), stream.set_nodelay(true));
-        let Ok(reading) = stream.try_clone() else {
+        let Ok(reader) = stream.try_clone() else {
             return;
         };
-        let mut reading = BufReader::new(reading);
+        let mut reader = BufReader::new(reader);
         loop {
-            match reading.fill_buf() {
+            match reader.fill_buf() {
                 Ok(bytes) if !bytes.is_empty() => {}
                 _ => return,
             }
             let first_byte_at = Instant::now();
-            let Ok(Some(request)) = http::read(&mut reading) else {
+            let Ok(Some(request)) = http::read(&mut reader) else {
                 return;
             };
             let Some(txn) = request.field("X-Txn") else {
@@ -135,7 +135,10 @@
                 first_byte_at,
                 txn,
             };
-            self.seen.lock().expect("no panic holds it").push(seen);
+            self.seen
+                .lock()
+                .expect("the lock is not poisoned")
+                .push(seen);
             if stream.write_all(answer.as_bytes()).is_err() {
                 return;
             }
