--- a/crates/node/src/consensus/applied.rs
+++ b/crates/node/src/consensus/applied.rs
@@ -75,10 +75,10 @@
 
     fn log_lease_change(&self, has_lease: bool, reader: &LeasedReader) {
         if self.had_lease && !has_lease {
-            log::warn!("agreement: this node has no valid lease on the records any more; applying their fallbacks until a voter confirms one");
+            log::warn!("consensus: this node has no valid lease on the records any more; applying their fallbacks until a voter confirms one");
         } else if has_lease && !self.had_lease {
             log::info!(
-                "agreement: a voter has confirmed the records up to revision {}",
+                "consensus: a voter has confirmed the records up to revision {}",
                 reader.revision()
             );
         }
--- a/crates/node/src/consensus/connections.rs
+++ b/crates/node/src/consensus/connections.rs
@@ -62,7 +62,7 @@
                 Ok(None) => return,
                 Ok(Some(token)) => self.handle_accepted(now, token, net),
                 Err(e) => {
-                    log::warn!("agreement: cannot accept a connection: {e}; pausing the listener");
+                    log::warn!("consensus: cannot accept a connection: {e}; pausing the listener");
                     net.set_accepting(listener, false);
                     self.accept_paused_until = Some(now + ACCEPT_RETRY_INTERVAL);
                     return;
@@ -79,7 +79,7 @@
         }
         if !is_known || self.is_full() {
             log::warn!(
-                "agreement: closing a connection from {ip:?}: the address is not listed in `from`, or all connections are in use"
+                "consensus: closing a connection from {ip:?}: the address is not listed in `from`, or all connections are in use"
             );
             net.close(token);
             return;
--- a/crates/node/src/consensus/frames.rs
+++ b/crates/node/src/consensus/frames.rs
@@ -41,7 +41,7 @@
                 }
                 Err(e) => {
                     log::warn!(
-                        "agreement: closing a connection after an invalid frame: {e}: {}",
+                        "consensus: closing a connection after an invalid frame: {e}: {}",
                         e.advice()
                     );
                     return self.drop_connection(now, token, &mut context.net);
@@ -121,7 +121,7 @@
         };
         if fleet != self.config.fleet || !(1..=self.config.nodes).contains(&node) {
             log::warn!(
-                "agreement: closing a connection of node {node} of fleet '{fleet}': \
+                "consensus: closing a connection of node {node} of fleet '{fleet}': \
                  the node or the fleet is not in this node's settings"
             );
             return ConnectionAction::Drop;
@@ -168,7 +168,7 @@
             Ok(()) => ConnectionAction::Keep,
             Err(e) => {
                 log::warn!(
-                    "agreement: closing the connection of voter {sender} after an invalid message: {e}: {}",
+                    "consensus: closing the connection of voter {sender} after an invalid message: {e}: {}",
                     e.advice()
                 );
                 ConnectionAction::Drop
--- a/crates/node/src/consensus/mod.rs
+++ b/crates/node/src/consensus/mod.rs
@@ -133,17 +133,17 @@
                 }
             }
             Err(error) if error.is_temporary() => {
-                log::warn!("agreement: voter {number} cannot open its store: {error}; tried again until it can be had");
+                log::warn!("consensus: voter {number} cannot open its store: {error}; tried again until it can be had");
                 self.open_store_at = Some(now + STORE_RETRY_INTERVAL);
                 return Ok(());
             }
             Err(error) => {
                 let advice = error.advice();
-                log::error!("agreement: voter {number} cannot start: {error}; this node does not vote: {advice}");
+                log::error!("consensus: voter {number} cannot start: {error}; this node does not vote: {advice}");
             }
         }
         let (token, address) = net.listen(address, None, self.peer)?;
-        log::info!("agreement: voter {number} takes connections at {address}");
+        log::info!("consensus: voter {number} takes connections at {address}");
         self.listener = Some(token);
         Ok(())
     }
@@ -170,7 +170,7 @@
             return;
         }
         if let Err(e) = self.start_voting(now, net) {
-            log::error!("agreement: cannot listen for other nodes and voters: {e}; trying again");
+            log::error!("consensus: cannot listen for other nodes and voters: {e}; trying again");
             self.voting = None;
             self.open_store_at = Some(now + STORE_RETRY_INTERVAL);
         }
--- a/crates/node/src/consensus/polling.rs
+++ b/crates/node/src/consensus/polling.rs
@@ -154,7 +154,7 @@
         self.pending_query = None;
         if response.stale {
             log::error!(
-                "agreement: a later process of node {} has joined the fleet: this one no longer acts on the records",
+                "consensus: a later process of node {} has joined the fleet: this one no longer acts on the records",
                 self.config.node
             );
         }
--- a/crates/node/src/consensus/voting/admission.rs
+++ b/crates/node/src/consensus/voting/admission.rs
@@ -65,7 +65,7 @@
         }
         self.admission = Admission::Denied;
         log::error!(
-            "agreement: voter {voter} knows voter {} with another store, so the votes and the log of its old store are \
+            "consensus: voter {voter} knows voter {} with another store, so the votes and the log of its old store are \
              lost, and it does not vote. Put its old store back, or replace the voter under a new number",
             self.id
         );
--- a/crates/node/src/consensus/voting/disk.rs
+++ b/crates/node/src/consensus/voting/disk.rs
@@ -48,7 +48,7 @@
                 CompletionEvent::Stalled(e) => {
                     if !std::mem::replace(&mut self.is_stalled, true) {
                         log::error!(
-                            "agreement: the disk rejects writes, so this voter pauses: {e}: {}",
+                            "consensus: the disk rejects writes, so this voter pauses: {e}: {}",
                             e.advice()
                         );
                     }
@@ -61,7 +61,7 @@
     /// Finishes all writes up to this ticket, which are durable now.
     fn handle_written(&mut self, now: Micros, ticket: u64) {
         if std::mem::take(&mut self.is_stalled) {
-            log::info!("agreement: the disk takes writes again; this voter resumes");
+            log::info!("consensus: the disk takes writes again; this voter resumes");
         }
         while let Some((_, kind)) = self
             .pending_writes
@@ -81,7 +81,7 @@
             }
             WriteKind::Admission => {
                 log::info!(
-                    "agreement: all other voters have admitted this store; this node votes now"
+                    "consensus: all other voters have admitted this store; this node votes now"
                 );
                 if !matches!(self.admission, Admission::Denied) {
                     self.admission = Admission::Admitted;
--- a/crates/node/src/consensus/voting/mod.rs
+++ b/crates/node/src/consensus/voting/mod.rs
@@ -118,7 +118,7 @@
             (Admission::Pending { welcomed_by }, "not admitted yet")
         };
         log::info!(
-            "agreement: voter {id} opened store {:016x}, {description}",
+            "consensus: voter {id} opened store {:016x}, {description}",
             opened.number
         );
         Ok(Voting {
@@ -284,11 +284,11 @@
     fn update_leadership(&mut self, now: Micros) {
         match (&self.lease_reclaimer, self.voter.is_leader()) {
             (None, true) => {
-                log::info!("agreement: this voter is the leader now");
+                log::info!("consensus: this voter is the leader now");
                 self.lease_reclaimer = Some(LeaseReclaimer::new(now, self.terms));
             }
             (Some(_), false) => {
-                log::info!("agreement: this voter is no longer the leader");
+                log::info!("consensus: this voter is no longer the leader");
                 self.lease_reclaimer = None;
             }
             (None, false) | (Some(_), true) => {}
@@ -319,7 +319,7 @@
         }
         if let Some(reason) = self.voter.stop_reason().filter(|_| !self.is_stop_logged) {
             log::error!(
-                "agreement: this voter has stopped and no longer votes: {reason}. Restart the node; if it stops again, set its store aside"
+                "consensus: this voter has stopped and no longer votes: {reason}. Restart the node; if it stops again, set its store aside"
             );
             self.is_stop_logged = true;
         }
--- a/crates/node/src/discovery/answer.rs
+++ b/crates/node/src/discovery/answer.rs
@@ -195,7 +195,7 @@
             revision, entries, ..
         } = header;
         log::debug!(
-            "directory: revision {revision}, {entries} entries, after {} us",
+            "discovery: revision {revision}, {entries} entries, after {} us",
             (now - sent_at).0
         );
         self.revision = revision;
@@ -221,7 +221,7 @@
             return fleet.members.set_trusted_from_list(self.source, next_list);
         }
         if was_distrusted {
-            log::info!("directory: the list is trusted again");
+            log::info!("discovery: the list is trusted again");
         }
         if was_limited {
             fleet.members.set_trusted_from_list(self.source, 0)
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -69,7 +69,7 @@
         let parsed = address.parse().ok();
         if parsed.is_none() && !self.is_removed() {
             log::warn!(
-                "directory: '{address}' is not an IP address and port; the entry counts without an address"
+                "discovery: '{address}' is not an IP address and port; the entry counts without an address"
             );
         }
         ListedReport {
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -219,14 +219,14 @@
         if let Some(since) = self.trust.expire(now) {
             let ms = since.0 / 1000;
             log::warn!(
-                "directory: an answer that began {ms} ms ago is not complete in time; workers that it has not yet \
+                "discovery: an answer that began {ms} ms ago is not complete in time; workers that it has not yet \
                  listed get no new requests"
             );
         }
         if self.distrusted_at().is_some_and(|due| due <= now) {
             self.is_distrusted = true;
             log::warn!(
-                "directory: the list is too old to send by; nothing new goes to its workers"
+                "discovery: the list is too old to send by; nothing new goes to its workers"
             );
         }
         if self.is_distrusted {
@@ -252,7 +252,7 @@
         if address == self.address {
             return;
         }
-        log::info!("directory: moved to {address}");
+        log::info!("discovery: moved to {address}");
         let call = self.call.take().map(|call| call.token);
         for token in call.into_iter().chain(self.idle.take()) {
             net.close(token);
@@ -356,7 +356,7 @@
         }
         let next_call = self.staleness.handle_failure(now, fault);
         let retry_delay_ms = (next_call - now).0 / 1000;
-        log::warn!("directory: {message}; asked again in {retry_delay_ms} ms");
+        log::warn!("discovery: {message}; asked again in {retry_delay_ms} ms");
         self.next_call = Some(next_call);
     }
 }
--- a/crates/node/src/federation/answers.rs
+++ b/crates/node/src/federation/answers.rs
@@ -114,7 +114,7 @@
             Ok(problem) if problem.error == ErrorId::InvalidArgument => {
                 // The site accepted the job but does not know it any more. The job may have run.
                 log::warn!(
-                    "sites: job {id:?} fails: the site that accepted it does not know it any more: {}",
+                    "federation: job {id:?} fails: the site that accepted it does not know it any more: {}",
                     problem.message
                 );
                 finish(id, FinalAnswer::Failed, context);
--- a/crates/node/src/federation/mod.rs
+++ b/crates/node/src/federation/mod.rs
@@ -143,7 +143,7 @@
             } => self.ask(now, id, address, *op, query, context),
             NextStep::Ask { address: None, .. } | NextStep::Wait => {}
             NextStep::Reject(reason) => {
-                log::info!("sites: rejecting job {id:?}, since no site accepts it: {reason}");
+                log::info!("federation: rejecting job {id:?}, since no site accepts it: {reason}");
                 finish(id, FinalAnswer::Rejected(Some(RETRY_INTERVAL)), context);
             }
         }
@@ -222,7 +222,7 @@
             };
             context.net.touch(token);
             let Ok(line) = line else {
-                log::warn!("sites: closing a connection after a line that is not valid JSON");
+                log::warn!("federation: closing a connection after a line that is not valid JSON");
                 return self.drop_connection(now, token, context);
             };
             let number = line["seq"].as_u64();
@@ -250,7 +250,9 @@
             .map(|(token, _)| *token)
             .collect();
         for token in silent {
-            log::warn!("sites: a site says nothing; it is asked again over another connection");
+            log::warn!(
+                "federation: a site says nothing; it is asked again over another connection"
+            );
             self.drop_connection(now, token, context);
         }
     }
--- a/crates/node/src/gossip/mod.rs
+++ b/crates/node/src/gossip/mod.rs
@@ -59,7 +59,7 @@
         match net.datagrams(self.config.listen, self.peer) {
             Ok(token) => self.socket = Some(token),
             Err(e) => log::warn!(
-                "peers: cannot bind {}: {e}; binding is retried",
+                "gossip: cannot bind {}: {e}; binding is retried",
                 self.config.listen
             ),
         }
