--- a/crates/node/src/federation/mod.rs
+++ b/crates/node/src/federation/mod.rs
@@ -251,7 +251,7 @@
             .collect();
         for token in silent {
             log::warn!(
-                "federation: a site says nothing; it is asked again over another connection"
+                "federation: a site has not answered in time; closing its connection and asking again over another one"
             );
             self.drop_connection(now, token, context);
         }
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -162,7 +162,10 @@
     while served.load(Ordering::SeqCst) == 0 {
         std::thread::sleep(Duration::from_millis(5));
     }
-    a.wait_for_log_line(4, "a site says nothing; it is asked again");
+    a.wait_for_log_line(
+        4,
+        "a site has not answered in time; closing its connection and asking again",
+    );
     links[0].reset_connections();
     links[0].set_state(LinkState::Open, LinkState::Open);
     assert_eq!(submitter.wait(&lost)["jobState"], "DONE");
