--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -1,6 +1,6 @@
-//! The client of discovery at 300 nodes before one discovery service that handles its calls one after another, in
-//! virtual time. The deadlines of the platform's rule are computed here anew, from the protocol page: no node may hold a
-//! drained worker as usable past them.
+//! Simulates the discovery clients of 300 nodes in virtual time, with one discovery service that handles calls one
+//! after another. The test computes the deadlines of the platform's rule independently, from the protocol page: no node
+//! may treat a drained worker as usable past them.
 
 use marbledeck_dispatcher::Micros;
 use marbledeck_node::discovery::{Fault, Query, StalenessTracker};
@@ -8,16 +8,16 @@
 
 const NODES: usize = 300;
 const GRACE: Micros = Micros(400_000);
-/// The rule's figures are longer by so much on sockets.
+/// Tolerance that the rule adds to its deadlines on sockets.
 const SLACK: Micros = Micros(50_000);
 const STEP: Micros = Micros(1_000);
-/// A worker drains once in so many steps.
+/// One worker drains per this many steps.
 const STEPS_PER_CHANGE: u64 = 500;
-/// A call that has waited for so long fails.
+/// A call that has been queued for longer fails.
 const QUEUE_TIMEOUT: Micros = Micros(1_000_000);
-/// By the rule, a node counts as notified so long after discovery had a change, in seconds.
+/// Seconds after which the rule counts a node as notified of a change that discovery has.
 const NOTIFICATION_DELAY: f64 = 6.0;
-/// By the rule, a node that has moved counts as notified of all changes so long after, in seconds.
+/// Seconds after a move to another discovery service at which the rule counts a node as notified of all changes.
 const MOVE_DELAY: f64 = 4.0;
 
 fn secs(secs: f64) -> Micros {
@@ -26,54 +26,55 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
-    /// It waits for its turn.
+    /// The call waits in discovery's queue.
     Queued,
-    /// Discovery holds it until something changes.
+    /// Discovery holds the call until something changes.
     Held,
-    /// It is never answered.
+    /// The call is never answered.
     Silent,
 }
 
-/// A call to discovery that is not over.
+/// A call to discovery that has not ended.
 struct OpenCall {
     started: Micros,
     query: Query,
-    /// How many changes its node knew when it called.
-    after: usize,
+    /// The number of changes that the node knew when it called.
+    known_changes: usize,
     stage: Stage,
 }
 
 struct Node {
     staleness: StalenessTracker,
     call: Option<OpenCall>,
-    /// When it calls next.
+    /// The time of the next call.
     next_call: Option<Micros>,
-    /// How many changes it knows.
+    /// The number of changes that the node knows.
     known_changes: usize,
-    /// Since it has moved: by when the rule counts it as notified of all changes.
+    /// After a move, the time at which the rule counts the node as notified of all changes.
     move_deadline: Option<Micros>,
 }
 
-/// What happens on a day.
-struct Day {
-    /// Calls a second that discovery handles.
+/// The schedule of faults in a simulated run; times are in seconds from its start.
+struct Scenario {
+    /// Calls per second that discovery handles.
     capacity: f64,
-    /// When all open watches fall silent.
+    /// Times at which all open watches fall silent.
     silent: Vec<f64>,
-    /// Discovery is down from the first to the second: its watches end, and no connection is taken.
+    /// Start and end of an outage of discovery, which ends its watches and accepts no connection.
     down: Option<(f64, f64)>,
-    /// It says 503 to all calls at once, and ends its watches so, but could be reached.
+    /// Start and end of a time in which discovery is reachable but answers all calls, its watches among them, with 503.
     refuses: Option<(f64, f64)>,
-    /// From the first to the second it answers nothing, not even failures.
+    /// Start and end of a time in which discovery sends no answer at all.
     mute: Option<(f64, f64)>,
-    /// All nodes move to another discovery service, which has one change more.
+    /// Time at which all nodes move to another discovery service, which has one more change.
     moved: Option<f64>,
-    /// Lists are pushed, and the nodes start with an old one.
+    /// Whether lists are pushed; the nodes then start with an outdated one.
     pushed: bool,
     length: f64,
 }
 
-const CALM: Day = Day {
+/// A run without faults.
+const NO_FAULTS: Scenario = Scenario {
     capacity: 900.0,
     silent: Vec::new(),
     down: None,
@@ -85,14 +86,14 @@
 };
 
 struct Findings {
-    /// Nodes that held a list past the rule's deadline, at the first such moment.
+    /// Nodes that trusted a list past the rule's deadline, each with the first such time.
     late: Vec<(usize, Micros)>,
-    /// Node-seconds in which a list was not trusted.
+    /// Node-seconds during which a list was not trusted.
     distrusted: f64,
 }
 
-/// Whether this step is the last before the time.
-fn passes(time: f64, now: Micros) -> bool {
+/// Whether this step is the last one before `time`.
+fn is_last_step_before(time: f64, now: Micros) -> bool {
     now < secs(time) && now + STEP >= secs(time)
 }
 
@@ -100,41 +101,41 @@
     span.is_some_and(|(from, to)| now >= secs(from) && now < secs(to))
 }
 
-/// What is the case at one step of a day.
+/// The conditions at one step of a run.
 struct Conditions {
     now: Micros,
     down: bool,
-    /// When discovery went down, if it is down.
+    /// Start of the current outage of discovery.
     down_since: Option<Micros>,
     mute: bool,
     refuses: bool,
-    /// The nodes move at this step.
+    /// Whether the nodes move at this step.
     moves: bool,
-    /// Held watches fall silent at this step.
+    /// Whether held watches fall silent at this step.
     falls_silent: bool,
-    /// How many changes discovery has.
+    /// The number of changes that discovery has.
     changes: usize,
 }
 
-/// A day as it is played.
+/// The state of a simulated run.
 struct Simulation<'a> {
-    day: &'a Day,
+    scenario: &'a Scenario,
     nodes: Vec<Node>,
-    /// Calls that wait for their turn: their nodes, and when they were started.
+    /// Queued calls: their nodes and start times.
     queue: VecDeque<(usize, Micros)>,
-    /// When discovery had each change and could be reached; none for what is pushed, which counts as notified from the
-    /// first moment.
+    /// The time from which discovery had each change and was reachable; none for a pushed list, of which a node counts
+    /// as notified from the start.
     changes: Vec<Option<Micros>>,
-    /// How many calls discovery can handle now.
+    /// The number of calls that discovery can handle now.
     credit: f64,
     findings: Findings,
 }
 
-/// Plays a day: a worker drains every half second, and each node is held against the rule at every step.
-fn play(day: &Day, seed: u64) -> Findings {
-    let mut simulation = Simulation::new(day, seed);
+/// Runs a simulation in which a worker drains every half second, and checks each node against the rule at every step.
+fn simulate(scenario: &Scenario, seed: u64) -> Findings {
+    let mut simulation = Simulation::new(scenario, seed);
     let mut now = Micros(0);
-    while now < secs(day.length) {
+    while now < secs(scenario.length) {
         simulation.step(now);
         now = now + STEP;
     }
@@ -142,17 +143,21 @@
 }
 
 impl<'a> Simulation<'a> {
-    fn new(day: &'a Day, seed: u64) -> Self {
+    fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let node = |n| Node {
-            staleness: StalenessTracker::new(Micros(0), GRACE, day.pushed, seed * 1000 + n),
+            staleness: StalenessTracker::new(Micros(0), GRACE, scenario.pushed, seed * 1000 + n),
             call: None,
             next_call: Some(Micros(0)),
             known_changes: 0,
             move_deadline: None,
         };
-        let pushed = if day.pushed { vec![None] } else { Vec::new() };
+        let pushed = if scenario.pushed {
+            vec![None]
+        } else {
+            Vec::new()
+        };
         Simulation {
-            day,
+            scenario,
             nodes: (0..NODES as u64).map(node).collect(),
             queue: VecDeque::new(),
             changes: pushed,
@@ -183,15 +188,17 @@
         }
     }
 
-    /// Adds the changes of this step.
+    /// Adds the changes of this step and returns its conditions.
     fn begin_step(&mut self, now: Micros) -> Conditions {
-        let day = self.day;
-        let outage = day.down.filter(|_| is_within(day.down, now));
+        let scenario = self.scenario;
+        let outage = scenario.down.filter(|_| is_within(scenario.down, now));
         let reachable = outage.map_or(now, |(_, to)| secs(to));
         if (now.0 / STEP.0) % STEPS_PER_CHANGE == STEPS_PER_CHANGE / 2 {
             self.changes.push(Some(reachable));
         }
-        let moves = day.moved.is_some_and(|time| passes(time, now));
+        let moves = scenario
+            .moved
+            .is_some_and(|time| is_last_step_before(time, now));
         if moves {
             self.changes.push(Some(reachable));
         }
@@ -199,17 +206,20 @@
             now,
             down: outage.is_some(),
             down_since: outage.map(|(from, _)| secs(from)),
-            mute: is_within(day.mute, now),
-            refuses: is_within(day.refuses, now),
+            mute: is_within(scenario.mute, now),
+            refuses: is_within(scenario.refuses, now),
             moves,
-            falls_silent: day.silent.iter().any(|time| passes(*time, now)),
+            falls_silent: scenario
+                .silent
+                .iter()
+                .any(|time| is_last_step_before(*time, now)),
             changes: self.changes.len(),
         }
     }
 
-    /// Discovery takes the calls that wait, as far as its capacity goes.
+    /// Lets discovery take queued calls, up to its capacity.
     fn handle_queue(&mut self, conditions: &Conditions) {
-        let credit_per_step = self.day.capacity * STEP.as_secs_f64();
+        let credit_per_step = self.scenario.capacity * STEP.as_secs_f64();
         self.credit = f64::min(self.credit + credit_per_step, 1.0_f64.max(credit_per_step));
         if conditions.down || conditions.refuses || conditions.mute {
             self.queue.clear();
@@ -218,7 +228,7 @@
             let Some((n, started)) = self.queue.pop_front() else {
                 break;
             };
-            // A call that its node has given up has its turn all the same.
+            // A call that its node has given up still uses capacity.
             self.credit -= 1.0;
             let call = self.nodes[n].call.as_mut();
             let is_open =
@@ -229,8 +239,8 @@
         }
     }
 
-    /// The rule: whatever became of the calls, a change counts as notified so long after discovery had it and could be
-    /// reached.
+    /// Checks a node against the rule: whatever became of the calls, it counts as notified of a change
+    /// `NOTIFICATION_DELAY` after discovery had that change and was reachable.
     fn check_rule(&mut self, n: usize, conditions: &Conditions) {
         let now = conditions.now;
         let node = &self.nodes[n];
@@ -263,7 +273,7 @@
         self.move_deadline = Some(now + secs(MOVE_DELAY));
     }
 
-    /// Answers its call, or lets it go on. Returns why it has failed, if it has.
+    /// Answers the node's call if discovery does so now. Returns the fault if the call has failed.
     fn advance_call(&mut self, conditions: &Conditions) -> Option<Fault> {
         let now = conditions.now;
         let mut fault = None;
@@ -285,7 +295,7 @@
         fault.or(overdue.then_some(Fault::Silent))
     }
 
-    /// Starts its next call if that is due. Returns whether it has.
+    /// Starts the node's next call if it is due. Returns whether a call was started.
     fn start_due_call(&mut self, now: Micros) -> bool {
         let due = self.next_call.is_some_and(|time| now >= time);
         if self.call.is_some() || !due {
@@ -295,7 +305,7 @@
         self.call = Some(OpenCall {
             started: now,
             query: call.query,
-            after: self.known_changes,
+            known_changes: self.known_changes,
             stage: Stage::Queued,
         });
         self.next_call = None;
@@ -304,7 +314,7 @@
 }
 
 impl OpenCall {
-    /// How the call fails under these conditions.
+    /// The fault with which the call fails under these conditions.
     fn fault(&self, conditions: &Conditions) -> Option<Fault> {
         let connected_before = conditions
             .down_since
@@ -320,24 +330,30 @@
         }
     }
 
-    /// Whether discovery answers it now.
+    /// Whether discovery answers the call now.
     fn is_answered(&self, conditions: &Conditions) -> bool {
         let is_over = match self.query {
             Query::CompleteList => true,
             Query::Changes { wait } => {
-                self.after < conditions.changes || conditions.now >= self.started + wait
+                self.known_changes < conditions.changes || conditions.now >= self.started + wait
             }
         };
         self.stage == Stage::Held && is_over
     }
 }
 
-/// All watches fall silent in one moment, whenever in their waits that is.
+/// All watches fall silent at once, at any point of their wait.
 #[test]
 fn a_silent_watch_is_detected_before_what_it_misses_counts_as_notified() {
     for seed in 1..=3 {
         let silent = vec![3.0 + 0.37 * seed as f64, 14.2];
-        let findings = play(&Day { silent, ..CALM }, seed);
+        let findings = simulate(
+            &Scenario {
+                silent,
+                ..NO_FAULTS
+            },
+            seed,
+        );
         assert!(
             findings.late.is_empty(),
             "seed {seed}: {:?}",
@@ -345,22 +361,22 @@
         );
         assert_eq!(
             findings.distrusted, 0.0,
-            "seed {seed}: lists were asked for in time"
+            "seed {seed}: nodes must poll before their lists expire"
         );
     }
 }
 
-/// The same before a discovery service that is asked for more than it can do: three calls a second for each ten nodes.
+/// Watches fall silent while discovery handles fewer calls than it gets: 30 or 90 a second for 300 nodes.
 #[test]
 fn an_overloaded_discovery_leaves_no_drained_worker_usable() {
     for capacity in [30.0, 90.0] {
-        let day = Day {
+        let scenario = Scenario {
             capacity,
             silent: vec![5.0, 16.0],
             length: 40.0,
-            ..CALM
+            ..NO_FAULTS
         };
-        let findings = play(&day, 4);
+        let findings = simulate(&scenario, 4);
         assert!(
             findings.late.is_empty(),
             "{capacity}: {:?}",
@@ -369,13 +385,13 @@
     }
 }
 
-/// Discovery that is down for some seconds costs nothing; in a longer time, calls that were still in its queue may have
-/// missed something that it had before.
+/// An outage of discovery of some seconds costs no trust. In a longer one, calls that were still queued may have missed
+/// changes that discovery had before.
 #[test]
 fn a_list_is_trusted_while_discovery_is_down_as_long_as_nothing_can_be_missed() {
     for (length, max_distrusted) in [(3.0, 0.0), (8.0, 5.5)] {
         let down = Some((6.0, 6.0 + length));
-        let findings = play(&Day { down, ..CALM }, 5);
+        let findings = simulate(&Scenario { down, ..NO_FAULTS }, 5);
         assert!(
             findings.late.is_empty(),
             "{length}: {:?}",
@@ -386,7 +402,8 @@
     }
 }
 
-/// A watch that discovery held tells all until it breaks; while connections are refused there is nothing to miss.
+/// A held watch misses nothing until its connection breaks, and while connections are refused there are no changes to
+/// miss.
 #[test]
 fn a_list_is_trusted_while_connections_are_refused_after_a_held_watch() {
     let mut staleness = StalenessTracker::new(Micros(0), GRACE, false, 1);
@@ -395,41 +412,49 @@
     now = now + secs(3.0);
     for _ in 0..40 {
         let next_call = staleness.handle_failure(now, fault);
-        let expiry = staleness.trusted_until().expect("in doubt");
+        let expiry = staleness.trusted_until().expect("the list is in doubt");
         assert!(
             expiry > next_call + secs(2.0),
-            "asked again at {next_call:?}, trusted until {expiry:?}"
+            "next call at {next_call:?}, trusted until {expiry:?}"
         );
         (now, fault) = (next_call, Fault::Unreachable);
         staleness.next_call(now);
     }
-    // Silence is no such proof: from then on the clock runs.
+    // A silent call proves nothing about missed changes, so the list expires from then on.
     let silent = staleness.call_deadline().expect("an open call");
     staleness.handle_failure(silent, Fault::Silent);
-    let expiry = staleness.trusted_until().expect("in doubt");
+    let expiry = staleness.trusted_until().expect("the list is in doubt");
     staleness.next_call(silent);
     staleness.handle_failure(silent, Fault::Unreachable);
     assert_eq!(staleness.trusted_until(), Some(expiry));
 }
 
-/// A call that is refused after a short time may have waited for its turn since it was asked, and missed what came
-/// meanwhile; a watch that was held until discovery said no has missed nothing before that.
+/// A call that is refused soon may have been queued all the time and missed changes since its start. A watch that
+/// discovery held and then refused has missed nothing before its end.
 #[test]
-fn a_refused_call_leaves_doubt_from_its_start_and_a_held_watch_from_its_end() {
-    for (out, since) in [(1.0, 0.0), (1.3, 1.3)] {
+fn a_list_ages_from_the_start_of_a_refused_call_and_from_the_end_of_a_held_watch() {
+    for (call_length, since) in [(1.0, 0.0), (1.3, 1.3)] {
         let mut staleness = StalenessTracker::new(Micros(0), GRACE, false, 1);
         staleness.next_call(secs(10.0));
-        staleness.handle_failure(secs(10.0 + out), Fault::Refused);
+        staleness.handle_failure(secs(10.0 + call_length), Fault::Refused);
         let expiry = secs(10.0 + since + 6.0) + GRACE;
-        assert_eq!(staleness.trusted_until(), Some(expiry), "out for {out} s");
-        // What fails after that is later: the first doubt counts.
+        assert_eq!(
+            staleness.trusted_until(),
+            Some(expiry),
+            "call of {call_length} s"
+        );
+        // Later failures do not move the expiry, which counts from the first one.
         staleness.next_call(secs(12.0));
         staleness.handle_failure(secs(14.0), Fault::Refused);
-        assert_eq!(staleness.trusted_until(), Some(expiry), "out for {out} s");
+        assert_eq!(
+            staleness.trusted_until(),
+            Some(expiry),
+            "call of {call_length} s"
+        );
     }
 }
 
-/// A node whose site grants no grace asks on at a bounded pace.
+/// A node without a grace period polls at a bounded rate.
 #[test]
 fn without_a_grace_a_pushed_list_is_polled_at_a_bounded_rate() {
     let mut staleness = StalenessTracker::new(Micros(0), Micros(0), true, 1);
@@ -442,73 +467,74 @@
     assert!(now >= secs(9.0), "200 calls in {now:?}");
 }
 
-/// One that refuses all calls with an answer could be reached: its list is given up when the rule says so, and trusted
-/// soon after it answers again.
+/// A discovery service that answers all calls with a refusal counts as reachable: its list is distrusted at the rule's
+/// deadline, and trusted again soon after discovery answers.
 #[test]
 fn a_list_is_given_up_when_discovery_refuses_calls() {
     for (seed, from) in [(10, 0.0), (11, 6.0), (12, 7.3)] {
-        let day = Day {
+        let scenario = Scenario {
             refuses: Some((from, from + 9.0)),
-            ..CALM
+            ..NO_FAULTS
         };
-        let findings = play(&day, seed);
+        let findings = simulate(&scenario, seed);
         let late = &findings.late[..findings.late.len().min(5)];
         assert!(late.is_empty(), "seed {seed}: {late:?}");
         let each = findings.distrusted / NODES as f64;
-        // Notified after 6 s by the rule, and the grace; answered again within a second.
+        // The rule counts nodes as notified after 6 s; the grace period follows. Nodes are answered again within a
+        // second.
         assert!((2.0..6.0).contains(&each), "seed {seed}: {each} s a node");
     }
 }
 
-/// Down only a moment after a call was refused with an answer: what was missed then counts as notified while it is down.
+/// Discovery goes down just after it refused calls: a change missed at that time counts as notified during the outage.
 #[test]
-fn a_refused_connection_ends_no_older_doubt() {
-    let day = Day {
+fn a_refused_connection_does_not_extend_the_trust_in_a_list() {
+    let scenario = Scenario {
         refuses: Some((6.0, 6.6)),
         down: Some((6.6, 15.0)),
-        ..CALM
+        ..NO_FAULTS
     };
-    let findings = play(&day, 13);
+    let findings = simulate(&scenario, 13);
     assert!(findings.late.is_empty(), "{:?}", findings.late.first());
     assert!(findings.distrusted > 0.0);
 }
 
-/// A few seconds of refusals cost nothing: the nodes ask on, often enough and not in step.
+/// A few seconds of refusals cost no trust: the nodes keep polling often enough, and not all at the same time.
 #[test]
 fn short_refusals_cost_no_service() {
     for from in [0.0, 5.0] {
-        let day = Day {
+        let scenario = Scenario {
             refuses: Some((from, from + 3.0)),
-            ..CALM
+            ..NO_FAULTS
         };
-        let findings = play(&day, 14);
+        let findings = simulate(&scenario, 14);
         assert!(findings.late.is_empty(), "{:?}", findings.late.first());
         assert_eq!(findings.distrusted, 0.0);
     }
 }
 
-/// One that takes calls and answers none of them: the lists are given up when the rule says so, and not before.
+/// Discovery accepts calls and answers none of them: lists are distrusted at the rule's deadline, and not before.
 #[test]
 fn a_list_is_given_up_when_discovery_answers_nothing() {
-    let findings = play(
-        &Day {
+    let findings = simulate(
+        &Scenario {
             mute: Some((6.0, 18.0)),
-            ..CALM
+            ..NO_FAULTS
         },
         6,
     );
     assert!(findings.late.is_empty(), "{:?}", findings.late.first());
     let each = findings.distrusted / NODES as f64;
-    // Silent from 6 s on, notified at 12 s by the rule, answered again soon after 18 s.
+    // Discovery is silent from 6 s on, the rule counts nodes as notified at 12 s, and answers return soon after 18 s.
     assert!((4.0..9.0).contains(&each), "{each} s a node");
 }
 
 #[test]
 fn after_a_move_the_new_list_is_received_within_four_seconds() {
-    let findings = play(
-        &Day {
+    let findings = simulate(
+        &Scenario {
             moved: Some(7.3),
-            ..CALM
+            ..NO_FAULTS
         },
         7,
     );
@@ -516,14 +542,14 @@
     assert_eq!(findings.distrusted, 0.0);
 }
 
-/// A node that is moved to a discovery service that is silent does not go on by the old list.
+/// A node that moves to a silent discovery service does not keep using the old list.
 #[test]
 fn the_old_list_is_given_up_after_a_move_to_a_silent_discovery_service() {
-    let findings = play(
-        &Day {
+    let findings = simulate(
+        &Scenario {
             moved: Some(7.0),
             mute: Some((6.9, 16.0)),
-            ..CALM
+            ..NO_FAULTS
         },
         8,
     );
@@ -531,20 +557,20 @@
     assert!(findings.distrusted > 0.0);
 }
 
-/// Where lists are pushed, all of it counts as notified from the first moment of a process.
+/// Where lists are pushed, a process counts as notified of the whole list from its start.
 #[test]
 fn a_pushed_list_is_received_within_the_grace_of_the_start() {
-    let findings = play(
-        &Day {
+    let findings = simulate(
+        &Scenario {
             pushed: true,
-            ..CALM
+            ..NO_FAULTS
         },
         9,
     );
     assert!(findings.late.is_empty(), "{:?}", findings.late.first());
 }
 
-/// The nodes do not ask in step, though all were answered in one moment.
+/// Nodes that were all answered at the same time do not all poll again at the same time.
 #[test]
 fn nodes_that_were_answered_together_do_not_poll_together() {
     let mut deadlines: Vec<u64> = (0..NODES as u64)
@@ -567,8 +593,8 @@
     );
 }
 
-/// A watch that discovery held and then ended with a refusal has missed nothing before that, though the refusal's bytes
-/// came first; one whose answer broke off has.
+/// A watch that discovery held and then refused has missed nothing before the refusal, although the refusal's bytes
+/// arrived first. A watch whose answer broke off may have missed changes.
 #[test]
 fn a_held_watch_that_is_refused_has_missed_nothing_and_one_that_is_cut_off_has() {
     let expiry_after = |fault, then| {
@@ -578,17 +604,16 @@
         let next_call = staleness.handle_failure(secs(13.0), fault);
         staleness.next_call(next_call);
         staleness.handle_failure(next_call, then);
-        staleness.trusted_until().expect("in doubt")
+        staleness.trusted_until().expect("the list is in doubt")
     };
     let refused = expiry_after(Fault::Refused, Fault::Refused);
     assert_eq!(refused, secs(13.0 + NOTIFICATION_DELAY) + GRACE);
-    // It was no held watch that broke: a refused connection after it proves nothing.
+    // The broken call was no held watch, so a refused connection after it does not extend the trust.
     let cut_off = expiry_after(Fault::Broken, Fault::Unreachable);
     assert_eq!(cut_off, secs(10.0 + NOTIFICATION_DELAY) + GRACE);
 }
 
-/// An answer that comes slowly keeps its call alive for as long as bytes come, until what changes meanwhile counts as
-/// notified, and no longer.
+/// A slow answer keeps its call open while bytes arrive, but only until changes made meanwhile count as notified.
 #[test]
 fn a_slow_answer_is_waited_for_until_a_change_counts_as_notified() {
     let mut staleness = StalenessTracker::new(Micros(0), GRACE, false, 1);
@@ -596,7 +621,7 @@
     for tenths in 110..150_u32 {
         let now = secs(f64::from(tenths) / 10.0);
         let deadline = staleness.call_deadline().expect("an open call");
-        assert!(deadline > now, "given up at {now:?}");
+        assert!(deadline > now, "the call is given up at {now:?}");
         staleness.handle_progress(now);
     }
     assert_eq!(staleness.call_deadline(), Some(secs(16.0)));
@@ -605,8 +630,8 @@
     assert_eq!(staleness.trusted_until(), Some(expiry));
 }
 
-/// A list that is pushed while the answer before it is still being read counts at once, so nothing is sent by what that
-/// answer has named for longer than the grace.
+/// A list that is pushed while the previous answer is still being read counts as notified at once. So what that answer
+/// has listed is used for no longer than the grace period.
 #[test]
 fn an_unfinished_answer_of_a_pushed_list_ends_all_trust_with_the_grace() {
     for (pushed, expiry) in [(true, Some(secs(20.0) + GRACE)), (false, None)] {
@@ -620,8 +645,8 @@
     }
 }
 
-/// What has changed while a pushed list was read for long counts as notified since then: the list is trusted once an
-/// answer has come quickly.
+/// A change made during the long read of a pushed list counts as notified since then. So the list is only trusted again
+/// after a quick answer.
 #[test]
 fn a_pushed_list_that_was_read_for_long_is_old_when_it_is_complete() {
     let mut staleness = StalenessTracker::new(Micros(0), GRACE, true, 1);
@@ -634,7 +659,7 @@
     staleness.handle_answer_begun(secs(10.61));
     staleness.handle_complete_answer(secs(10.62), secs(10.61));
     assert_eq!(staleness.trusted_until(), None);
-    // Where it is asked for, what was not written yet was not notified.
+    // Where lists are polled, a change that discovery has not written yet does not count as notified.
     let mut staleness = StalenessTracker::new(Micros(0), GRACE, false, 1);
     staleness.next_call(secs(10.0));
     staleness.handle_complete_answer(secs(10.6), secs(10.0));
--- a/crates/node/tests/drain_soak.rs
+++ b/crates/node/tests/drain_soak.rs
@@ -1,9 +1,10 @@
-//! A seeded soak: a node with thousands of listed workers and clients that never rest, while workers drain and come back
-//! by the hundreds, lists come in all forms and at all paces, discovery goes down and returns, and the node is stopped for
-//! moments, starved of processor time, reloaded, ended and killed. Each fourth seed has its lists pushed. No request may begin at a worker after the grace of its
-//! drain, no process may fail, and whatever is taken is answered in time.
+//! Seeded soak test of draining: a node with thousands of listed workers serves clients that send jobs without pause.
+//! Meanwhile hundreds of workers drain and return at a time, endpoint lists arrive in every format and at every speed,
+//! discovery goes down and returns, and the node is paused, starved of processor time, reloaded, terminated and killed.
+//! Every fourth seed uses pushed lists. No request may begin at a worker after the grace period of its drain, no
+//! process may fail, and every accepted request must be answered in time.
 //!
-//! `MARBLEDECK_SOAK_SEEDS=1..51 cargo test --release -p marbledeck-node --test drain_soak -- --nocapture` is a long run.
+//! Long run: `MARBLEDECK_SOAK_SEEDS=1..51 cargo test --release -p marbledeck-node --test drain_soak -- --nocapture`.
 
 use marbledeck_test_support::{
     AnswerForm, Delivery, DiscoveryStub, EnvironmentOptions, JobClient, ListedEndpoint,
@@ -19,19 +20,19 @@
 const WORKERS: usize = 2400;
 const CLIENTS: usize = 6;
 const IDLE_CONNECTIONS: usize = 150;
-/// How long one seed is played.
-const LENGTH: Duration = Duration::from_secs(9);
-/// The drain's grace, and the platform's slack for sockets.
+/// Duration of the run of one seed.
+const RUN_TIME: Duration = Duration::from_secs(9);
+/// The drain's grace period plus the platform's tolerance for sockets.
 const GRACE: Duration = Duration::from_millis(450);
 const TIME_LEFT: Duration = Duration::from_millis(2000);
-/// An answer that comes so much later is lost by the platform's rule.
+/// The platform's rule counts an answer that is later than the deadline by more than this as lost.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// SIGKILL comes no sooner after SIGTERM: the longest deadline, counted as 3 s, and 0.7 s.
+/// SIGKILL comes this long after SIGTERM at the earliest: the longest deadline, counted as 3 s, plus 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
-/// A machine that lets a thread sleep for longer than this has stood still.
+/// A thread that oversleeps by more than this shows that the machine stalled.
 const STALL: Duration = Duration::from_millis(20);
 
-/// A small generator (SplitMix64): the same steps for the same seed.
+/// SplitMix64 random number generator: the same seed yields the same steps.
 struct Random(u64);
 
 impl Random {
@@ -52,8 +53,8 @@
     }
 }
 
-/// How long this machine has stood still, moment by moment: what stands still here, a worker's clock among it, shows
-/// nothing of the node.
+/// Records when and for how long this machine stalled. A delay during such a stall, which stops the workers' clocks,
+/// too, is not the node's fault.
 #[derive(Clone, Default)]
 struct StallMeter(Arc<Mutex<Vec<(Instant, Duration)>>>);
 
@@ -81,21 +82,21 @@
     }
 }
 
-/// What the clients have seen.
+/// Outcomes that the clients have seen, and the faults found.
 #[derive(Default)]
 struct Tally {
     served: AtomicUsize,
     rejected: AtomicUsize,
     failed: AtomicUsize,
-    /// Broken off by the end of a process.
+    /// Requests without an answer because a process ended.
     crossed: AtomicUsize,
     faults: Mutex<Vec<String>>,
 }
 
-/// What all threads of a run share.
+/// State that all threads of a run share.
 struct Run {
     stop: Arc<AtomicBool>,
-    /// Odd while a process ends or starts.
+    /// Incremented before and after each restart, so it is odd while a process ends or starts.
     restarts: AtomicU64,
     tally: Tally,
     stalls: StallMeter,
@@ -110,7 +111,7 @@
         self.stop.load(Ordering::SeqCst)
     }
 
-    /// A client that hands in one job after the other, and leaves now and then.
+    /// Sends one job after another, and closes its connection now and then.
     fn client(&self, number: usize, address: &str, mut random: Random) {
         let mut connection = None;
         for job in 0.. {
@@ -122,10 +123,11 @@
                 connection = None;
             }
             let restarts = self.restarts.load(Ordering::SeqCst);
-            // What is kept may lead to a process that has ended since.
-            let kept = connection.take();
-            let crosses = kept.as_ref().is_some_and(|(_, since)| *since != restarts);
-            let client = kept.map_or_else(|| JobClient::connect(address), |(client, _)| Ok(client));
+            // A reused connection may belong to a process that has ended since.
+            let reused = connection.take();
+            let crosses = reused.as_ref().is_some_and(|(_, since)| *since != restarts);
+            let client =
+                reused.map_or_else(|| JobClient::connect(address), |(client, _)| Ok(client));
             let Ok(mut client) = client else {
                 continue;
             };
@@ -135,13 +137,13 @@
             let is_restarting =
                 restarts % 2 == 1 || self.restarts.load(Ordering::SeqCst) != restarts;
             let unsettled = crosses || is_restarting;
-            self.count(&txn, began, answer.as_ref().ok().copied(), unsettled);
+            self.record_answer(&txn, began, answer.as_ref().ok().copied(), unsettled);
             let is_open = answer.is_ok() && !client.is_closing();
             connection = is_open.then_some((client, restarts));
         }
     }
 
-    fn count(&self, txn: &str, began: Instant, status: Option<u16>, unsettled: bool) {
+    fn record_answer(&self, txn: &str, began: Instant, status: Option<u16>, unsettled: bool) {
         let took = began.elapsed();
         let allowed = TIME_LEFT + ANSWER_SLACK + self.stalls.between(began, Instant::now());
         let counter = match status {
@@ -158,8 +160,8 @@
     }
 }
 
-/// One seed's play.
-struct Play<'a> {
+/// The run of one seed.
+struct Scenario<'a> {
     random: Random,
     environment: TestEnvironment,
     crowd: &'a WorkerCrowd,
@@ -167,8 +169,9 @@
     log: Vec<String>,
 }
 
-impl Play<'_> {
-    fn list(&self, workers: &[usize], phase: &str) {
+impl Scenario<'_> {
+    /// Lists these workers in discovery with this phase.
+    fn set_phase(&self, workers: &[usize], phase: &str) {
         let ids: Vec<String> = workers.iter().map(|n| WorkerCrowd::id(*n)).collect();
         let entries = ids.iter().zip(workers).map(|(id, n)| ListedEndpoint {
             id,
@@ -179,7 +182,7 @@
         self.environment.discovery.set_workers(&entries);
     }
 
-    /// One, a few, or a good part of the workers change.
+    /// Changes the phase of one worker, of a few or of a large part of them.
     fn change_workers(&mut self) {
         let sizes = [1, 12, WORKERS * 15 / 100, WORKERS * 6 / 10];
         let size = sizes[self.random.below(sizes.len())];
@@ -187,10 +190,10 @@
         let workers: Vec<usize> = (first..first + size).map(|n| n % WORKERS).collect();
         let phase = ["draining", "removed", "up", "up"][self.random.below(4)];
         self.log.push(format!("{size} {phase}"));
-        self.list(&workers, phase);
+        self.set_phase(&workers, phase);
     }
 
-    /// Answers come in another form and way.
+    /// Changes the format and the delivery of discovery's answers.
     fn change_answers(&mut self) {
         let forms = [
             AnswerForm::Compact,
@@ -221,19 +224,19 @@
         kill_process(id, signal).expect("it runs");
     }
 
-    /// The node is held up for as long as the platform may.
-    fn hold_up(&mut self) {
+    /// Pauses the node for at most as long as the platform may.
+    fn pause_node(&mut self) {
         let span = self.random.millis(20..150);
-        self.log.push(format!("held up for {span:?}"));
+        self.log.push(format!("node paused for {span:?}"));
         self.signal(Signal::STOP);
         sleep(span);
         self.signal(Signal::CONT);
     }
 
-    /// The node has a small part of a processor for a while.
-    fn starve(&mut self) {
+    /// Leaves the node a tenth of a processor for a while.
+    fn starve_node(&mut self) {
         let end = Instant::now() + self.random.millis(300..1200);
-        self.log.push("starved".to_owned());
+        self.log.push("node starved of processor time".to_owned());
         while Instant::now() < end {
             self.signal(Signal::STOP);
             sleep(Duration::from_millis(18));
@@ -243,20 +246,22 @@
     }
 
     fn restart(&mut self, gracefully: bool) {
-        self.log.push(format!("restart, gracefully: {gracefully}"));
+        self.log
+            .push(format!("node restarted, gracefully: {gracefully}"));
         self.run.restarts.fetch_add(1, Ordering::SeqCst);
         let newest = self.random.below(2) == 0;
         let known = self.environment.discovery.endpoint_list();
         self.environment.set_known((!newest).then_some(known));
-        // What was seen is checked before the notices of this process are forgotten.
+        // Checks the requests seen so far before the notices of this process are discarded.
         self.check_drains();
         let began = Instant::now();
         if gracefully {
             let ended = self.environment.terminate_and_restart(KILL_AFTER);
             let stalled = self.run.stalls.between(began, Instant::now());
             if !ended && stalled.is_zero() {
-                self.run
-                    .fault("did not end by itself after SIGTERM".to_owned());
+                self.run.fault(
+                    "the node did not exit after SIGTERM before it had to be killed".to_owned(),
+                );
             }
         } else {
             self.environment.crash_and_restart();
@@ -266,7 +271,7 @@
         self.run.restarts.fetch_add(1, Ordering::SeqCst);
     }
 
-    fn down(&mut self) {
+    fn stop_discovery(&mut self) {
         let span = self.random.millis(200..1500);
         self.log.push(format!("discovery down for {span:?}"));
         self.environment.discovery.set_down(true);
@@ -279,9 +284,9 @@
             0..=5 => self.change_workers(),
             6..=9 => self.change_answers(),
             10 => self.environment.discovery.resume(),
-            11 => self.hold_up(),
-            12 => self.starve(),
-            13 => self.down(),
+            11 => self.pause_node(),
+            12 => self.starve_node(),
+            13 => self.stop_discovery(),
             14 => self.signal(Signal::HUP),
             _ if self.random.below(3) == 0 => {
                 let gracefully = self.random.below(2) == 0;
@@ -293,7 +298,7 @@
         sleep(self.random.millis(20..350));
     }
 
-    /// No request begins at a worker after the grace of its drain.
+    /// Checks that no request began at a worker after the grace period of its drain.
     fn check_drains(&self) {
         let discovery: &DiscoveryStub = &self.environment.discovery;
         for request in self.crowd.take_seen() {
@@ -304,7 +309,7 @@
             let late = request.first_byte_at.saturating_duration_since(notice);
             if late > GRACE + stalled {
                 let (worker, txn) = (request.worker, request.txn);
-                let stalled = format!("the machine stood still for {stalled:?}");
+                let stalled = format!("the machine stalled for {stalled:?}");
                 self.run.fault(format!(
                     "drain: {txn} began at worker {worker} {late:?} after notice; {stalled}"
                 ));
@@ -313,13 +318,17 @@
     }
 }
 
-/// A node whose file lists the whole crowd, before a discovery that pushes its lists or is asked for them.
-fn start_node(crowd: &WorkerCrowd, pushes: bool) -> TestEnvironment {
+/// Starts a node whose file lists all workers, with a discovery service that pushes its lists or is polled.
+fn start_node(crowd: &WorkerCrowd, pushes_lists: bool) -> TestEnvironment {
     let options = EnvironmentOptions {
         workers: 0,
         memory_mb: 64,
         sockets: 640,
-        registry_mode: if pushes { "automatic" } else { "subscribe" },
+        registry_mode: if pushes_lists {
+            "automatic"
+        } else {
+            "subscribe"
+        },
         ..EnvironmentOptions::default()
     };
     TestEnvironment::start_with(options, |discovery| {
@@ -331,14 +340,14 @@
             phase: "up",
         });
         discovery.set_workers(&entries.collect::<Vec<_>>());
-        if pushes {
+        if pushes_lists {
             discovery.push_lists();
         }
     })
 }
 
-/// Plays a seed. Returns what went wrong.
-fn play(seed: u64, crowd: &WorkerCrowd) -> Vec<String> {
+/// Runs a seed and returns the faults found.
+fn run_seed(seed: u64, crowd: &WorkerCrowd) -> Vec<String> {
     let stop = Arc::new(AtomicBool::new(false));
     let run = Arc::new(Run {
         stop: stop.clone(),
@@ -356,49 +365,49 @@
             std::thread::spawn(move || run.client(number, &address, random))
         })
         .collect();
-    // Some runs have a crowd that holds connections and says nothing.
+    // Some runs also have clients that hold connections and send nothing.
     let idle = if seed.is_multiple_of(3) {
         IDLE_CONNECTIONS
     } else {
         0
     };
     let idle: Vec<_> = (0..idle).map(|_| JobClient::connect(&address)).collect();
-    let mut play = Play {
+    let mut scenario = Scenario {
         random: Random(seed),
         environment,
         crowd,
         run: run.clone(),
         log: Vec::new(),
     };
-    let end = Instant::now() + LENGTH;
+    let end = Instant::now() + RUN_TIME;
     while Instant::now() < end {
-        play.step();
+        scenario.step();
     }
-    play.environment.discovery.resume();
+    scenario.environment.discovery.resume();
     stop.store(true, Ordering::SeqCst);
     for client in clients {
-        client.join().expect("a client panics");
+        client.join().expect("the client thread does not panic");
     }
-    play.check_drains();
+    scenario.check_drains();
     drop(idle);
-    let counted = |counter: &AtomicUsize| counter.load(Ordering::SeqCst);
+    let load = |counter: &AtomicUsize| counter.load(Ordering::SeqCst);
     let tally = &run.tally;
     println!(
         "seed {seed}: served {} rejected {} failed {} crossed a restart {}, {} steps",
-        counted(&tally.served),
-        counted(&tally.rejected),
-        counted(&tally.failed),
-        counted(&tally.crossed),
-        play.log.len()
+        load(&tally.served),
+        load(&tally.rejected),
+        load(&tally.failed),
+        load(&tally.crossed),
+        scenario.log.len()
     );
     let faults = std::mem::take(&mut *tally.faults.lock().expect("no panic"));
     if !faults.is_empty() {
-        println!("seed {seed}: {}", play.log.join("; "));
+        println!("seed {seed}: {}", scenario.log.join("; "));
     }
     faults
 }
 
-/// The seeds to play: a few, or those that the environment names as `FROM..TO`.
+/// The seeds to run: the range `FROM..TO` in `MARBLEDECK_SOAK_SEEDS`, or a few by default.
 fn seeds() -> Range<u64> {
     let named = std::env::var("MARBLEDECK_SOAK_SEEDS").ok();
     let range = named.as_deref().and_then(|named| named.split_once(".."));
@@ -409,18 +418,18 @@
 }
 
 #[test]
-fn nothing_begins_at_a_drained_worker_whatever_happens_to_lists_and_processes() {
+fn no_request_begins_at_a_drained_worker_during_list_changes_and_restarts() {
     let crowd = WorkerCrowd::start(WORKERS);
     let mut found = Vec::new();
-    let mut seeds_played = 0;
+    let mut seeds_run = 0;
     for seed in seeds() {
-        let faults = play(seed, &crowd);
-        seeds_played += 1;
+        let faults = run_seed(seed, &crowd);
+        seeds_run += 1;
         let faults = faults
             .into_iter()
             .map(|fault| format!("seed {seed}: {fault}"));
         found.extend(faults.inspect(|fault| println!("{fault}")));
     }
-    println!("{seeds_played} seeds, {} faults", found.len());
+    println!("{seeds_run} seeds, {} faults", found.len());
     assert!(found.is_empty(), "{}", found.join("\n"));
 }
--- a/crates/node/tests/list_reader.rs
+++ b/crates/node/tests/list_reader.rs
@@ -1,14 +1,14 @@
-//! An endpoint list is read the same however its bytes are cut, and what is no list is refused.
+//! The reader of endpoint lists yields the same entries however the input is split, and rejects invalid input.
 
 use marbledeck_node::discovery::{ListError, ListHeader, ListReader};
 
 const ENTRY: &str = r#"{"id":"a","host_port":"127.0.0.1:9","phase":"up"}"#;
 
-/// The texts of the entries, and what the list says of itself.
-fn read(text: &str, piece: usize) -> Result<(Vec<String>, ListHeader), ListError> {
+/// Reads a list in pieces of this length. Returns the entries and the header.
+fn read(text: &str, piece_length: usize) -> Result<(Vec<String>, ListHeader), ListError> {
     let mut reader = ListReader::default();
     let mut entries = Vec::new();
-    for bytes in text.as_bytes().chunks(piece) {
+    for bytes in text.as_bytes().chunks(piece_length) {
         reader.push(bytes, &mut |entry| {
             entries.push(String::from_utf8_lossy(entry).into_owned());
             Ok(())
@@ -30,8 +30,8 @@
         entries: 2,
     };
     for list in &lists {
-        for piece in 1..list.len() {
-            let (entries, found) = read(list, piece).expect("a list");
+        for piece_length in 1..list.len() {
+            let (entries, found) = read(list, piece_length).expect("a list");
             assert_eq!(entries, [ENTRY, ENTRY], "{list}");
             assert_eq!(found, header, "{list}");
         }
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn a_list_without_entries_is_no_whole_list_unless_it_says_so() {
+fn a_list_without_the_complete_flag_is_not_complete() {
     let (entries, header) = read(r#"{"revision":7}"#, 3).expect("a list");
     assert!(entries.is_empty() && !header.is_complete);
 }
 
 #[test]
-fn what_is_no_list_is_refused() {
+fn invalid_lists_are_rejected() {
     let long = format!(
         r#"{{"revision":1,"members":[{{"id":"{}"}}]}}"#,
         "x".repeat(5000)
@@ -63,10 +63,10 @@
         ("<html>", "no JSON"),
         (long.as_str(), "an element is too long"),
     ];
-    for (text, wanted) in cases {
-        for piece in [1, 7, 10_000] {
-            let error = read(text, piece).expect_err(text).to_string();
-            assert!(error.contains(wanted), "{text}: {error}");
+    for (text, expected) in cases {
+        for piece_length in [1, 7, 10_000] {
+            let error = read(text, piece_length).expect_err(text).to_string();
+            assert!(error.contains(expected), "{text}: {error}");
         }
     }
 }
