--- a/crates/node/tests/net.rs
+++ b/crates/node/tests/net.rs
@@ -1,15 +1,15 @@
-//! The loop's sockets, without a node.
+//! The event loop's sockets, without a node.
 
 use marbledeck_dispatcher::Micros;
 use marbledeck_node::net::{Net, Peer};
 use std::io::Write;
 use std::os::unix::net::UnixStream;
 
-/// More bytes than are read from a connection in one turn.
+/// More bytes than the loop reads from a connection in one turn.
 const MORE_THAN_ONE_READ: usize = 64 * 1024 + 1;
 
-/// What a peer has sent last counts though it has left by the time at which something is written to it, and however
-/// much it is. Guards against losing what the other process of the node had sent just before its end.
+/// All input that a peer sent before it left is read, although a later write to it fails. Guards against losing what
+/// the other process of a node sent just before its exit.
 #[test]
 fn input_sent_before_the_peer_left_is_read_though_a_write_fails() {
     let (ours, mut theirs) = UnixStream::pair().unwrap();
@@ -21,7 +21,7 @@
     let sent = theirs.write(&bytes).unwrap();
     assert!(
         sent > MORE_THAN_ONE_READ,
-        "the socket holds more than a turn reads"
+        "the socket must hold more than one turn reads"
     );
     drop(theirs);
     assert!(net.write(token, b"too late"));
--- a/crates/node/tests/seats.rs
+++ b/crates/node/tests/seats.rs
@@ -1,4 +1,4 @@
-//! Licence seats as the core takes them for attempts, without any socket.
+//! Tests how the core reserves licence seats for attempts, without any socket.
 
 use marbledeck_dispatcher::{Micros, Outcome, WorkerEntry, WorkerId, WorkerListKind};
 use marbledeck_licensing::{ConfirmedSeats, SeatAllocation};
@@ -11,9 +11,10 @@
 use marbledeck_platform_settings::PlatformSettings;
 use rstest::rstest;
 
-const RUN: Micros = Micros(2_000_000);
+/// The longest run of an attempt, after which a seat of an attempt with an unknown end is free again.
+const LONGEST_RUN: Micros = Micros(2_000_000);
 
-/// A core with three workers, whose fleet has granted it one seat of av1 and two of aac until ten seconds.
+/// A core with three workers that holds one seat of av1 and two of aac until its lease ends after ten seconds.
 fn core() -> Core {
     let platform: PlatformSettings = serde_json::from_str(
         r#"{"balancers":1,"self-index":0,"zone":0,"localities":["east"],"kinds":["std"],"registry-mode":"automatic",
@@ -36,8 +37,8 @@
         classes: [("encode".to_owned(), vec!["av1".to_owned()])].into(),
         idle: Micros(60_000_000),
     };
-    let mut licensing = Licensing::new(config, core.names()).expect("classes that there are");
-    let part = |pool: &str, seats| SeatAllocation {
+    let mut licensing = Licensing::new(config, core.names()).expect("the classes are known");
+    let allocation = |pool: &str, seats| SeatAllocation {
         pool: pool.into(),
         tenant: String::new(),
         seats,
@@ -47,8 +48,8 @@
         free_seats: Vec::new(),
         lease_expiry: Micros(10_000_000),
         last_applied_command: 0,
-        allocations: vec![part("av1", 1), part("aac", 2)],
-        pools: vec![("av1".into(), RUN), ("aac".into(), RUN)],
+        allocations: vec![allocation("av1", 1), allocation("aac", 2)],
+        pools: vec![("av1".into(), LONGEST_RUN), ("aac".into(), LONGEST_RUN)],
     });
     core.licensing = Some(licensing);
     core
@@ -74,7 +75,7 @@
     core.accept_request(Micros(now), request).map(drop)
 }
 
-/// The last attempt started and the last answer given among the commands that wait.
+/// Drains the core's commands. Returns the last started attempt and the last answer among them.
 fn drain_commands(core: &mut Core) -> (Option<AttemptCommand>, Option<FinalAnswer>) {
     let (mut attempt, mut last_answer) = (None, None);
     while let Some(command) = core.next_command() {
@@ -87,21 +88,21 @@
     (attempt, last_answer)
 }
 
-/// Each end of an attempt, and whether its worker is known to have ended it.
+/// An attempt's end frees its seat only if the worker is known to have ended the attempt.
 #[rstest]
 #[case(Outcome::Served, true)]
 #[case(Outcome::Failed, true)]
 #[case(Outcome::Rejected, true)]
 #[case(Outcome::ConnectFailed, true)]
 #[case(Outcome::Reset, false)]
-fn an_end_frees_its_seat_where_the_worker_has_ended_it(
+fn an_attempt_frees_its_seat_when_its_worker_has_ended_it(
     #[case] outcome: Outcome,
     #[case] ended_at_worker: bool,
 ) {
     let mut core = core();
-    submit(&mut core, 0, "a", "encode", vec![]).expect("one is free");
+    submit(&mut core, 0, "a", "encode", vec![]).expect("a seat is free");
     let (attempt, _) = drain_commands(&mut core);
-    let attempt = attempt.expect("it is sent");
+    let attempt = attempt.expect("an attempt is started");
     assert!(matches!(
         submit(&mut core, 1, "b", "encode", vec![]),
         Err(RequestError::NoSeat(_))
@@ -117,7 +118,7 @@
         },
     );
     let (retry, answer) = drain_commands(&mut core);
-    // A further attempt takes a seat of its own: there is none while the first may still run.
+    // A retry needs a seat of its own, and none is free while the first attempt may still run.
     assert_eq!(
         retry.is_some(),
         ended_at_worker && outcome != Outcome::Served,
@@ -128,47 +129,47 @@
             matches!(answer, Some(FinalAnswer::Rejected(_))),
             "{answer:?}"
         );
-        assert!(submit(&mut core, RUN.0 - 1, "c", "encode", vec![]).is_err());
-        assert!(submit(&mut core, RUN.0, "d", "encode", vec![]).is_ok());
+        assert!(submit(&mut core, LONGEST_RUN.0 - 1, "c", "encode", vec![]).is_err());
+        assert!(submit(&mut core, LONGEST_RUN.0, "d", "encode", vec![]).is_ok());
     }
 }
 
-/// An attempt that has timed out, or whose client has left, holds its seat: a cancel does not stop work.
+/// An attempt that has timed out, or whose client has left, keeps its seat, since a cancel does not stop the work.
 #[rstest]
 #[case(true)]
 #[case(false)]
 fn an_abandoned_attempt_holds_its_seat(#[case] timed_out: bool) {
     let mut core = core();
-    submit(&mut core, 0, "a", "encode", vec![]).expect("one is free");
-    let attempt = drain_commands(&mut core).0.expect("it is sent");
+    submit(&mut core, 0, "a", "encode", vec![]).expect("a seat is free");
+    let attempt = drain_commands(&mut core).0.expect("an attempt is started");
     if timed_out {
         core.wake(Micros(1_000_000));
     } else {
         core.handle_client_left(Micros(1_000_000), attempt.request);
     }
     assert!(submit(&mut core, 1_500_000, "b", "encode", vec![]).is_err());
-    // One whose end is still to come holds its seat until then.
-    let free = submit(&mut core, RUN.0, "c", "encode", vec![]).is_ok();
+    // An attempt whose end is still to be reported keeps its seat until then.
+    let free = submit(&mut core, LONGEST_RUN.0, "c", "encode", vec![]).is_ok();
     assert_eq!(free, timed_out);
 }
 
 #[test]
-fn a_job_names_its_licences_and_gets_all_or_none() {
+fn a_job_gets_all_of_its_licences_or_none() {
     let mut core = core();
     assert_eq!(
         submit(&mut core, 0, "x", "preview", vec!["prores"]),
         Err(RequestError::UnknownLicence("prores".into()))
     );
-    submit(&mut core, 0, "a", "preview", vec!["aac", "av1"]).expect("both are free");
+    submit(&mut core, 0, "a", "preview", vec!["aac", "av1"]).expect("both seats are free");
     assert!(drain_commands(&mut core).0.is_some());
     assert!(matches!(
         submit(&mut core, 0, "b", "preview", vec!["av1"]),
         Err(RequestError::NoSeat(_))
     ));
-    submit(&mut core, 0, "c", "preview", vec!["aac"]).expect("the second of two");
+    submit(&mut core, 0, "c", "preview", vec!["aac"]).expect("the second seat is free");
     assert!(drain_commands(&mut core).0.is_some());
-    // What needs none is accepted as before, also when the grant has expired.
-    submit(&mut core, 0, "d", "preview", vec![]).expect("no seat");
+    // Jobs that need no seat are accepted also after the lease has expired.
+    submit(&mut core, 0, "d", "preview", vec![]).expect("it needs no seat");
     assert!(submit(&mut core, 10_000_000, "e", "preview", vec!["aac"]).is_err());
-    submit(&mut core, 10_000_000, "f", "preview", vec![]).expect("no seat");
+    submit(&mut core, 10_000_000, "f", "preview", vec![]).expect("it needs no seat");
 }
