--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -1,12 +1,12 @@
-//! Faulty configuration: every message names the key.
+//! The error for a faulty configuration names the faulty key.
 
 use marbledeck_node::config::{NodeConfig, OperatorConfig, SubmissionConfig};
 use rstest::rstest;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A file with this text, of its own name for each test.
-fn written(name: &str, text: &str) -> PathBuf {
+/// Writes a temporary file with this text. `name` makes its name unique among the tests.
+fn write_temporary_file(name: &str, text: &str) -> PathBuf {
     let name = name.replace(|c: char| !c.is_alphanumeric(), "-");
     let path = std::env::temp_dir().join(format!("marbledeck-{}-{name}", std::process::id()));
     fs::write(&path, text).unwrap();
@@ -57,11 +57,15 @@
 )]
 #[case(r#""discovery":"127.0.0.1:1","#, "", "LB_DISCOVERY: not set")]
 #[case("{", "", "LB_CONFIG: ")]
-fn faulty_node_file_names_the_key(#[case] right: &str, #[case] wrong: &str, #[case] message: &str) {
+fn faulty_node_file_names_the_key(
+    #[case] valid: &str,
+    #[case] faulty: &str,
+    #[case] message: &str,
+) {
     let tests = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/exchanges");
     let text = fs::read_to_string(tests.join("config.json")).unwrap();
-    let text = text.replace("\"MEMBERS\"", "").replacen(right, wrong, 1);
-    let path = written(message, &text);
+    let text = text.replace("\"MEMBERS\"", "").replacen(valid, faulty, 1);
+    let path = write_temporary_file(message, &text);
     let var = |name: &str| match name {
         "LB_CONFIG" => Some(path.display().to_string()),
         "LB_LISTEN" => Some("127.0.0.1:0".to_owned()),
@@ -79,21 +83,21 @@
 #[case("listen = \"127.0.0.1:0\"\nmax_bluk = 9", "unknown field `max_bluk`")]
 #[case("listen = ", "invalid")]
 fn faulty_submission_file_names_the_key(#[case] text: &str, #[case] message: &str) {
-    let path = written(message, text);
+    let path = write_temporary_file(message, text);
     let error = SubmissionConfig::read(&path).unwrap_err().to_string();
     fs::remove_file(&path).unwrap();
-    let own = path.display().to_string();
+    let path_text = path.display().to_string();
     assert!(
-        error.starts_with(&own) && error.contains(message),
+        error.starts_with(&path_text) && error.contains(message),
         "{error}"
     );
 }
 
-/// The file of the repository holds the defaults, as it says.
+/// `deploy/submission.toml` holds the defaults, as its comments say.
 #[test]
 fn shipped_submission_file_has_the_defaults() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/submission.toml");
-    let short = written("short", "listen = \"127.0.0.1:7100\"");
+    let short = write_temporary_file("short", "listen = \"127.0.0.1:7100\"");
     let defaults = SubmissionConfig::read(&short).unwrap();
     fs::remove_file(&short).unwrap();
     assert_eq!(SubmissionConfig::read(&path).unwrap(), defaults);
@@ -138,20 +142,20 @@
     "static[0].id: want an id"
 )]
 fn faulty_operator_file_names_the_key(#[case] text: &str, #[case] message: &str) {
-    let path = written(&format!("site-{message}"), text);
+    let path = write_temporary_file(&format!("site-{message}"), text);
     let error = OperatorConfig::read(&path)
         .err()
         .expect("faulty")
         .to_string();
     fs::remove_file(&path).unwrap();
-    let own = path.display().to_string();
+    let path_text = path.display().to_string();
     assert!(
-        error.starts_with(&own) && error.contains(message),
+        error.starts_with(&path_text) && error.contains(message),
         "{error}"
     );
 }
 
-/// The part for consensus: each fault names its key.
+/// The error for a fault in the consensus part names the faulty key.
 #[rstest]
 #[case("node = 4", "agreement: node: want 1 to 3")]
 #[case("lease_ms = 100", "agreement: lease_ms: want 300 to 60000")]
@@ -179,7 +183,7 @@
         |n: u32| format!("[[agreement.voters]]\nnumber = {n}\naddress = \"127.0.0.1:730{n}\"\n");
     let voters: String = (1..=3).map(voter).collect();
     let text = format!("[agreement]\n{}\n{line}\n{voters}", keys.join("\n"));
-    let path = written(message, &text);
+    let path = write_temporary_file(message, &text);
     let error = OperatorConfig::read(&path)
         .err()
         .expect("a fault")
@@ -203,7 +207,7 @@
     "sites: wants the parts [agreement] and [submission]"
 )]
 fn faulty_licensing_and_federation_parts_name_the_key(#[case] text: &str, #[case] message: &str) {
-    let path = written(message, text);
+    let path = write_temporary_file(message, text);
     let error = OperatorConfig::read(&path)
         .err()
         .expect("a fault")
@@ -212,28 +216,36 @@
     assert!(error.contains(message), "{error}");
 }
 
-/// The file of the repository is off in all its parts, and with all comments taken away it is right, with the defaults
-/// that it shows.
+/// `deploy/site.toml` enables no part. With all its keys uncommented it is valid, and the values that it shows are the
+/// defaults.
 #[test]
 fn shipped_operator_file_is_off_and_uncommented_has_the_defaults() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/site.toml");
-    let site = OperatorConfig::read(&path).unwrap();
-    assert!(site.submission.is_none() && site.eureka.is_none() && site.static_workers.is_empty());
-    assert!(site.consensus.is_none() && site.licensing.is_none() && site.site.is_none());
+    let shipped = OperatorConfig::read(&path).unwrap();
+    assert!(
+        shipped.submission.is_none()
+            && shipped.eureka.is_none()
+            && shipped.static_workers.is_empty()
+    );
+    assert!(shipped.consensus.is_none() && shipped.licensing.is_none() && shipped.site.is_none());
     let text = fs::read_to_string(&path).unwrap();
-    let plain = |line: &str| match line.strip_prefix('#') {
+    let uncomment = |line: &str| match line.strip_prefix('#') {
         Some(rest) if rest.starts_with('[') || rest.contains(" = ") => rest.to_owned(),
         _ => line.to_owned(),
     };
-    let all: Vec<String> = text.lines().map(plain).collect();
-    let path = written("whole site", &all.join("\n"));
-    let whole = OperatorConfig::read(&path).unwrap();
+    let lines: Vec<String> = text.lines().map(uncomment).collect();
+    let path = write_temporary_file("whole site", &lines.join("\n"));
+    let uncommented = OperatorConfig::read(&path).unwrap();
     fs::remove_file(&path).unwrap();
-    assert_eq!(whole.self_preservation, site.self_preservation);
-    let front = written("front", "listen = \"127.0.0.1:7100\"");
-    let defaults = SubmissionConfig::read(&front).unwrap();
-    fs::remove_file(&front).unwrap();
-    assert_eq!(whole.submission, Some(defaults));
-    assert!(whole.eureka.is_some() && whole.static_workers.len() == 1);
-    assert!(whole.consensus.is_some() && whole.licensing.is_some() && whole.site.is_some());
+    assert_eq!(uncommented.self_preservation, shipped.self_preservation);
+    let submission = write_temporary_file("front", "listen = \"127.0.0.1:7100\"");
+    let defaults = SubmissionConfig::read(&submission).unwrap();
+    fs::remove_file(&submission).unwrap();
+    assert_eq!(uncommented.submission, Some(defaults));
+    assert!(uncommented.eureka.is_some() && uncommented.static_workers.len() == 1);
+    assert!(
+        uncommented.consensus.is_some()
+            && uncommented.licensing.is_some()
+            && uncommented.site.is_some()
+    );
 }
--- a/crates/node/tests/eureka.rs
+++ b/crates/node/tests/eureka.rs
@@ -1,4 +1,4 @@
-//! A node that learns of its workers from a Eureka registry, a stand-in of our own, while that has its bad days.
+//! A node that learns of its workers from a Eureka registry, for which a stub stands in, while the registry misbehaves.
 
 use marbledeck_test_support::{EnvironmentOptions, EurekaBehaviour, EurekaStub, TestEnvironment};
 use std::process::Command;
@@ -6,7 +6,7 @@
 
 const APP: &str = "RENDER";
 
-fn site(registries: &[&EurekaStub], more: &str) -> String {
+fn operator_keys(registries: &[&EurekaStub], more: &str) -> String {
     let urls: Vec<String> = registries
         .iter()
         .map(|r| format!("\"{}\"", r.url()))
@@ -18,21 +18,21 @@
     )
 }
 
-fn lab(registries: &[&EurekaStub], more: &str) -> TestEnvironment {
-    let lab = TestEnvironment::start(EnvironmentOptions {
+fn start_environment(registries: &[&EurekaStub], more: &str) -> TestEnvironment {
+    let environment = TestEnvironment::start(EnvironmentOptions {
         listed_workers: Some(0),
-        operator_keys: site(registries, more),
+        operator_keys: operator_keys(registries, more),
         ..EnvironmentOptions::default()
     });
     for registry in registries {
-        for worker in &lab.workers {
+        for worker in &environment.workers {
             registry.register(APP, &worker.id, worker.address);
         }
     }
-    for worker in &lab.workers {
-        lab.wait_for_member(&worker.id, is_in);
+    for worker in &environment.workers {
+        environment.wait_for_member(&worker.id, is_in);
     }
-    lab
+    environment
 }
 
 fn is_in(line: Option<&str>) -> bool {
@@ -43,11 +43,11 @@
     line.is_some_and(|line| line.contains(" out "))
 }
 
-fn is_doubtful(line: Option<&str>) -> bool {
+fn is_retained(line: Option<&str>) -> bool {
     line.is_some_and(|line| line.contains(" in ") && line.contains("kept while it answers"))
 }
 
-fn run(lab: &TestEnvironment, target: &str) -> bool {
+fn run_job(environment: &TestEnvironment, target: &str) -> bool {
     let mut command = Command::new(env!("CARGO_BIN_EXE_marbledeck"));
     command.args([
         "job",
@@ -60,70 +60,71 @@
         "--wait",
         "--quiet",
         "--node",
-        &lab.submission_address,
+        &environment.submission_address,
     ]);
     command.output().unwrap().status.success()
 }
 
-/// Workers come, go out of service and back, and leave, in both forms.
+/// Workers register, go out of service and back, and leave, with JSON and with XML answers.
 #[test]
-fn workers_come_and_go() {
+fn the_node_follows_registrations_and_status_changes() {
     for more in ["", "form = \"xml\""] {
         let registry = EurekaStub::start();
-        let lab = lab(&[&registry], more);
-        assert!(run(&lab, "/x"));
+        let environment = start_environment(&[&registry], more);
+        assert!(run_job(&environment, "/x"));
         registry.override_status(APP, "w1", "OUT_OF_SERVICE");
-        lab.wait_for_member("w1", is_out);
+        environment.wait_for_member("w1", is_out);
         registry.override_status(APP, "w1", "UP");
-        lab.wait_for_member("w1", is_in);
+        environment.wait_for_member("w1", is_in);
         registry.remove(APP, "w2", true);
-        lab.wait_for_member("w2", |line| line.is_none());
+        environment.wait_for_member("w2", |line| line.is_none());
         assert!(registry.request_count("/eureka/apps/delta") > 0);
-        assert!(run(&lab, "/y"));
+        assert!(run_job(&environment, "/y"));
     }
 }
 
-/// A registry that restarts empty, one that expires half of the fleet, and one that says nothing: who serves stays, who
-/// is dead goes.
+/// A registry that restarts empty or expires instances does not remove workers that still answer probes. A worker that
+/// does not answer is removed.
 #[test]
-fn bad_days_of_a_registry() {
+fn workers_that_the_registry_lost_are_kept_while_they_answer() {
     let registry = EurekaStub::start();
-    let lab = lab(&[&registry], "");
+    let environment = start_environment(&[&registry], "");
     registry.restart();
-    lab.wait_for_member("w3", is_doubtful);
-    assert!(run(&lab, "/x"));
+    environment.wait_for_member("w3", is_retained);
+    assert!(run_job(&environment, "/x"));
     assert_eq!(
-        lab.members()
+        environment
+            .members()
             .iter()
             .filter(|line| line.contains(" in "))
             .count(),
         3
     );
-    for worker in lab.workers.iter().rev() {
+    for worker in environment.workers.iter().rev() {
         registry.register(APP, &worker.id, worker.address);
     }
-    lab.wait_for_member("w3", |line| is_in(line) && !is_doubtful(line));
+    environment.wait_for_member("w3", |line| is_in(line) && !is_retained(line));
     registry.remove(APP, "w1", false);
-    lab.wait_for_member("w1", is_doubtful);
-    // A dead one that is no longer named goes by its own signs.
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+    environment.wait_for_member("w1", is_retained);
+    // A worker that the registry no longer names and that fails its probes is removed.
+    let unused_address = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    registry.register(APP, "dead", nobody);
-    lab.wait_for_member("dead", is_in);
+    registry.register(APP, "dead", unused_address);
+    environment.wait_for_member("dead", is_in);
     registry.remove(APP, "dead", false);
-    lab.wait_for_member("dead", |line| line.is_none());
-    lab.wait_for_member("w1", is_doubtful);
-    assert!(run(&lab, "/y"));
+    environment.wait_for_member("dead", |line| line.is_none());
+    environment.wait_for_member("w1", is_retained);
+    assert!(run_job(&environment, "/y"));
 }
 
-/// Wrong hash codes, lost deltas, errors, cut and late answers: what the registry holds is known in the end.
+/// After wrong hash codes, lost deltas, errors, and truncated or late answers, the node has the registry's state.
 #[test]
-fn odd_answers() {
+fn the_node_recovers_from_faulty_answers() {
     let registry = EurekaStub::start();
-    let lab = lab(&[&registry], "");
-    let moods = [
+    let environment = start_environment(&[&registry], "");
+    let behaviours = [
         EurekaBehaviour {
             wrong_hash: true,
             ..EurekaBehaviour::default()
@@ -153,163 +154,183 @@
             ..EurekaBehaviour::default()
         },
     ];
-    for (n, mood) in moods.into_iter().enumerate() {
-        registry.set_behaviour(mood.clone());
+    for (n, behaviour) in behaviours.into_iter().enumerate() {
+        registry.set_behaviour(behaviour.clone());
         let id = format!("x{n}");
-        registry.register(APP, &id, lab.workers[0].address);
+        registry.register(APP, &id, environment.workers[0].address);
         registry.override_status(APP, "w2", "OUT_OF_SERVICE");
         std::thread::sleep(Duration::from_millis(300));
         registry.set_behaviour(EurekaBehaviour::default());
-        lab.wait_for_member(&id, |line| line.is_some());
-        lab.wait_for_member("w2", is_out);
+        environment.wait_for_member(&id, |line| line.is_some());
+        environment.wait_for_member("w2", is_out);
         registry.override_status(APP, "w2", "UP");
-        lab.wait_for_member("w2", is_in);
+        environment.wait_for_member("w2", is_in);
         assert!(
-            lab.members()
+            environment
+                .members()
                 .iter()
                 .filter(|line| line.contains(" in "))
                 .count()
                 >= 3,
-            "{mood:?}"
+            "{behaviour:?}"
         );
     }
 }
 
-/// The first registry falls silent: the second is polled, and a drain that it reports is kept.
+/// The first registry falls silent. The node polls the second one, and follows a drain that it reports.
 #[test]
-fn a_failover_with_a_drain() {
+fn a_drain_is_followed_after_a_failover() {
     let (first, second) = (EurekaStub::start(), EurekaStub::start());
-    let lab = lab(&[&first, &second], "");
+    let environment = start_environment(&[&first, &second], "");
     second.override_status(APP, "w1", "OUT_OF_SERVICE");
     first.set_behaviour(EurekaBehaviour {
         silent: true,
         ..EurekaBehaviour::default()
     });
-    lab.wait_for_member("w1", is_out);
-    let before = lab.workers[0].started_jobs().len();
+    environment.wait_for_member("w1", is_out);
+    let before = environment.workers[0].started_jobs().len();
     for n in 0..20 {
-        assert!(run(&lab, &format!("/{n}")));
+        assert!(run_job(&environment, &format!("/{n}")));
     }
-    assert_eq!(lab.workers[0].started_jobs().len(), before);
+    assert_eq!(environment.workers[0].started_jobs().len(), before);
 }
 
-/// The same worker in discovery, the registry and by hand: each report against it counts. Static workers are there.
+/// A worker that discovery, the registry and an operator name is out as soon as one of them takes it out. Static
+/// workers are members, too.
 #[test]
-fn several_sources() {
+fn one_source_is_enough_to_take_a_worker_out() {
     let registry = EurekaStub::start();
     let spare = marbledeck_test_support::WorkerStub::start("spare", 4);
     let statics = format!(
         "[[static]]\nid = \"spare\"\naddress = \"{}\"\n",
         spare.address
     );
-    let lab = lab(&[&registry], &statics);
-    lab.wait_for_member("spare", is_in);
-    let w1 = &lab.workers[0];
-    lab.discovery.set_worker("w1", w1.address, "up");
-    lab.wait_for_member("w1", |line| {
+    let environment = start_environment(&[&registry], &statics);
+    environment.wait_for_member("spare", is_in);
+    let w1 = &environment.workers[0];
+    environment.discovery.set_worker("w1", w1.address, "up");
+    environment.wait_for_member("w1", |line| {
         line.is_some_and(|line| line.contains("directory: up") && line.contains("eureka: up"))
     });
-    lab.discovery.set_worker("w1", w1.address, "draining");
-    lab.wait_for_member("w1", |line| {
+    environment
+        .discovery
+        .set_worker("w1", w1.address, "draining");
+    environment.wait_for_member("w1", |line| {
         line.is_some_and(|line| line.contains("directory says draining"))
     });
-    lab.discovery.set_worker("w1", w1.address, "up");
-    lab.wait_for_member("w1", is_in);
-    assert_eq!(lab.call_admin("set-down w1").as_deref(), Some("ACK w1 out"));
-    lab.wait_for_member("w1", |line| {
+    environment.discovery.set_worker("w1", w1.address, "up");
+    environment.wait_for_member("w1", is_in);
+    assert_eq!(
+        environment.call_admin("set-down w1").as_deref(),
+        Some("ACK w1 out")
+    );
+    environment.wait_for_member("w1", |line| {
         line.is_some_and(|line| line.contains("out by hand"))
     });
-    lab.discovery.set_worker("w1", w1.address, "removed");
+    environment
+        .discovery
+        .set_worker("w1", w1.address, "removed");
     registry.override_status(APP, "w1", "DOWN");
-    lab.wait_for_member("w1", is_out);
+    environment.wait_for_member("w1", is_out);
 }
 
-/// An upgrade while the registry is silent: the new process has the fleet of the old one, and who is out by hand.
+/// During an upgrade while the registry is silent, the new process takes over the workers of the old one and their
+/// `set-down` state.
 #[test]
-fn an_upgrade_with_a_silent_registry() {
+fn an_upgrade_with_a_silent_registry_keeps_the_workers() {
     let registry = EurekaStub::start();
-    let mut lab = lab(&[&registry], "");
-    lab.call_admin("set-down w2");
+    let mut environment = start_environment(&[&registry], "");
+    environment.call_admin("set-down w2");
     registry.set_behaviour(EurekaBehaviour {
         silent: true,
         ..EurekaBehaviour::default()
     });
-    lab.start_successor();
-    lab.signal(0, "-TERM");
-    assert!(lab.exits_cleanly(0));
-    lab.wait_for_member("w1", is_in);
-    lab.wait_for_member("w2", is_out);
-    assert!(run(&lab, "/x"));
+    environment.start_successor();
+    environment.signal(0, "-TERM");
+    assert!(environment.exits_cleanly(0));
+    environment.wait_for_member("w1", is_in);
+    environment.wait_for_member("w2", is_out);
+    assert!(run_job(&environment, "/x"));
 }
 
-/// From the registry's word to the node's: no job is sent to a worker longer than a poll after it is out of service.
+/// A worker that the registry puts out of service gets no job once the node has polled.
 #[test]
-fn out_of_service_within_a_poll() {
+fn a_worker_out_of_service_gets_no_job_after_the_next_poll() {
     let registry = EurekaStub::start();
-    let lab = lab(&[&registry], "");
+    let environment = start_environment(&[&registry], "");
     for _ in 0..3 {
         let notified_at = Instant::now();
         registry.override_status(APP, "w3", "OUT_OF_SERVICE");
-        lab.wait_for_member("w3", is_out);
+        environment.wait_for_member("w3", is_out);
         assert!(notified_at.elapsed() < Duration::from_secs(20));
-        let started = lab.workers[2].started_jobs().len();
-        (0..5).for_each(|n| assert!(run(&lab, &format!("/{n}"))));
-        assert_eq!(lab.workers[2].started_jobs().len(), started);
+        let started = environment.workers[2].started_jobs().len();
+        (0..5).for_each(|n| assert!(run_job(&environment, &format!("/{n}"))));
+        assert_eq!(environment.workers[2].started_jobs().len(), started);
         registry.override_status(APP, "w3", "UP");
-        lab.wait_for_member("w3", is_in);
+        environment.wait_for_member("w3", is_in);
     }
 }
 
-/// The node's own entry: registered, registered anew where it was forgotten, kept over an upgrade without a cancel, and
-/// taken out at the end.
+/// The node registers its own instance and registers it again if the registry lost it. An upgrade keeps the instance
+/// without a cancel, and the last process removes it at its end.
 #[test]
-fn the_node_in_the_registry() {
+fn the_node_keeps_its_own_instance_registered() {
     let registry = EurekaStub::start();
     let own =
         "[eureka.register]\napp = \"deck\"\nid = \"n0\"\naddress = \"127.0.0.1:9\"\nrenew_s = 1\n";
-    let mut lab = lab(&[&registry], own);
+    let mut environment = start_environment(&[&registry], own);
     let path = "/eureka/apps/deck";
-    let until = |what: &str, is: &dyn Fn() -> bool| {
-        let end = Instant::now() + Duration::from_secs(30);
-        while !is() {
-            assert!(Instant::now() < end, "{what}");
+    let wait_until = |failure: &str, is_reached: &dyn Fn() -> bool| {
+        let deadline = Instant::now() + Duration::from_secs(30);
+        while !is_reached() {
+            assert!(Instant::now() < deadline, "{failure}");
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    until("registered", &|| {
+    wait_until("the instance is not registered", &|| {
         registry.status("DECK", "n0").as_deref() == Some("UP")
     });
     registry.remove("DECK", "n0", false);
-    until("registered anew", &|| registry.request_count(path) >= 2);
-    lab.start_successor();
-    lab.signal(0, "-TERM");
-    assert!(lab.exits_cleanly(0));
+    wait_until("the lost instance is not registered again", &|| {
+        registry.request_count(path) >= 2
+    });
+    environment.start_successor();
+    environment.signal(0, "-TERM");
+    assert!(environment.exits_cleanly(0));
     assert_eq!(
         registry.status("DECK", "n0").as_deref(),
         Some("UP"),
-        "no cancel by the old one"
+        "the old process cancelled the instance"
     );
-    assert_eq!(registry.cancels("DECK", "n0"), 1, "that of this test");
-    lab.signal(1, "-TERM");
-    assert!(lab.exits_cleanly(1));
-    until("taken out", &|| registry.status("DECK", "n0").is_none());
+    assert_eq!(
+        registry.cancels("DECK", "n0"),
+        1,
+        "only this test has cancelled the instance"
+    );
+    environment.signal(1, "-TERM");
+    assert!(environment.exits_cleanly(1));
+    wait_until("the instance is not removed", &|| {
+        registry.status("DECK", "n0").is_none()
+    });
 }
 
-/// A worker behind an unchanged client of another language: it registers, renews, is seen by the node and gets work.
-/// `make binding` fetches the client; MARBLEDECK_BINDING is where to.
+/// A worker that an unmodified Python Eureka client registers and renews becomes a member and gets work. `make binding`
+/// installs the client in the folder that MARBLEDECK_BINDING names.
 #[test]
-fn a_stock_client() {
+fn a_worker_of_an_unmodified_python_client_gets_work() {
     let Some(binding) = std::env::var_os("MARBLEDECK_BINDING").map(std::path::PathBuf::from) else {
-        return eprintln!("not run: `make test` fetches the client");
+        return eprintln!(
+            "not run: MARBLEDECK_BINDING is not set; `make test` installs the client"
+        );
     };
     let registry = EurekaStub::start();
-    let lab = TestEnvironment::start(EnvironmentOptions {
+    let environment = TestEnvironment::start(EnvironmentOptions {
         listed_workers: Some(0),
         workers: 1,
-        operator_keys: site(&[&registry], ""),
+        operator_keys: operator_keys(&[&registry], ""),
         ..EnvironmentOptions::default()
     });
-    let worker = &lab.workers[0];
+    let worker = &environment.workers[0];
     let script = "import sys, py_eureka_client.eureka_client as e\n\
                   e.init(eureka_server=sys.argv[1], app_name='render', instance_ip='127.0.0.1', instance_host='127.0.0.1', \
                   instance_port=int(sys.argv[2]), renewal_interval_in_secs=1, duration_in_secs=4, \
@@ -324,14 +345,14 @@
     python.stdin(std::process::Stdio::piped());
     let mut child = python.spawn().unwrap();
     registry.enable_expiry();
-    lab.wait_for_member("w1", is_in);
-    // Longer than its lease: it renews.
+    environment.wait_for_member("w1", is_in);
+    // Longer than the lease, so the client must have renewed it.
     std::thread::sleep(Duration::from_secs(5));
-    lab.wait_for_member("w1", |line| is_in(line) && !is_doubtful(line));
-    assert!(run(&lab, "/x"));
+    environment.wait_for_member("w1", |line| is_in(line) && !is_retained(line));
+    assert!(run_job(&environment, "/x"));
     assert_eq!(worker.started_jobs().len(), 1);
     drop(child.stdin.take());
-    lab.wait_for_member("w1", |line| !is_in(line) || is_doubtful(line));
+    environment.wait_for_member("w1", |line| !is_in(line) || is_retained(line));
     let _ = child.kill();
     let _ = child.wait();
 }
--- a/crates/node/tests/golden_handover.rs
+++ b/crates/node/tests/golden_handover.rs
@@ -1,5 +1,5 @@
-//! What two processes of a node tell each other over the Unix socket while one replaces the other, as golden files. A
-//! test speaks the other end, so these lines are those of any version of the program. Times and ports are replaced.
+//! Golden files of the handover protocol that two processes of a node speak over a Unix socket during an upgrade. The
+//! test plays one of the processes, so the lines hold for any version of the program. Times and ports are replaced.
 
 use insta::assert_snapshot;
 use marbledeck_test_support::{EnvironmentOptions, TestEnvironment};
@@ -17,16 +17,16 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Far longer than anything takes.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// As many digits as a time of the node's clock has, or more.
-const DIGITS_OF_A_TIME: usize = 13;
-/// The length of what is handed on comes first: eight hexadecimal digits and a line's end.
-const HEAD: usize = 9;
-/// The listeners that a node hands on: for clients and for submitters.
+/// Much longer than any step takes.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// A number with at least this many digits is a time of the node's clock.
+const MIN_TIME_DIGITS: usize = 13;
+/// The length of the header, which holds the length of the body: eight hexadecimal digits and a line feed.
+const HEADER_LENGTH: usize = 9;
+/// The number of listeners that a node hands over: one for clients and one for submitters.
 const LISTENERS: usize = 2;
 
-/// The text with each time replaced; what stands for no time stays.
+/// Replaces each time in a text; the value that stands for no time stays.
 fn without_times(text: &str) -> String {
     let mut out = String::new();
     let mut rest = text;
@@ -34,7 +34,7 @@
         let (before, from) = rest.split_at(start);
         let end = from.find(|c: char| !c.is_ascii_digit());
         let (digits, after) = from.split_at(end.unwrap_or(from.len()));
-        let is_time = digits.len() >= DIGITS_OF_A_TIME && digits != u64::MAX.to_string();
+        let is_time = digits.len() >= MIN_TIME_DIGITS && digits != u64::MAX.to_string();
         out += before;
         out += if is_time { "TIME" } else { digits };
         rest = after;
@@ -42,10 +42,10 @@
     out + rest
 }
 
-/// The text without what differs from run to run.
-fn settled(lab: &TestEnvironment, text: &str) -> String {
+/// Replaces the values that differ from run to run.
+fn normalize(environment: &TestEnvironment, text: &str) -> String {
     let mut text = without_times(text);
-    for worker in &lab.workers {
+    for worker in &environment.workers {
         text = text.replace(
             &worker.address.to_string(),
             &format!("ADDRESS OF {}", worker.id),
@@ -60,8 +60,8 @@
     text
 }
 
-fn path(lab: &TestEnvironment) -> PathBuf {
-    lab.folder().join("marbledeck-n0")
+fn handover_socket(environment: &TestEnvironment) -> PathBuf {
+    environment.folder().join("marbledeck-n0")
 }
 
 /// A submitter's connection.
@@ -70,16 +70,16 @@
 }
 
 impl Submitter {
-    fn connect(lab: &TestEnvironment) -> Self {
-        let stream = TcpStream::connect(&lab.submission_address).expect("the node listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    fn connect(environment: &TestEnvironment) -> Self {
+        let stream = TcpStream::connect(&environment.submission_address).expect("the node listens");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         Submitter {
             reader: BufReader::new(stream),
         }
     }
 
-    /// Says a line; tells the next one that is no event.
-    fn ask(&mut self, request: &Value) -> String {
+    /// Sends a request. Returns the next line that is no event.
+    fn request(&mut self, request: &Value) -> String {
         writeln!(self.reader.get_mut(), "{request}").expect("the node reads");
         loop {
             let mut line = String::new();
@@ -92,53 +92,57 @@
     }
 }
 
-/// The link between the two processes.
+/// The handover connection between the two processes.
 struct Link {
     reader: BufReader<UnixStream>,
 }
 
 impl Link {
     fn new(stream: UnixStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         Link {
             reader: BufReader::new(stream),
         }
     }
 
-    fn say(&mut self, line: &str) {
+    fn send_line(&mut self, line: &str) {
         writeln!(self.reader.get_mut(), "{line}").expect("the node reads");
     }
 
-    fn next(&mut self) -> String {
+    fn next_line(&mut self) -> String {
         let mut line = String::new();
-        let read = self.reader.read_line(&mut line).expect("the node speaks");
+        let read = self
+            .reader
+            .read_line(&mut line)
+            .expect("the node sends a line");
         assert!(read > 0, "the link ended");
         line.trim_end().to_owned()
     }
 
-    /// What a process hands on when another comes: its listeners, which come with the head, and the body.
+    /// Receives the state that a process hands over: its listeners, which come with the header, the header and the
+    /// body.
     fn receive_state(&mut self) -> (Vec<OwnedFd>, String, String) {
-        let mut head = [0; HEAD];
+        let mut header = [0; HEADER_LENGTH];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
-        let mut parts = [IoSliceMut::new(&mut head)];
+        let mut parts = [IoSliceMut::new(&mut header)];
         let link = self.reader.get_ref();
         let got = rustix::net::recvmsg(link, &mut parts, &mut control, RecvFlags::WAITALL);
-        assert_eq!(got.expect("a head").bytes, HEAD);
+        assert_eq!(got.expect("a header").bytes, HEADER_LENGTH);
         let mut listeners = Vec::new();
         for message in control.drain() {
             if let RecvAncillaryMessage::ScmRights(passed) = message {
                 listeners.extend(passed);
             }
         }
-        let head = String::from_utf8(head.to_vec()).expect("text");
-        let length = usize::from_str_radix(head.trim_end(), 16).expect("a length");
+        let header = String::from_utf8(header.to_vec()).expect("text");
+        let length = usize::from_str_radix(header.trim_end(), 16).expect("a length");
         let mut body = vec![0; length];
         self.reader.read_exact(&mut body).expect("a body");
-        (listeners, head, String::from_utf8(body).expect("text"))
+        (listeners, header, String::from_utf8(body).expect("text"))
     }
 
-    /// Hands on these listeners with a body.
+    /// Hands over these listeners and a body.
     fn send_state(&mut self, listeners: &[OwnedFd], body: &str) {
         let whole = format!("{:08x}\n{body}", body.len());
         let listeners: Vec<_> = listeners.iter().map(AsFd::as_fd).collect();
@@ -152,16 +156,16 @@
     }
 }
 
-/// What a running process tells one that comes to replace it.
+/// A running process hands its state over to a process that replaces it.
 #[test]
 fn a_node_sends_its_state_to_its_successor() {
-    let mut lab = TestEnvironment::start(EnvironmentOptions::default());
-    for worker in &lab.workers {
-        lab.wait_for_member(&worker.id, |line| {
+    let mut environment = TestEnvironment::start(EnvironmentOptions::default());
+    for worker in &environment.workers {
+        environment.wait_for_member(&worker.id, |line| {
             line.is_some_and(|line| line.contains(" in "))
         });
     }
-    let mut submitter = Submitter::connect(&lab);
+    let mut submitter = Submitter::connect(&environment);
     for request in [
         json!({"seq": 1, "op": "createSession", "name": "film"}),
         json!({"seq": 2, "op": "runJob", "session": "film", "template": {"remoteCommand": "/held", "jobCategory": "preview",
@@ -169,55 +173,70 @@
         json!({"seq": 3, "op": "runBulkJobs", "beginIndex": 1, "endIndex": 2, "maxParallel": 1, "template":
             {"remoteCommand": "/${PARAMETRIC_INDEX}", "jobCategory": "preview", "accountingId": "au", "submitAsHold": true}}),
     ] {
-        submitter.ask(&request);
+        submitter.request(&request);
     }
-    assert_eq!(lab.call_admin("set-down w3").as_deref(), Some("ACK w3 out"));
-    let mut link = Link::new(UnixStream::connect(path(&lab)).expect("the node listens"));
-    let (listeners, head, body) = link.receive_state();
-    assert_eq!(head, format!("{:08x}\n", body.len()));
+    assert_eq!(
+        environment.call_admin("set-down w3").as_deref(),
+        Some("ACK w3 out")
+    );
+    let mut link =
+        Link::new(UnixStream::connect(handover_socket(&environment)).expect("the node listens"));
+    let (listeners, header, body) = link.receive_state();
+    assert_eq!(header, format!("{:08x}\n", body.len()));
     let addresses = listeners.into_iter().map(|listener| {
         let address = TcpListener::from(listener).local_addr();
         address.expect("a listener has an address").to_string()
     });
-    let expected = [lab.client_address.clone(), lab.submission_address.clone()];
+    let expected = [
+        environment.client_address.clone(),
+        environment.submission_address.clone(),
+    ];
     assert_eq!(addresses.collect::<Vec<_>>(), expected);
-    let mut text = format!("state: {}\n", settled(&lab, &body));
-    lab.call_admin("set-down w1");
-    let _ = writeln!(text, "< {}", link.next());
-    lab.call_admin("set-up w1");
-    let _ = writeln!(text, "< {}", link.next());
+    let mut text = format!("state: {}\n", normalize(&environment, &body));
+    environment.call_admin("set-down w1");
+    let _ = writeln!(text, "< {}", link.next_line());
+    environment.call_admin("set-up w1");
+    let _ = writeln!(text, "< {}", link.next_line());
     for line in [r#"{"parties":["submission"]}"#, r#""serving""#] {
         let _ = writeln!(text, "> {line}");
-        link.say(line);
+        link.send_line(line);
     }
     loop {
-        let line = link.next();
-        let _ = writeln!(text, "< {}", settled(&lab, &line));
+        let line = link.next_line();
+        let _ = writeln!(text, "< {}", normalize(&environment, &line));
         if line.contains(r#""end""#) {
             break;
         }
     }
     let taken = r#"{"party":["submission","taken"]}"#;
     let _ = writeln!(text, "> {taken}");
-    link.say(taken);
-    lab.signal(0, "-TERM");
-    let _ = writeln!(text, "< {}", link.next());
-    assert!(lab.exits_cleanly(0), "the old process ends by itself");
+    link.send_line(taken);
+    environment.signal(0, "-TERM");
+    let _ = writeln!(text, "< {}", link.next_line());
+    assert!(
+        environment.exits_cleanly(0),
+        "the old process ends by itself"
+    );
     assert_snapshot!("told_to_a_successor", text);
 }
 
-/// The predecessor's side: hands on its state, receives the services of the new process, and sends it these lines.
-fn precede(listener: &UnixListener, listeners: &[OwnedFd], state: &str, lines: &[&str]) -> String {
-    let (stream, _) = listener.accept().expect("the new process comes");
+/// Plays the old process: hands over its state, receives the services of the new process, and sends it these lines.
+fn play_predecessor(
+    listener: &UnixListener,
+    listeners: &[OwnedFd],
+    state: &str,
+    lines: &[&str],
+) -> String {
+    let (stream, _) = listener.accept().expect("the new process connects");
     let mut link = Link::new(stream);
     link.send_state(listeners, state);
-    let mut text = format!("state: {state}\n< {}\n", link.next());
+    let mut text = format!("state: {state}\n< {}\n", link.next_line());
     for line in lines {
         let _ = writeln!(text, "> {line}");
-        link.say(line);
+        link.send_line(line);
     }
-    // That it serves and that it has taken all, in either order.
-    let mut lines = [link.next(), link.next()];
+    // The new process reports that it serves and that it has taken over all jobs, in either order.
+    let mut lines = [link.next_line(), link.next_line()];
     lines.sort();
     for line in lines {
         let _ = writeln!(text, "< {line}");
@@ -225,22 +244,23 @@
     text
 }
 
-/// What a process makes of the golden words of the one that it replaces.
+/// A new process takes over the state in the golden lines of the process that it replaces.
 #[test]
 fn a_successor_takes_over_the_state_of_its_predecessor() {
-    let mut lab = TestEnvironment::start(EnvironmentOptions::default());
-    // What the running process hands on is handed on once more, by the test.
-    let mut link = Link::new(UnixStream::connect(path(&lab)).expect("the node listens"));
+    let mut environment = TestEnvironment::start(EnvironmentOptions::default());
+    // The test takes the listeners over from the running process, and hands them over to the next one.
+    let mut link =
+        Link::new(UnixStream::connect(handover_socket(&environment)).expect("the node listens"));
     let (listeners, _, _) = link.receive_state();
-    // Takes the place of the listener of the process that runs, as another process of this node would.
-    let beside = path(&lab).with_extension("test");
-    let listener = UnixListener::bind(&beside).expect("a socket");
-    std::fs::rename(&beside, path(&lab)).expect("renamed");
+    // Replaces the handover socket of the running process, as another process of this node would.
+    let new_socket = handover_socket(&environment).with_extension("test");
+    let listener = UnixListener::bind(&new_socket).expect("a socket");
+    std::fs::rename(&new_socket, handover_socket(&environment)).expect("renamed");
     let member = |id: usize| {
-        let addr = lab.workers[id].address;
+        let addr = environment.workers[id].address;
         format!(
             r#"{{"id":"{}","host_port":"{addr}","locality":"east","flavor":"std","cell":0,"phase":"up","up_since_ms":0}}"#,
-            lab.workers[id].id
+            environment.workers[id].id
         )
     };
     let state = format!(
@@ -260,11 +280,14 @@
         r#"{"back":"w2"}"#,
         r#""ending""#,
     ];
-    let predecessor = std::thread::spawn(move || precede(&listener, &listeners, &state, &lines));
-    lab.crash_and_restart();
-    let said = predecessor.join().expect("it has received all");
-    let mut text = settled(&lab, &said);
-    let mut submitter = Submitter::connect(&lab);
+    let predecessor =
+        std::thread::spawn(move || play_predecessor(&listener, &listeners, &state, &lines));
+    environment.crash_and_restart();
+    let transcript = predecessor
+        .join()
+        .expect("the predecessor has sent and received all lines");
+    let mut text = normalize(&environment, &transcript);
+    let mut submitter = Submitter::connect(&environment);
     for request in [
         json!({"seq": 1, "op": "listSessions"}),
         json!({"seq": 2, "op": "getJobInfo", "jobId": "n0-9-0"}),
@@ -273,9 +296,9 @@
         json!({"seq": 5, "op": "getJobArray", "jobArrayId": "n0-9-1"}),
     ] {
         let _ = writeln!(text, "asked {request}");
-        let _ = writeln!(text, "told  {}", submitter.ask(&request));
+        let _ = writeln!(text, "told  {}", submitter.request(&request));
     }
-    lab.wait_for_member("w1", |line| line.is_some_and(|line| line.contains(" out ")));
-    lab.wait_for_member("w2", |line| line.is_some_and(|line| line.contains(" in ")));
+    environment.wait_for_member("w1", |line| line.is_some_and(|line| line.contains(" out ")));
+    environment.wait_for_member("w2", |line| line.is_some_and(|line| line.contains(" in ")));
     assert_snapshot!("heard_by_a_successor", text);
 }
