--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Golden files: every form that leaves the program `marbledeck` or that it reads, as text under `snapshots/`.
+//! Golden files under `snapshots/` of everything that the program `marbledeck` writes or reads.
 //!
-//! Figures that move (times, addresses, folders) are replaced by names in angle brackets; names, order and structure of
-//! what is written are kept to the byte. A snapshot is a promise to those outside: it changes only with the form itself.
+//! Values that differ from run to run (times, addresses, folders) are replaced by names in angle brackets; all else is
+//! compared byte by byte. Users depend on these formats, so a snapshot changes only together with its format.
 
 #[path = "golden/clients.rs"]
 mod clients;
--- a/crates/node/tests/golden/clients.rs
+++ b/crates/node/tests/golden/clients.rs
@@ -1,19 +1,19 @@
-//! What clients get: `/ready`, results, and every answer of the node's own, as bytes.
+//! The bytes of answers to clients: `/ready`, results of jobs, and every answer that the node itself gives.
 
 use crate::assert_golden;
-use crate::support::{listener, member, node_file, Connection, Node};
-use crate::text::{self, chapter, without_numbers_after};
+use crate::support::{bind_listener, list_entry, node_file, Connection, Node};
+use crate::text::{self, section, without_numbers_after};
 use std::io::Write as _;
 use std::net::{SocketAddr, TcpListener};
 
-/// A job of the class `preview`, with these lines in the place of some of its own.
+/// A job of the class `preview`, with these additional header lines.
 fn job(target: &str, id: &str, more: &str) -> String {
     format!(
         "POST {target} HTTP/1.1\r\nX-Txn: {id}\r\nX-Lane: preview\r\nX-Org: au\r\nX-Remaining-Ms: 7000\r\n{more}\r\n"
     )
 }
 
-/// A keyed job: one that a single worker is not asked for twice.
+/// A keyed job, for which the same worker is not asked twice.
 fn keyed_job(target: &str, id: &str) -> String {
     format!(
         "POST {target} HTTP/1.1\r\nX-Txn: {id}\r\nX-Lane: sheet-publish\r\nX-Org: au\r\nX-Remaining-Ms: 20000\r\n\
@@ -29,9 +29,9 @@
         + "\r\n"
 }
 
-/// An answer; the time after which a refused job may come back depends on the load.
-fn answer(bytes: &[u8]) -> String {
-    let text = text::bytes(bytes);
+/// An answer as text. Replaces the retry time of status 429, which depends on the load.
+fn describe_answer(bytes: &[u8]) -> String {
+    let text = text::escape_bytes(bytes);
     if text.starts_with("HTTP/1.1 429 ") {
         without_numbers_after(&text, "Retry-After: ", "<seconds>")
     } else {
@@ -39,20 +39,20 @@
     }
 }
 
-struct Scene {
+/// A node with one worker, which the test plays.
+struct Fixture {
     node: Node,
     worker: TcpListener,
     _discovery: TcpListener,
 }
 
-impl Scene {
-    /// A node with one worker, which the test plays.
+impl Fixture {
     fn start(change: impl FnOnce(&mut serde_json::Value)) -> Self {
-        let (discovery, discovery_address) = listener();
-        let (worker, worker_address): (_, SocketAddr) = listener();
-        let mut file = node_file(discovery_address, &[member("w1", worker_address)]);
+        let (discovery, discovery_address) = bind_listener();
+        let (worker, worker_address): (_, SocketAddr) = bind_listener();
+        let mut file = node_file(discovery_address, &[list_entry("w1", worker_address)]);
         change(&mut file);
-        Scene {
+        Fixture {
             node: Node::start(&file, ""),
             worker,
             _discovery: discovery,
@@ -60,17 +60,17 @@
     }
 
     fn client(&self) -> Connection {
-        Connection::to(&self.node.client_address)
+        Connection::connect(&self.node.client_address)
     }
 
-    /// Asks on a connection of its own.
-    fn ask(&self, request: impl AsRef<[u8]>) -> String {
-        answer(&self.client().ask(request))
+    /// Sends a request on a connection of its own. Returns the answer.
+    fn request(&self, request: impl AsRef<[u8]>) -> String {
+        describe_answer(&self.client().request(request))
     }
 }
 
-/// An answer of a worker in one chunk.
-fn worker_says(lines: &str) -> String {
+/// A worker's response with these lines in one chunk.
+fn worker_response(lines: &str) -> String {
     let length = lines.len();
     format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{lines}\r\n0\r\n\r\n"
@@ -79,7 +79,7 @@
 
 #[test]
 fn requests_that_need_no_worker_are_answered_by_the_node() {
-    let scene = Scene::start(|_| ());
+    let fixture = Fixture::start(|_| ());
     let mut golden = String::new();
     let ready = [
         ("GET /ready", "GET /ready HTTP/1.1\r\n\r\n"),
@@ -96,10 +96,10 @@
         ("HEAD /other", "HEAD /other HTTP/1.1\r\n\r\n"),
     ];
     for (title, request) in ready {
-        golden += &chapter(title, &scene.ask(request));
+        golden += &section(title, &fixture.request(request));
     }
     for (title, request) in refused_requests() {
-        golden += &chapter(title, &scene.ask(request));
+        golden += &section(title, &fixture.request(request));
     }
     assert_golden("consumers_answers", &golden);
 }
@@ -206,115 +206,124 @@
     ]
 }
 
-/// Jobs that a worker is asked for, and how each comes back.
+/// Jobs that a worker serves, turns away or fails, and the answers to their clients.
 #[test]
 fn jobs_come_back_with_the_answers_of_their_workers() {
-    let scene = Scene::start(|_| ());
-    let mut client = scene.client();
+    let fixture = Fixture::start(|_| ());
+    let mut client = fixture.client();
     let mut golden = String::new();
     client.send(job("/served", "t-1", ""));
-    let mut worker = Connection::accepted(&scene.worker);
-    worker.message();
-    // The first is open: its id is taken.
-    golden += &chapter("id is open", &scene.ask(job("/again", "t-1", "")));
-    worker.send(worker_says(
+    let mut worker = Connection::accept(&fixture.worker);
+    worker.read_message();
+    // The first job is still open, so its id cannot be used again.
+    golden += &section("id is open", &fixture.request(job("/again", "t-1", "")));
+    worker.send(worker_response(
         "{\"id\":\"t-1\",\"state\":\"done\",\"result\":\"made\"}\n",
     ));
-    golden += &chapter("served", &answer(&client.message()));
+    golden += &section("served", &describe_answer(&client.read_message()));
     client.send(job("/empty", "t-2", "Connection: close\r\n"));
-    worker.message();
-    worker.send(worker_says(
+    worker.read_message();
+    worker.send(worker_response(
         "{\"id\":\"t-2\",\"state\":\"done\",\"result\":\"\"}\n",
     ));
-    golden += &chapter("served, empty, and close", &answer(&client.rest()));
-    let mut client = scene.client();
+    golden += &section(
+        "served, empty, and close",
+        &describe_answer(&client.read_to_end()),
+    );
+    let mut client = fixture.client();
     client.send(keyed_job("/away", "t-3"));
-    worker.message();
+    worker.read_message();
     worker.send("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nX-Pressure: {\"x0\":2}\r\nContent-Length: 0\r\n\r\n");
-    golden += &chapter("turned away", &answer(&client.message()));
+    golden += &section("turned away", &describe_answer(&client.read_message()));
     client.send(keyed_job("/failed", "t-4"));
-    worker.message();
-    worker.send(worker_says("{\"id\":\"t-4\",\"state\":\"failed\"}\n"));
-    golden += &chapter("failed", &answer(&client.message()));
+    worker.read_message();
+    worker.send(worker_response("{\"id\":\"t-4\",\"state\":\"failed\"}\n"));
+    golden += &section("failed", &describe_answer(&client.read_message()));
     assert_golden("consumers_jobs", &golden);
 }
 
-/// The node invites the body of a request that waits for it.
+/// A client that expects `100 Continue` gets it before it sends the body.
 #[test]
 fn a_client_that_waits_is_invited_to_send_its_body() {
-    let scene = Scene::start(|_| ());
-    let mut client = scene.client();
+    let fixture = Fixture::start(|_| ());
+    let mut client = fixture.client();
     client.send("PUT /x HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n");
-    let mut golden = chapter("interim", &answer(&client.message()));
-    golden += &chapter("final", &answer(&client.ask("ab")));
+    let mut golden = section("interim", &describe_answer(&client.read_message()));
+    golden += &section("final", &describe_answer(&client.request("ab")));
     assert_golden("consumers_continue", &golden);
 }
 
-/// A request that does not come to its end.
+/// An incomplete request is answered after a timeout.
 #[test]
 fn a_request_that_does_not_end_is_answered_after_a_timeout() {
-    let scene = Scene::start(|_| ());
-    let mut half_head = scene.client();
+    let fixture = Fixture::start(|_| ());
+    let mut half_head = fixture.client();
     half_head.send("POST /x HTTP/1.1\r\nX-Txn: t");
-    let mut half_body = scene.client();
+    let mut half_body = fixture.client();
     half_body.send(job("/x", "t-1", "Content-Length: 9\r\n") + "x");
-    let mut golden = chapter("half a head", &answer(&half_head.rest()));
-    golden += &chapter("half a body", &answer(&half_body.rest()));
-    golden += &chapter("nothing", &answer(&scene.client().rest()));
+    let mut golden = section("half a head", &describe_answer(&half_head.read_to_end()));
+    golden += &section("half a body", &describe_answer(&half_body.read_to_end()));
+    golden += &section("nothing", &describe_answer(&fixture.client().read_to_end()));
     assert_golden("consumers_too_slow", &golden);
 }
 
-/// More jobs than may be open, and more bodies than there is memory for.
+/// Jobs beyond the limit of open jobs and bodies beyond the memory limit are rejected.
 #[test]
 fn jobs_and_bodies_beyond_the_limits_are_rejected() {
-    let scene = Scene::start(|file| file["settings"]["bounds"]["max-open"] = 1.into());
-    let mut first = scene.client();
+    let fixture = Fixture::start(|file| file["settings"]["bounds"]["max-open"] = 1.into());
+    let mut first = fixture.client();
     first.send(job("/first", "t-1", ""));
-    let mut worker = Connection::accepted(&scene.worker);
-    worker.message();
-    let mut golden = chapter("too many jobs", &scene.ask(job("/second", "t-2", "")));
-    let scene = Scene::start(|file| file["limits"]["memory_mb"] = 32.into());
+    let mut worker = Connection::accept(&fixture.worker);
+    worker.read_message();
+    let mut golden = section("too many jobs", &fixture.request(job("/second", "t-2", "")));
+    let fixture = Fixture::start(|file| file["limits"]["memory_mb"] = 32.into());
     let large = "POST /x HTTP/1.1\r\nContent-Length: 65536\r\nExpect: 100-continue\r\n\r\n";
-    let mut held = Vec::new();
+    let mut open = Vec::new();
     for _ in 0..64 {
-        let mut client = scene.client();
+        let mut client = fixture.client();
         client.send(large);
-        client.message();
-        held.push(client);
+        client.read_message();
+        open.push(client);
     }
-    let mut last = scene.client();
+    let mut last = fixture.client();
     last.send(large);
-    golden += &chapter("too many bodies", &answer(&last.rest()));
+    golden += &section("too many bodies", &describe_answer(&last.read_to_end()));
     assert_golden("consumers_no_room", &golden);
 }
 
-/// Before a worker is known, and after SIGTERM.
+/// A node is not ready while it knows no worker, and after SIGTERM.
 #[test]
 fn a_node_without_workers_or_in_shutdown_is_not_ready() {
-    let (_discovery, discovery) = listener();
+    let (_discovery, discovery) = bind_listener();
     let node = Node::start(&node_file(discovery, &[]), "");
     let ready = "GET /ready HTTP/1.1\r\n\r\n";
-    let mut client = Connection::to(&node.client_address);
-    let mut golden = chapter("no worker: GET /ready", &answer(&client.ask(ready)));
-    let mut scene = Scene::start(|_| ());
-    let mut open = scene.client();
-    open.ask(ready);
-    scene.node.terminate();
-    scene.node.until_logged("ending");
-    golden += &chapter("ending: GET /ready", &answer(&open.ask(ready)));
+    let mut client = Connection::connect(&node.client_address);
+    let mut golden = section(
+        "no worker: GET /ready",
+        &describe_answer(&client.request(ready)),
+    );
+    let mut fixture = Fixture::start(|_| ());
+    let mut open = fixture.client();
+    open.request(ready);
+    fixture.node.terminate();
+    fixture.node.wait_for_log("ending");
+    golden += &section("ending: GET /ready", &describe_answer(&open.request(ready)));
     assert_golden("consumers_not_ready", &golden);
 }
 
-/// Requests that come in one go are answered in their order.
+/// Requests that arrive together are answered in their order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let scene = Scene::start(|_| ());
-    let mut client = scene.client();
+    let fixture = Fixture::start(|_| ());
+    let mut client = fixture.client();
     let first = "GET /ready HTTP/1.1\r\n\r\n";
     let last = "GET /none HTTP/1.1\r\nConnection: close\r\n\r\n";
     client
         .0
         .write_all(format!("{first}{first}{last}").as_bytes())
         .expect("sent");
-    assert_golden("consumers_pipelined", &answer(&client.rest()));
+    assert_golden(
+        "consumers_pipelined",
+        &describe_answer(&client.read_to_end()),
+    );
 }
--- a/crates/node/tests/golden/command_line.rs
+++ b/crates/node/tests/golden/command_line.rs
@@ -1,25 +1,25 @@
-//! The command line: what it prints, and its exit status.
+//! The output and the exit status of the command line.
 
 use crate::assert_golden;
-use crate::support::{listener, member, node_file, program, Node};
-use crate::text::{self, chapter, without_numbers_after, without_numbers_before};
+use crate::support::{bind_listener, list_entry, node_file, program, Node};
+use crate::text::{self, section, without_numbers_after, without_numbers_before};
 use marbledeck_test_support::{EnvironmentOptions, JobBehaviour, TestEnvironment};
 use std::time::Duration;
 
-/// Runs the program with these words.
+/// Runs the program with these arguments for a node.
 fn run(node: &str, line: &str) -> String {
     let mut command = program();
     command
         .env("MARBLEDECK_NODE", node)
         .args(line.split(' ').filter(|word| !word.is_empty()));
-    text::output(&command.output().expect("it runs"))
+    text::describe_output(&command.output().expect("it runs"))
 }
 
-/// Runs it without any variable.
-fn run_alone(line: &str) -> String {
+/// Runs the program with these arguments and without any variable.
+fn run_without_variables(line: &str) -> String {
     let mut command = program();
     command.args(line.split(' ').filter(|word| !word.is_empty()));
-    text::output(&command.output().expect("it runs"))
+    text::describe_output(&command.output().expect("it runs"))
 }
 
 #[test]
@@ -54,7 +54,7 @@
     ];
     let mut golden = String::new();
     for line in lines {
-        golden += &chapter(line, &run_alone(line));
+        golden += &section(line, &run_without_variables(line));
     }
     assert_golden("command_line_help", &golden);
 }
@@ -62,12 +62,12 @@
 #[test]
 fn completions_keep_their_text() {
     for shell in ["bash", "elvish", "fish", "powershell", "zsh"] {
-        let output = run_alone(&format!("completions {shell}"));
+        let output = run_without_variables(&format!("completions {shell}"));
         assert_golden(&format!("command_line_completions_{shell}"), &output);
     }
 }
 
-/// Lines that make no sense, and a node that is not there.
+/// Invalid command lines, and commands for a node that is not reachable.
 #[test]
 fn a_wrong_command_line_is_refused_with_its_reason() {
     let lines = [
@@ -123,25 +123,25 @@
     ];
     let mut golden = String::new();
     for line in lines {
-        golden += &chapter(line, &run("127.0.0.1:1", line));
+        golden += &section(line, &run("127.0.0.1:1", line));
     }
     assert_golden("command_line_refused", &golden);
 }
 
-/// `members` prints what the operators' address says.
+/// `members` prints the answer of the node's operators' address.
 #[test]
 fn members_prints_the_workers_of_a_node() {
-    let (_discovery, discovery) = listener();
-    let (_worker, worker) = listener();
-    let node = Node::start(&node_file(discovery, &[member("w1", worker)]), "");
-    let mut golden = chapter(
+    let (_discovery, discovery) = bind_listener();
+    let (_worker, worker) = bind_listener();
+    let node = Node::start(&node_file(discovery, &[list_entry("w1", worker)]), "");
+    let mut golden = section(
         "members OPS",
-        &run_alone(&format!("members {}", node.operators)),
+        &run_without_variables(&format!("members {}", node.admin_address)),
     );
     let mut command = program();
-    command.env("LB_OPS", &node.operators).arg("members");
-    let output = text::output(&command.output().expect("it runs"));
-    golden += &chapter("LB_OPS=OPS members", &output);
+    command.env("LB_OPS", &node.admin_address).arg("members");
+    let output = text::describe_output(&command.output().expect("it runs"));
+    golden += &section("LB_OPS=OPS members", &output);
     let golden = golden.replace(&worker.to_string(), "<w1>");
     assert_golden(
         "command_line_members",
@@ -149,22 +149,22 @@
     );
 }
 
-/// Times and spans of jobs.
+/// Replaces times and durations of jobs.
 fn hide_times(text: &str) -> String {
     let text = without_numbers_after(text, "TimeMs\":", "<time>");
     let text = without_numbers_after(&text, "come back in ", "<seconds>");
     without_numbers_after(&text, " on w1 ", "<seconds>")
 }
 
-/// Jobs, sessions and what a node tells of itself, one command after the other.
+/// Commands for jobs, sessions and the state of the node, one after another.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of command lines")]
 fn commands_print_what_a_node_answers() {
-    let lab = TestEnvironment::start(EnvironmentOptions {
+    let environment = TestEnvironment::start(EnvironmentOptions {
         workers: 1,
         ..EnvironmentOptions::default()
     });
-    lab.workers[0].set_behaviour(|job| match job.target.as_str() {
+    environment.workers[0].set_behaviour(|job| match job.target.as_str() {
         "/failing" => JobBehaviour::Fail(Duration::from_millis(2)),
         target => JobBehaviour::Serve(Duration::from_millis(2), format!("made {target}")),
     });
@@ -231,8 +231,8 @@
     ];
     let mut golden = String::new();
     for line in lines {
-        golden += &chapter(line, &run(&lab.submission_address, line));
+        golden += &section(line, &run(&environment.submission_address, line));
     }
-    let golden = golden.replace(&lab.workers[0].address.to_string(), "<w1>");
+    let golden = golden.replace(&environment.workers[0].address.to_string(), "<w1>");
     assert_golden("command_line_against_a_node", &hide_times(&golden));
 }
--- a/crates/node/tests/golden/node_file.rs
+++ b/crates/node/tests/golden/node_file.rs
@@ -1,4 +1,4 @@
-//! The file at `LB_CONFIG` and the variables beside it: which keys there are, and what is said of wrong ones.
+//! The keys of the file at `LB_CONFIG` and the variables, and the errors for invalid values.
 
 use crate::assert_golden;
 use crate::support::Folder;
@@ -8,8 +8,8 @@
 use serde_json::{json, Value};
 use std::fmt::Write as _;
 
-/// Every key, each with a value that is not its default.
-fn whole() -> Value {
+/// A file with every key, each with a value that is not its default.
+fn full_file() -> Value {
     json!({
         "name": "n-0", "listen": "127.0.0.1:8001", "discovery": "127.0.0.1:8002", "ops": "127.0.0.1:8003", "seed": "1f",
         "limits": {"sockets": 500, "memory_mb": 100},
@@ -36,15 +36,15 @@
             "tenants": [{"name": "au", "quota-per-s": 20.5, "share": 0.25}]}})
 }
 
-/// The least that a node can start from.
-fn least() -> Value {
+/// The smallest file from which a node can start.
+fn minimal_file() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "0",
         "settings": {"balancers": 1, "profiles": [{"name": "preview", "effect": "safe"}]}})
 }
 
-/// Reads a file with these variables beside it; what is wrong with it where it is not taken.
+/// Reads a file with these variables. Returns the configuration or the text of the error.
 fn read(folder: &Folder, file: &Value, variables: &[(&str, &str)]) -> Result<NodeConfig, String> {
-    let path = folder.file("config.json", &file.to_string());
+    let path = folder.write_file("config.json", &file.to_string());
     let variable = |name: &str| match name {
         "LB_CONFIG" => Some(path.display().to_string()),
         _ => {
@@ -53,33 +53,33 @@
         }
     };
     NodeConfig::read(variable).map_err(|error| {
-        let error = folder.hide(&error.to_string());
+        let error = folder.hide_path(&error.to_string());
         without_type_names(&without_numbers_after(&error, "column ", "<n>"))
     })
 }
 
-/// In a line, whether a file is taken.
-fn outcome(folder: &Folder, file: &Value) -> String {
+/// The result of reading a file, as one line.
+fn describe_result(folder: &Folder, file: &Value) -> String {
     match read(folder, file, &[]) {
         Ok(_) => "taken".to_owned(),
         Err(error) => error,
     }
 }
 
-/// The pointers of all values, with those of the first elements of lists.
-fn pointers(value: &Value, pointer: &str, found: &mut Vec<String>) {
+/// Collects the JSON pointers of all values; of a list, only those of its first element.
+fn collect_pointers(value: &Value, pointer: &str, found: &mut Vec<String>) {
     if !pointer.is_empty() {
         found.push(pointer.to_owned());
     }
     match value {
         Value::Object(fields) => {
             for (key, value) in fields {
-                pointers(value, &format!("{pointer}/{key}"), found);
+                collect_pointers(value, &format!("{pointer}/{key}"), found);
             }
         }
         Value::Array(elements) => {
             if let Some(value) = elements.first() {
-                pointers(value, &format!("{pointer}/0"), found);
+                collect_pointers(value, &format!("{pointer}/0"), found);
             }
         }
         _ => {}
@@ -91,19 +91,19 @@
     match file.pointer_mut(parent).expect("a value") {
         Value::Object(fields) => drop(fields.remove(key)),
         Value::Array(elements) => drop(elements.remove(0)),
-        _ => unreachable!("only these hold others"),
+        _ => unreachable!("only objects and arrays contain values"),
     }
 }
 
-/// Each key with values of other types, and left out.
+/// Checks each key with values of other types, and missing.
 #[test]
 fn each_missing_or_mistyped_key_is_named() {
     let folder = Folder::new();
-    let whole = whole();
+    let full = full_file();
     let mut all = Vec::new();
-    pointers(&whole, "", &mut all);
+    collect_pointers(&full, "", &mut all);
     all.sort();
-    let mut golden = format!("whole file -> {}\n", outcome(&folder, &whole));
+    let mut golden = format!("whole file -> {}\n", describe_result(&folder, &full));
     for pointer in all {
         for wrong in [
             json!("word"),
@@ -113,18 +113,26 @@
             json!({}),
             json!(null),
         ] {
-            let mut file = whole.clone();
+            let mut file = full.clone();
             *file.pointer_mut(&pointer).expect("a value") = wrong.clone();
-            let _ = writeln!(golden, "{pointer} = {wrong} -> {}", outcome(&folder, &file));
+            let _ = writeln!(
+                golden,
+                "{pointer} = {wrong} -> {}",
+                describe_result(&folder, &file)
+            );
         }
-        let mut file = whole.clone();
+        let mut file = full.clone();
         remove(&mut file, &pointer);
-        let _ = writeln!(golden, "without {pointer} -> {}", outcome(&folder, &file));
+        let _ = writeln!(
+            golden,
+            "without {pointer} -> {}",
+            describe_result(&folder, &file)
+        );
     }
     assert_golden("node_file_keys", &golden);
 }
 
-/// Values of the right type that are out of their bounds, or at them, and keys that nobody knows.
+/// Checks values at and beyond their bounds, and unknown keys.
 #[test]
 fn values_out_of_bounds_are_refused() {
     let folder = Folder::new();
@@ -161,9 +169,13 @@
     ];
     let mut golden = String::new();
     for (pointer, value) in values {
-        let mut file = whole();
+        let mut file = full_file();
         *file.pointer_mut(pointer).expect("a value") = value.clone();
-        let _ = writeln!(golden, "{pointer} = {value} -> {}", outcome(&folder, &file));
+        let _ = writeln!(
+            golden,
+            "{pointer} = {value} -> {}",
+            describe_result(&folder, &file)
+        );
     }
     for parent in [
         "",
@@ -173,18 +185,18 @@
         "/settings",
         "/settings/bounds",
     ] {
-        let mut file = whole();
+        let mut file = full_file();
         file.pointer_mut(parent).expect("a value")["unknown"] = 1.into();
         let _ = writeln!(
             golden,
             "{parent}/unknown = 1 -> {}",
-            outcome(&folder, &file)
+            describe_result(&folder, &file)
         );
     }
     assert_golden("node_file_bounds", &golden);
 }
 
-/// What the values of files come to, alone and with variables beside them.
+/// Checks the values read from files, with and without variables.
 #[test]
 fn values_are_read_with_their_defaults() {
     let folder = Folder::new();
@@ -199,16 +211,16 @@
     let mut golden = String::new();
     let mut add = |title: &str, file: &Value, variables: &[(&str, &str)]| {
         let config = read(&folder, file, variables).expect("it is right");
-        let _ = writeln!(golden, "=== {title}\n{}", described(&config));
+        let _ = writeln!(golden, "=== {title}\n{}", describe(&config));
     };
-    add("whole file", &whole(), &[]);
-    add("whole file, all variables", &whole(), &variables);
-    add("defaults", &least(), &[]);
+    add("whole file", &full_file(), &[]);
+    add("whole file, all variables", &full_file(), &variables);
+    add("defaults", &minimal_file(), &[]);
     assert_golden("node_file_values", &golden);
 }
 
-/// A configuration, a key of the file in each line; times are in microseconds.
-fn described(config: &NodeConfig) -> String {
+/// Describes a configuration, one key in each line; times are in microseconds.
+fn describe(config: &NodeConfig) -> String {
     let mut text = String::new();
     let _ = writeln!(text, "name: {}", config.name);
     let _ = writeln!(text, "listen: {}", config.listen);
--- a/crates/node/tests/golden/operator_file.rs
+++ b/crates/node/tests/golden/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operator file: `marbledeck config check` on each key of each section.
+//! Runs `marbledeck config check` on each key of each section of the operator file.
 
 use crate::assert_golden;
 use crate::support::{program, Folder};
@@ -8,8 +8,8 @@
 use std::fs;
 use std::path::Path;
 
-/// Every key, each with a value that is not its default.
-const WHOLE: &str = r#"[submission]
+/// A file with every key, each with a value that is not its default.
+const FULL_FILE: &str = r#"[submission]
 listen = "127.0.0.1:7100"
 workers = ["w1"]
 max_line = 131073
@@ -81,7 +81,7 @@
 name = "regensburg"
 "#;
 
-/// The bounds of each number.
+/// The bounds of each number: section, key, smallest and largest value.
 const BOUNDS: [(&str, &str, u64, u64); 26] = [
     ("[submission]", "max_line", 1024, 163_840),
     ("[submission]", "max_jobs", 1, 262_144),
@@ -111,7 +111,7 @@
     ("[seats]", "idle_ms", 100, 3_600_000),
 ];
 
-/// Values that are of the right type, and wrong all the same, or unusual and right.
+/// Values of the right type that are invalid, or valid but unusual.
 const VALUES: [(&str, &str, &str); 44] = [
     ("[submission]", "listen", r#""here""#),
     ("[submission]", "listen", r#""localhost:7100""#),
@@ -163,9 +163,9 @@
     ("[sites]", "name", r#""""#),
 ];
 
-/// The text with what `change` makes of the lines of the first section of this name; none drops a line.
-fn changed(section: &str, change: impl Fn(&str) -> Option<String>) -> String {
-    let (before, rest) = WHOLE
+/// Applies `change` to each line of the first section with this name in the full file; none removes a line.
+fn change_section(section: &str, change: impl Fn(&str) -> Option<String>) -> String {
+    let (before, rest) = FULL_FILE
         .split_once(&format!("{section}\n"))
         .expect("a section");
     let end = rest.find("\n[").map_or(rest.len(), |end| end + 1);
@@ -182,9 +182,9 @@
         .is_some_and(|(found, _)| found == key)
 }
 
-/// The text with another value.
-fn with(section: &str, key: &str, value: &str) -> String {
-    changed(section, |line| {
+/// The full file with another value of a key.
+fn with_value(section: &str, key: &str, value: &str) -> String {
+    change_section(section, |line| {
         if is_key(line, key) {
             Some(format!("{key} = {value}"))
         } else {
@@ -193,8 +193,9 @@
     })
 }
 
-fn without(section: &str, key: &str) -> String {
-    changed(section, |line| {
+/// The full file without a key.
+fn without_key(section: &str, key: &str) -> String {
+    change_section(section, |line| {
         (!is_key(line, key)).then(|| line.to_owned())
     })
 }
@@ -208,10 +209,10 @@
     }
 }
 
-/// The sections with their keys and values, each once.
+/// The section, name and value of each key in the full file, each once.
 fn keys() -> Vec<(&'static str, &'static str, &'static str)> {
     let (mut keys, mut section) = (Vec::new(), "");
-    for line in WHOLE.lines() {
+    for line in FULL_FILE.lines() {
         match line.split_once(" = ") {
             Some((key, value)) => keys.push((section, key, value)),
             None => section = line,
@@ -226,9 +227,9 @@
     keys
 }
 
-/// What `config check` says of a text, in a line.
+/// Runs `config check` on a text. Returns the exit status and the output as one line.
 fn check(folder: &Folder, text: &str) -> String {
-    let file = folder.file("site.toml", text);
+    let file = folder.write_file("site.toml", text);
     let mut command = program();
     let output = command
         .args(["config", "check"])
@@ -236,21 +237,22 @@
         .output()
         .expect("it runs");
     let status = output.status.code().expect("ended by itself");
-    let said = [output.stdout, output.stderr].concat();
-    let said = String::from_utf8(said).expect("text");
-    let said = said.replace(&file.display().to_string(), "<FILE>");
-    let said = text::without_type_names(&said);
+    let text = [output.stdout, output.stderr].concat();
+    let text = String::from_utf8(text).expect("text");
+    let text = text.replace(&file.display().to_string(), "<FILE>");
+    let text = text::without_type_names(&text);
     format!(
         "{status} {}",
-        text::bytes(said.as_bytes()).replace("\\n\n", "\\n")
+        text::escape_bytes(text.as_bytes()).replace("\\n\n", "\\n")
     )
 }
 
-/// Each key with another type, and left out; unknown keys; numbers at and beyond their bounds; further values.
+/// Checks each key with a value of another type and missing, unknown keys, numbers at and beyond their bounds, and the
+/// further values.
 #[test]
 fn each_missing_or_mistyped_key_is_named() {
     let folder = Folder::new();
-    let mut golden = format!("whole file -> {}\n", check(&folder, WHOLE));
+    let mut golden = format!("whole file -> {}\n", check(&folder, FULL_FILE));
     let mut add = |title: &str, text: &str| {
         let _ = writeln!(golden, "{title} -> {}", check(&folder, text));
     };
@@ -258,15 +260,18 @@
     let mut last = "";
     for (section, key, value) in keys() {
         if std::mem::replace(&mut last, section) != section {
-            let text = WHOLE.replacen(section, &format!("{section}\nunknown = 1"), 1);
+            let text = FULL_FILE.replacen(section, &format!("{section}\nunknown = 1"), 1);
             add(&format!("{section} unknown = 1"), &text);
         }
         let wrong = of_another_type(value);
         add(
             &format!("{section} {key} = {wrong}"),
-            &with(section, key, wrong),
+            &with_value(section, key, wrong),
+        );
+        add(
+            &format!("{section} without {key}"),
+            &without_key(section, key),
         );
-        add(&format!("{section} without {key}"), &without(section, key));
     }
     for (section, key, least, most) in BOUNDS {
         let values = [
@@ -276,21 +281,24 @@
             Some(most + 1),
         ];
         for value in values.into_iter().flatten() {
-            let text = with(section, key, &value.to_string());
+            let text = with_value(section, key, &value.to_string());
             add(&format!("{section} {key} = {value}"), &text);
         }
-        add(&format!("{section} {key} = -1"), &with(section, key, "-1"));
+        add(
+            &format!("{section} {key} = -1"),
+            &with_value(section, key, "-1"),
+        );
     }
     for (section, key, value) in VALUES {
         add(
             &format!("{section} {key} = {value}"),
-            &with(section, key, value),
+            &with_value(section, key, value),
         );
     }
     assert_golden("operator_file_keys", &golden);
 }
 
-/// Sections that want others, files that are none, and those that the project ships.
+/// Checks sections that require others, invalid files, and the files that the project ships.
 #[test]
 fn faults_across_sections_are_named() {
     let folder = Folder::new();
@@ -319,11 +327,11 @@
     let worker = "[[static]]\nid = \"w1\"\naddress = \"127.0.0.1:1\"\n";
     add("static with an id twice", &format!("{worker}{worker}"));
     let voter = "[[agreement.voters]]\nnumber = 3\naddress = \"127.0.0.1:7303\"\n";
-    add("two voters", &WHOLE.replace(voter, ""));
+    add("two voters", &FULL_FILE.replace(voter, ""));
     let fourth = voter.replace('3', "4");
     add(
         "four voters",
-        &WHOLE.replace(voter, &format!("{voter}{fourth}")),
+        &FULL_FILE.replace(voter, &format!("{voter}{fourth}")),
     );
     let repository = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let shipped = fs::read_to_string(repository.join("deploy/site.toml")).expect("a file");
@@ -335,16 +343,17 @@
         .arg(&missing)
         .output()
         .expect("it runs");
-    golden += &folder.hide(&text::output(&output));
+    golden += &folder.hide_path(&text::describe_output(&output));
     assert_golden("operator_file_whole", &golden);
 }
 
-/// What the values of the whole file, and those of an empty one, come to.
+/// Checks the values read from the full file, from a minimal one and from an empty one.
 #[test]
 fn values_are_read_with_their_defaults() {
     let folder = Folder::new();
-    let read =
-        |text: &str| OperatorConfig::read(&folder.file("site.toml", text)).expect("it is right");
+    let read = |text: &str| {
+        OperatorConfig::read(&folder.write_file("site.toml", text)).expect("it is right")
+    };
     let voters = "[[agreement.voters]]\nnumber = 1\naddress = \"127.0.0.1:1\"\n[[agreement.voters]]\nnumber = 2\n\
                   address = \"127.0.0.1:1\"\n[[agreement.voters]]\nnumber = 3\naddress = \"127.0.0.1:1\"\n";
     let least = format!(
@@ -353,34 +362,42 @@
          [agreement]\nfleet = \"f\"\nnode = 4\nnodes = 4\nfrom = []\n{voters}[seats]\nlicences = [\"a\"]\n"
     );
     let repository = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let front = SubmissionConfig::read(&repository.join("deploy/submission.toml"));
+    let submission = SubmissionConfig::read(&repository.join("deploy/submission.toml"));
     let mut shipped = String::new();
-    describe_submission(&front.expect("it is right"), &mut shipped);
+    describe_submission(&submission.expect("it is right"), &mut shipped);
     let golden = format!(
         "=== whole file\n{}\n=== defaults\n{}\n=== empty file\n{}\n=== deploy/submission.toml\n{shipped}",
-        described(&read(WHOLE)),
-        described(&read(&least)),
-        described(&read(""))
+        describe(&read(FULL_FILE)),
+        describe(&read(&least)),
+        describe(&read(""))
     );
     assert_golden("operator_file_values", &golden);
 }
 
-/// A configuration, a key of the file in each line; times are in microseconds.
-fn described(site: &OperatorConfig) -> String {
+/// Describes a configuration, one key in each line; times are in microseconds.
+fn describe(config: &OperatorConfig) -> String {
     let mut text = String::new();
-    if let Some(front) = &site.submission {
-        describe_submission(front, &mut text);
+    if let Some(submission) = &config.submission {
+        describe_submission(submission, &mut text);
     }
-    let guard = &site.self_preservation;
-    let _ = writeln!(text, "membership.keep_s: {} us", guard.retention.0);
-    let _ = writeln!(text, "membership.stale_s: {} us", guard.silence_timeout.0);
-    let _ = writeln!(text, "membership.probe_s: {} us", guard.probe_interval.0);
-    let _ = writeln!(text, "membership.fails: {}", guard.max_failures);
-    let _ = writeln!(text, "membership.budget: {}", guard.probe_budget);
-    let _ = writeln!(text, "membership.probes: {}", guard.probes);
-    let _ = writeln!(text, "peers.share: {}", site.gossip);
-    describe_eureka(site, &mut text);
-    for worker in &site.static_workers {
+    let preservation = &config.self_preservation;
+    let _ = writeln!(text, "membership.keep_s: {} us", preservation.retention.0);
+    let _ = writeln!(
+        text,
+        "membership.stale_s: {} us",
+        preservation.silence_timeout.0
+    );
+    let _ = writeln!(
+        text,
+        "membership.probe_s: {} us",
+        preservation.probe_interval.0
+    );
+    let _ = writeln!(text, "membership.fails: {}", preservation.max_failures);
+    let _ = writeln!(text, "membership.budget: {}", preservation.probe_budget);
+    let _ = writeln!(text, "membership.probes: {}", preservation.probes);
+    let _ = writeln!(text, "peers.share: {}", config.gossip);
+    describe_eureka(config, &mut text);
+    for worker in &config.static_workers {
         let cell = worker
             .cell
             .map_or("none".to_owned(), |cell| cell.0.to_string());
@@ -393,15 +410,15 @@
             "static: id {id}, address {address}, zone {zone}, kind {kind}, cell {cell}"
         );
     }
-    describe_agreement(site, &mut text);
-    if let Some(seats) = &site.licensing {
+    describe_consensus(config, &mut text);
+    if let Some(seats) = &config.licensing {
         let _ = writeln!(text, "seats.licences: {}", seats.licences.join(", "));
         for (class, licences) in &seats.classes {
             let _ = writeln!(text, "seats.classes.{class}: {}", licences.join(", "));
         }
         let _ = writeln!(text, "seats.idle_ms: {} us", seats.idle.0);
     }
-    let _ = writeln!(text, "sites.name: {}", or_none(&site.site));
+    let _ = writeln!(text, "sites.name: {}", or_none(&config.site));
     text
 }
 
@@ -409,28 +426,32 @@
     value.as_deref().unwrap_or("none")
 }
 
-fn describe_submission(front: &SubmissionConfig, text: &mut String) {
-    let _ = writeln!(text, "submission.listen: {}", front.listen);
-    let _ = writeln!(text, "submission.workers: {}", front.workers.join(", "));
+fn describe_submission(submission: &SubmissionConfig, text: &mut String) {
+    let _ = writeln!(text, "submission.listen: {}", submission.listen);
+    let _ = writeln!(
+        text,
+        "submission.workers: {}",
+        submission.workers.join(", ")
+    );
     let numbers = [
-        ("max_line", front.max_line),
-        ("max_jobs", front.max_jobs),
-        ("max_bytes", front.max_bytes),
-        ("max_bulk", front.max_bulk),
-        ("max_sessions", front.max_sessions),
-        ("history", front.history),
-        ("max_submitters", front.max_submitters),
+        ("max_line", submission.max_line),
+        ("max_jobs", submission.max_jobs),
+        ("max_bytes", submission.max_bytes),
+        ("max_bulk", submission.max_bulk),
+        ("max_sessions", submission.max_sessions),
+        ("history", submission.history),
+        ("max_submitters", submission.max_submitters),
     ];
     for (key, number) in numbers {
         let _ = writeln!(text, "submission.{key}: {number}");
     }
-    let _ = writeln!(text, "submission.retain_s: {}", front.retain_s);
-    let _ = writeln!(text, "submission.hold_s: {}", front.hold_s);
-    let _ = writeln!(text, "submission.session_s: {}", front.session_s);
+    let _ = writeln!(text, "submission.retain_s: {}", submission.retain_s);
+    let _ = writeln!(text, "submission.hold_s: {}", submission.hold_s);
+    let _ = writeln!(text, "submission.session_s: {}", submission.session_s);
 }
 
-fn describe_eureka(site: &OperatorConfig, text: &mut String) {
-    let Some(eureka) = &site.eureka else {
+fn describe_eureka(config: &OperatorConfig, text: &mut String) {
+    let Some(eureka) = &config.eureka else {
         return;
     };
     for url in &eureka.urls {
@@ -459,24 +480,24 @@
     }
 }
 
-fn describe_agreement(site: &OperatorConfig, text: &mut String) {
-    let Some(agreement) = &site.consensus else {
+fn describe_consensus(config: &OperatorConfig, text: &mut String) {
+    let Some(consensus) = &config.consensus else {
         return;
     };
-    let _ = writeln!(text, "agreement.fleet: {}", agreement.fleet);
-    let _ = writeln!(text, "agreement.node: {}", agreement.node);
-    let _ = writeln!(text, "agreement.nodes: {}", agreement.nodes);
-    for address in &agreement.from {
+    let _ = writeln!(text, "agreement.fleet: {}", consensus.fleet);
+    let _ = writeln!(text, "agreement.node: {}", consensus.node);
+    let _ = writeln!(text, "agreement.nodes: {}", consensus.nodes);
+    for address in &consensus.from {
         let _ = writeln!(text, "agreement.from: {address}");
     }
-    let _ = writeln!(text, "agreement.store: '{}'", agreement.store.display());
+    let _ = writeln!(text, "agreement.store: '{}'", consensus.store.display());
     let _ = writeln!(
         text,
         "agreement.lease_ms: {} us",
-        agreement.terms.duration.0
+        consensus.terms.duration.0
     );
-    let _ = writeln!(text, "agreement.tick_ms: {} us", agreement.tick.0);
-    for voter in &agreement.voters {
+    let _ = writeln!(text, "agreement.tick_ms: {} us", consensus.tick.0);
+    for voter in &consensus.voters {
         let _ = writeln!(
             text,
             "agreement.voters: {} at {}",
--- a/crates/node/tests/golden/operators.rs
+++ b/crates/node/tests/golden/operators.rs
@@ -1,35 +1,35 @@
 //! The operators' calls and their answers.
 
 use crate::assert_golden;
-use crate::support::{listener, member, node_file, Connection, Node};
-use crate::text::{self, chapter, without_numbers_after, without_numbers_before};
+use crate::support::{bind_listener, list_entry, node_file, Connection, Node};
+use crate::text::{self, section, without_numbers_after, without_numbers_before};
 use marbledeck_test_support::{Cluster, ClusterOptions};
 use std::net::Shutdown;
 
-/// Sends these bytes and nothing more; the whole answer.
+/// Sends these bytes, shuts the connection down for writing, and returns the whole answer.
 fn call(node: &Node, bytes: &[u8]) -> String {
-    let mut connection = Connection::to(&node.operators);
+    let mut connection = Connection::connect(&node.admin_address);
     connection.send(bytes);
     let _ = connection.0.shutdown(Shutdown::Write);
-    let answer = text::bytes(&connection.rest());
+    let answer = text::escape_bytes(&connection.read_to_end());
     let answer = without_numbers_before(&answer, " s\\n", "<age>");
     without_numbers_before(&answer, " s;", "<age>")
 }
 
 fn title(bytes: &[u8]) -> String {
     match bytes.len() {
-        0..=100 => text::bytes(bytes).replace('\n', ""),
-        length => format!("{}... ({length} bytes)", text::bytes(&bytes[..20])),
+        0..=100 => text::escape_bytes(bytes).replace('\n', ""),
+        length => format!("{}... ({length} bytes)", text::escape_bytes(&bytes[..20])),
     }
 }
 
-/// A node without an agreement: all calls, and what is none.
+/// A node without consensus answers all calls, and refuses unknown ones.
 #[test]
 fn each_call_has_its_answer() {
-    let (_discovery, discovery) = listener();
-    let (_one, one) = listener();
-    let (_two, two) = listener();
-    let file = node_file(discovery, &[member("w1", one), member("w2", two)]);
+    let (_discovery, discovery) = bind_listener();
+    let (_one, one) = bind_listener();
+    let (_two, two) = bind_listener();
+    let file = node_file(discovery, &[list_entry("w1", one), list_entry("w2", two)]);
     let node = Node::start(&file, "");
     let longest = [b"set-down ".to_vec(), vec![b'w'; 503], b"\n".to_vec()].concat();
     let too_long = [b"set-down ".to_vec(), vec![b'w'; 504], b"\n".to_vec()].concat();
@@ -70,7 +70,7 @@
     ];
     let mut golden = String::new();
     for bytes in calls {
-        golden += &chapter(&title(bytes), &call(&node, bytes));
+        golden += &section(&title(bytes), &call(&node, bytes));
     }
     golden = golden
         .replace(&one.to_string(), "<w1>")
@@ -78,34 +78,37 @@
     assert_golden("operators_calls", &golden);
 }
 
-/// A node that knows no worker, and one that ends.
+/// The calls of a node without workers, and of one in shutdown.
 #[test]
 fn a_node_without_workers_or_in_shutdown_says_so() {
-    let (_discovery, discovery) = listener();
-    let (_one, one) = listener();
+    let (_discovery, discovery) = bind_listener();
+    let (_one, one) = bind_listener();
     let node = Node::start(&node_file(discovery, &[]), "");
     let mut golden = String::new();
     for bytes in [&b"check\n"[..], b"vars\n", b"members\n"] {
-        golden += &chapter(&format!("no worker: {}", title(bytes)), &call(&node, bytes));
+        golden += &section(&format!("no worker: {}", title(bytes)), &call(&node, bytes));
     }
-    let mut node = Node::start(&node_file(discovery, &[member("w1", one)]), "");
+    let mut node = Node::start(&node_file(discovery, &[list_entry("w1", one)]), "");
     node.terminate();
-    node.until_logged("ending");
-    golden += &chapter("ending: check", &call(&node, b"check\n"));
+    node.wait_for_log("ending");
+    golden += &section("ending: check", &call(&node, b"check\n"));
     assert_golden("operators_cannot_serve", &golden);
 }
 
-/// Static workers are shown with the source that names them.
+/// The answer of `members` names the source of static workers.
 #[test]
 fn static_workers_are_shown_with_their_source() {
-    let (_discovery, discovery) = listener();
-    let (_one, one) = listener();
-    let (_two, two) = listener();
-    let site = format!(
+    let (_discovery, discovery) = bind_listener();
+    let (_one, one) = bind_listener();
+    let (_two, two) = bind_listener();
+    let operator_file = format!(
         "[[static]]\nid = \"w1\"\naddress = \"{one}\"\nzone = \"east\"\nkind = \"std\"\n\
          [[static]]\nid = \"s1\"\naddress = \"{two}\"\nzone = \"nowhere\"\nkind = \"none\"\n"
     );
-    let node = Node::start(&node_file(discovery, &[member("w1", one)]), &site);
+    let node = Node::start(
+        &node_file(discovery, &[list_entry("w1", one)]),
+        &operator_file,
+    );
     let golden = call(&node, b"members\n");
     let golden = golden
         .replace(&one.to_string(), "<w1>")
@@ -113,7 +116,7 @@
     assert_golden("operators_members_static", &golden);
 }
 
-/// Numbers of the consensus, and times.
+/// Replaces the numbers of the consensus and times.
 fn hide_progress(text: &str) -> String {
     let markers = [
         "revision ",
@@ -129,7 +132,7 @@
     without_numbers_before(&text, " entries", "<n>")
 }
 
-/// Changes of the records: what holds, and what is refused.
+/// Valid changes of records are applied, and invalid ones are refused.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of changes")]
 fn changes_of_records_are_accepted_or_refused() {
@@ -141,7 +144,7 @@
         ..ClusterOptions::default()
     });
     let operate = |call: &str| fleet.call_admin(4, call).expect("an answer");
-    let mut golden = chapter("records", &operate("records"));
+    let mut golden = section("records", &operate("records"));
     let accepted = [
         r#"{"expect":{"settings/rates":0},"put":{"settings/rates":{"rates":{"per_s":{"au":20.0}}}}}"#,
         r#"{"expect":{"workers/out":0},"put":{"workers/out":{"out":["w9"]}}}"#,
@@ -152,7 +155,7 @@
         r#"{"expect":{"workers/out":1},"put":{"workers/out":{"out":["w8","w9"]}}}"#,
     ];
     for change in accepted {
-        golden += &chapter(
+        golden += &section(
             &format!("change {change}"),
             &operate(&format!("change {change}")),
         );
@@ -160,7 +163,7 @@
     fleet.wait_for_records(4, "the last change", |text| {
         text.contains("workers/out 2 in force") && text.contains("seats/av1 1 in force")
     });
-    golden += &chapter("records", &operate("records"));
+    golden += &section("records", &operate("records"));
     let refused = [
         r#"{"expect":{"workers/out":1},"put":{"workers/out":{"out":[]}}}"#,
         r#"{"expect":{"workers/out":0},"put":{"workers/out":null}}"#,
@@ -187,14 +190,14 @@
         r#"[]"#,
     ];
     for change in refused {
-        golden += &chapter(
+        golden += &section(
             &format!("change {change}"),
             &operate(&format!("change {change}")),
         );
     }
-    golden += &chapter("change", &operate("change "));
+    golden += &section("change", &operate("change "));
     let leader = fleet.leader();
-    golden += &chapter(
+    golden += &section(
         "last line of a voter that leads",
         last_line(&fleet.records(leader)),
     );
@@ -202,7 +205,7 @@
         .find(|voter| *voter != leader)
         .expect("three voters");
     fleet.wait_for_records(other, "a leader", |text| text.contains("follows"));
-    golden += &chapter(
+    golden += &section(
         "last line of another voter",
         last_line(&fleet.records(other)),
     );
--- a/crates/node/tests/golden/support.rs
+++ b/crates/node/tests/golden/support.rs
@@ -1,4 +1,4 @@
-//! The program, started between sockets of the test's own.
+//! Starts the program, with sockets of the test as its clients, workers and discovery.
 
 use serde_json::{json, Value};
 use std::fs;
@@ -10,10 +10,10 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// Far longer than anything takes; only a failure waits for so long.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Much longer than any step takes, so only a failure reaches it.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The variables that the program reads; none of the test's own environment may reach it.
+/// The variables that the program reads. They are removed, so that the environment of the test does not influence it.
 const VARIABLES: [&str; 9] = [
     "LB_CONFIG",
     "LB_LISTEN",
@@ -26,7 +26,7 @@
     "COLUMNS",
 ];
 
-/// The program without any of its variables, without a terminal.
+/// A command that runs the program without any of its variables and without a terminal.
 pub fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_marbledeck"));
     for name in VARIABLES {
@@ -36,7 +36,7 @@
     command
 }
 
-/// A folder of the test's own; removed when it is dropped.
+/// A temporary folder; it is removed when this is dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -53,15 +53,15 @@
         &self.0
     }
 
-    /// Writes a file there.
-    pub fn file(&self, name: &str, text: &str) -> PathBuf {
+    /// Writes a file in the folder.
+    pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
         fs::write(&path, text).expect("written");
         path
     }
 
-    /// A text without the path of the folder.
-    pub fn hide(&self, text: &str) -> String {
+    /// Replaces the path of the folder in a text.
+    pub fn hide_path(&self, text: &str) -> String {
         text.replace(&self.0.display().to_string(), "<FOLDER>")
     }
 }
@@ -72,20 +72,20 @@
     }
 }
 
-/// A listener on a free port.
-pub fn listener() -> (TcpListener, SocketAddr) {
+/// Opens a listener on a free port.
+pub fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
 
-/// A worker as discovery writes it.
-pub fn member(id: &str, address: SocketAddr) -> Value {
+/// A worker as an entry of an endpoint list.
+pub fn list_entry(id: &str, address: SocketAddr) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "east", "flavor": "std", "cell": 0, "phase": "up",
         "up_since_ms": 0})
 }
 
-/// The file at `LB_CONFIG` for a node that knows these workers.
+/// The file at `LB_CONFIG` of a node that knows these workers.
 pub fn node_file(discovery: SocketAddr, members: &[Value]) -> Value {
     json!({
         "name": "n0", "seed": "7", "discovery": discovery.to_string(), "listen": "127.0.0.1:0", "ops": "127.0.0.1:0",
@@ -109,28 +109,28 @@
                 {"name": "sued", "quota-per-s": 20.0, "share": 0.5}]}})
 }
 
-/// A node that runs; it is ended when it is dropped.
+/// A running node; it is killed when this is dropped.
 pub struct Node {
     child: Child,
     log: Receiver<String>,
     /// The lines of the log that have been read.
-    pub logged: Vec<String>,
+    pub log_lines: Vec<String>,
     _folder: Folder,
     pub client_address: String,
-    pub operators: String,
+    pub admin_address: String,
 }
 
 impl Node {
     /// Starts a node with this file at `LB_CONFIG` and this operator file, and waits until it serves.
-    pub fn start(file: &Value, site: &str) -> Self {
+    pub fn start(file: &Value, operator_file: &str) -> Self {
         let folder = Folder::new();
-        let config = folder.file("config.json", &file.to_string());
-        let site = folder.file("site.toml", site);
+        let config = folder.write_file("config.json", &file.to_string());
+        let operator_file = folder.write_file("site.toml", operator_file);
         let mut command = program();
         command
             .env("LB_CONFIG", config)
             .env("TMPDIR", folder.path());
-        command.arg("--site").arg(site);
+        command.arg("--site").arg(operator_file);
         command.stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the node starts");
         let stderr = BufReader::new(child.stderr.take().expect("piped"));
@@ -143,41 +143,45 @@
         let mut node = Node {
             child,
             log,
-            logged: Vec::new(),
+            log_lines: Vec::new(),
             _folder: folder,
             client_address: String::new(),
-            operators: String::new(),
+            admin_address: String::new(),
         };
-        node.operators = node.until_logged("answers operators at ");
-        node.client_address = node.until_logged("serves at ");
+        node.admin_address = node.wait_for_log("answers operators at ");
+        node.client_address = node.wait_for_log("serves at ");
         node
     }
 
-    /// Waits for a line of the log that holds these words; tells what follows them.
-    pub fn until_logged(&mut self, words: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+    /// Waits for a line of the log that contains these words. Returns the text after them.
+    pub fn wait_for_log(&mut self, words: &str) -> String {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let line = self.log.recv_timeout(left);
-            let line = line.unwrap_or_else(|_| panic!("not logged: {words}: {:?}", self.logged));
-            self.logged.push(line.clone());
+            let line = line
+                .unwrap_or_else(|_| panic!("'{words}' was not logged, but {:?}", self.log_lines));
+            self.log_lines.push(line.clone());
             if let Some((_, rest)) = line.split_once(words) {
                 return rest.to_owned();
             }
         }
     }
 
-    /// Waits until the operators' call `members` tells this.
-    pub fn until_members(&self, words: &str) {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until the answer of the operators' call `members` contains these words.
+    pub fn wait_for_members(&self, words: &str) {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let mut connection = Connection::to(&self.operators);
+            let mut connection = Connection::connect(&self.admin_address);
             connection.send("members\n");
-            let members = String::from_utf8(connection.rest()).expect("text");
+            let members = String::from_utf8(connection.read_to_end()).expect("text");
             if members.contains(words) {
                 return;
             }
-            assert!(Instant::now() < until, "no '{words}' in {members}");
+            assert!(
+                Instant::now() < deadline,
+                "'{words}' is not in the answer of members: {members}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -189,11 +193,11 @@
         assert!(sent.is_ok_and(|status| status.success()));
     }
 
-    /// Waits for its end, with the rest of its log; tells its exit status.
-    pub fn ended(&mut self) -> i32 {
+    /// Waits for the end of the process and reads the rest of its log. Returns the exit status.
+    pub fn wait_for_exit(&mut self) -> i32 {
         let status = self.child.wait().expect("a child");
-        self.logged.extend(self.log.iter());
-        status.code().expect("ended by itself")
+        self.log_lines.extend(self.log.iter());
+        status.code().expect("the node exits without a signal")
     }
 }
 
@@ -204,31 +208,31 @@
     }
 }
 
-/// A connection of the test's.
+/// A connection of the test.
 pub struct Connection(pub TcpStream);
 
 impl Connection {
-    pub fn to(address: &str) -> Self {
-        Connection::of(TcpStream::connect(address).expect("it listens"))
+    pub fn connect(address: &str) -> Self {
+        Connection::from_stream(TcpStream::connect(address).expect("it listens"))
     }
 
-    /// The next connection that a stand-in takes.
-    pub fn accepted(listener: &TcpListener) -> Self {
+    /// Accepts the next connection at a listener.
+    pub fn accept(listener: &TcpListener) -> Self {
         listener.set_nonblocking(true).expect("a socket");
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         let stream = loop {
             match listener.accept() {
                 Ok((stream, _)) => break stream,
-                Err(error) if Instant::now() > until => panic!("nobody connects: {error}"),
+                Err(error) if Instant::now() > deadline => panic!("no connection arrived: {error}"),
                 Err(_) => std::thread::sleep(Duration::from_millis(2)),
             }
         };
         stream.set_nonblocking(false).expect("a socket");
-        Connection::of(stream)
+        Connection::from_stream(stream)
     }
 
-    fn of(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+    fn from_stream(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time");
         stream.set_nodelay(true).expect("a socket of TCP");
         Connection(stream)
     }
@@ -237,38 +241,38 @@
         self.0.write_all(bytes.as_ref()).expect("sent");
     }
 
-    /// All bytes up to the end of the connection.
-    pub fn rest(&mut self) -> Vec<u8> {
+    /// Reads all bytes up to the end of the connection.
+    pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         self.0.read_to_end(&mut bytes).expect("an end");
         bytes
     }
 
-    /// The bytes of one message: its head, and its body by `Content-Length`.
-    pub fn message(&mut self) -> Vec<u8> {
+    /// Reads the bytes of one message: its head, and its body by `Content-Length`.
+    pub fn read_message(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         while !bytes.ends_with(b"\r\n\r\n") {
-            bytes.push(self.byte(&bytes));
+            bytes.push(self.read_byte(&bytes));
         }
         for _ in 0..content_length(&bytes) {
-            bytes.push(self.byte(&bytes));
+            bytes.push(self.read_byte(&bytes));
         }
         bytes
     }
 
-    fn byte(&mut self, before: &[u8]) -> u8 {
+    fn read_byte(&mut self, before: &[u8]) -> u8 {
         let mut byte = [0];
         let read = self.0.read_exact(&mut byte);
         read.unwrap_or_else(|e| panic!("{e} after {:?}", String::from_utf8_lossy(before)));
         byte[0]
     }
 
-    /// Sends a request and reads its answer, to the end of the connection where it says that it closes.
-    pub fn ask(&mut self, request: impl AsRef<[u8]>) -> Vec<u8> {
+    /// Sends a request and reads its answer, up to the end of the connection if the answer closes it.
+    pub fn request(&mut self, request: impl AsRef<[u8]>) -> Vec<u8> {
         self.send(request);
-        let mut answer = self.message();
+        let mut answer = self.read_message();
         if answer.windows(17).any(|word| word == b"Connection: close") {
-            answer.extend(self.rest());
+            answer.extend(self.read_to_end());
             answer.extend(b"<closed>");
         }
         answer
--- a/crates/node/tests/golden/text.rs
+++ b/crates/node/tests/golden/text.rs
@@ -1,10 +1,10 @@
-//! Bytes as text, and the replacement of figures that differ from run to run.
+//! Shows bytes as text, and replaces values that differ from run to run.
 
 use std::fmt::Write as _;
 use std::process::Output;
 
-/// Bytes as they are, one line each; what is not printable is escaped.
-pub fn bytes(bytes: &[u8]) -> String {
+/// Shows bytes as text, one line for each line, with unprintable bytes escaped.
+pub fn escape_bytes(bytes: &[u8]) -> String {
     let mut text = String::new();
     for byte in bytes {
         match byte {
@@ -40,16 +40,16 @@
     let last = parts.len() - 1;
     for part in &mut parts[..last] {
         let is_digit = |character: char| character.is_ascii_digit() || character == '.';
-        let kept = part.trim_end_matches(is_digit).len();
-        if kept < part.len() {
-            part.truncate(kept);
+        let length = part.trim_end_matches(is_digit).len();
+        if length < part.len() {
+            part.truncate(length);
             part.push_str(placeholder);
         }
     }
     parts.join(marker)
 }
 
-/// Replaces the names of the program's own types, which some messages of the reader of JSON hold.
+/// Replaces the names of the program's types, which occur in some messages of the JSON parser.
 pub fn without_type_names(text: &str) -> String {
     let mut parts = text.split("struct ");
     let mut result = parts.next().unwrap_or_default().to_owned();
@@ -60,8 +60,8 @@
     result
 }
 
-/// A line of the log without its time and the module that says it; none where it is no such line.
-pub fn log_line(line: &str) -> Option<String> {
+/// Replaces the time and the module of a line of the log. Returns none for other lines.
+pub fn normalize_log_line(line: &str) -> Option<String> {
     let mut words = line.splitn(4, ' ');
     let (seconds, fraction) = words.next()?.split_once('.')?;
     let (level, module) = (words.next()?, words.next()?);
@@ -70,9 +70,12 @@
     (is_time && module.ends_with(':')).then(|| format!("<time> {level} <module>: {message}"))
 }
 
-/// The exit status, standard output and standard error of a program that has ended.
-pub fn output(output: &Output) -> String {
-    let status = output.status.code().expect("ended by itself");
+/// The exit status, standard output and standard error of a program, as text.
+pub fn describe_output(output: &Output) -> String {
+    let status = output
+        .status
+        .code()
+        .expect("the program exits without a signal");
     let mut text = format!("status: {status}\n");
     for (name, content) in [("stdout", &output.stdout), ("stderr", &output.stderr)] {
         if !content.is_empty() {
@@ -86,8 +89,8 @@
     text
 }
 
-/// A chapter of a golden file.
-pub fn chapter(title: &str, content: &str) -> String {
+/// A section of a golden file.
+pub fn section(title: &str, content: &str) -> String {
     let end = if content.ends_with('\n') { "" } else { "\n" };
     format!("=== {title}\n{content}{end}\n")
 }
