--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Plays a recorded exchange against the program. `exchanges/README` tells how the files are written.
+//! Replays a recorded exchange against the program. `exchanges/README` describes the format of the files.
 //!
-//! Tests run side by side, and each forks: until its exec, a child has copies of all sockets of all tests. So a close
-//! alone may leave a connection or a listener open for a while; what is to be closed here is shut down.
+//! Tests run concurrently, and each forks: until its exec, a child holds copies of the sockets of all tests. A close
+//! alone may thus leave a connection or a listener open for a while, so the player shuts sockets down.
 
 mod process;
 mod script;
@@ -18,23 +18,23 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// Far longer than any step takes; only a failure waits for so long.
+/// Much longer than any step takes, so only a failure reaches it.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Plays an exchange.
+/// The state of an exchange that is replayed.
 pub struct Player {
     folder: PathBuf,
     listeners: HashMap<String, TcpListener>,
     connections: HashMap<String, Connection>,
-    /// Sockets that are bound to the addresses in use and never listen: an address whose listener is gone refuses,
-    /// and is given to no other test.
-    bound: Vec<OwnedFd>,
-    /// Addresses, and what was read in a `<name>`.
+    /// Sockets that are bound to the addresses in use and never listen. They reserve an address for this test, and
+    /// without a listener it refuses connections.
+    reserved: Vec<OwnedFd>,
+    /// Values that a step may use as `{name}`: addresses and the matches of a `<name>`.
     values: HashMap<String, String>,
-    /// What the node's file said at the start.
+    /// The content of the node's file at its start.
     config: String,
     child: Option<Child>,
-    /// The process that the child has been started beside.
+    /// The previous process of the node, next to which `child` was started.
     old: Option<Child>,
     old_log: Option<Receiver<String>>,
     log: Option<Receiver<String>>,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Plays the exchange of this file.
+/// Replays the exchange in this file.
 pub fn play(file: &Path) {
     let name = file.file_stem().unwrap().to_string_lossy().into_owned();
     let folder = std::env::temp_dir().join(format!("marbledeck-{}-{name}", std::process::id()));
@@ -60,7 +60,7 @@
         folder,
         listeners: HashMap::new(),
         connections: HashMap::new(),
-        bound: Vec::new(),
+        reserved: Vec::new(),
         values: [
             ("64k".to_owned(), "x".repeat(65536)),
             ("60k".to_owned(), "y".repeat(61440)),
@@ -83,19 +83,20 @@
         player.step = format!("{}:{}: {line}", file.display(), number + 1);
         let mut payload = Vec::new();
         while let Some((_, part)) = lines.next_if(|(_, l)| l.starts_with(['|', ':', '.', '%'])) {
-            payload.extend(player.bytes(&part));
+            payload.extend(player.payload_bytes(&part));
         }
         player.play_step(&words, &payload);
     }
 }
 
 impl Player {
-    fn bytes(&self, line: &str) -> Vec<u8> {
+    /// The bytes of a payload line, whose first character is its mark.
+    fn payload_bytes(&self, line: &str) -> Vec<u8> {
         let (mark, text) = line.split_at(1);
-        let known = |text: String, (name, value): (&String, &String)| {
+        let substitute = |text: String, (name, value): (&String, &String)| {
             text.replace(&format!("{{{name}}}"), value)
         };
-        let text = self.values.iter().fold(text.to_owned(), known);
+        let text = self.values.iter().fold(text.to_owned(), substitute);
         let text = match (mark, text.as_str()) {
             ("|", _) => text + "\r\n",
             (":", _) => text + "\n",
@@ -106,18 +107,18 @@
         text.into_bytes()
     }
 
-    fn fail(&self, what: &str) -> ! {
+    fn fail(&self, message: &str) -> ! {
         let log: Vec<String> = self.log.iter().flat_map(|log| log.try_iter()).collect();
-        panic!("{}: {what}\nlog:\n{}", self.step, log.join("\n"))
+        panic!("{}: {message}\nlog:\n{}", self.step, log.join("\n"))
     }
 
     fn play_step(&mut self, words: &[&str], payload: &[u8]) {
-        let known = self.play_connect_step(words)
+        let is_known = self.play_connect_step(words)
             || self.play_listener_step(words)
             || self.play_connection_step(words, payload)
             || self.play_process_step(words, payload);
-        if !known {
-            self.fail("no such step");
+        if !is_known {
+            self.fail("unknown step");
         }
     }
 }
--- a/crates/node/tests/common/process.rs
+++ b/crates/node/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! The processes of the node: their files, signals and logs.
+//! Steps that start, signal and end the node's processes, and those that read their logs.
 
 use super::script::match_start;
 use super::{Player, STEP_TIMEOUT};
@@ -10,14 +10,14 @@
 use std::time::{Duration, Instant};
 
 impl Player {
-    /// Plays a step of the node's processes, or of their time. Returns whether it is one.
+    /// Plays a step that concerns the node's processes or lets time pass. Returns whether it is one.
     pub fn play_process_step(&mut self, words: &[&str], payload: &[u8]) -> bool {
         match words {
             ["start", rest @ ..] => self.start(rest, payload),
             ["log"] => self.expect_log(payload),
             ["sleep", ms] => std::thread::sleep(Duration::from_millis(ms.parse().unwrap())),
             ["reload", rest @ ..] => self.reload(rest, payload),
-            ["succeed"] => self.succeed(payload),
+            ["succeed"] => self.start_successor(payload),
             ["terminate"] => self.signal("-TERM"),
             ["old", "log"] => {
                 std::mem::swap(&mut self.log, &mut self.old_log);
@@ -63,8 +63,8 @@
         send_signal(self.child.as_ref().unwrap(), signal);
     }
 
-    /// Starts the node with these workers; the payload is a front's file, if there is one.
-    pub fn start(&mut self, words: &[&str], front: &[u8]) {
+    /// Starts the node with these limits and workers, and with a submission file unless the payload is empty.
+    pub fn start(&mut self, words: &[&str], submission: &[u8]) {
         let (limits, workers): (Vec<&str>, Vec<&str>) = words.iter().partition(|w| w.contains('='));
         let limit = |name| limits.iter().find_map(|limit| limit.strip_prefix(name));
         let sockets = limit("sockets=").unwrap_or("1024");
@@ -99,13 +99,13 @@
         fs::write(&path, &config).unwrap();
         self.config = config;
         let ops = ops.map(str::to_owned);
-        let front = self.front(front);
-        let listen = self.address();
-        self.spawn(&listen, ops.as_deref(), descriptors, front);
+        let submission_file = self.write_submission_file(submission);
+        let listen = self.reserve_address();
+        self.spawn(&listen, ops.as_deref(), descriptors, submission_file);
     }
 
-    /// The front's file, if there is one.
-    fn front(&self, text: &[u8]) -> Option<PathBuf> {
+    /// Writes the submission file. Returns its path, or none if the text is empty.
+    fn write_submission_file(&self, text: &[u8]) -> Option<PathBuf> {
         let path = self.folder.join("submission.toml");
         (!text.is_empty()).then(|| {
             fs::write(&path, text).unwrap();
@@ -113,14 +113,14 @@
         })
     }
 
-    /// Starts another process of the node beside the one that runs.
-    pub fn succeed(&mut self, front: &[u8]) {
-        let elders = self.values["operators"].clone();
-        self.values.insert("elders".to_owned(), elders);
+    /// Starts another process of the node next to the running one.
+    pub fn start_successor(&mut self, submission: &[u8]) {
+        let old_operators = self.values["operators"].clone();
+        self.values.insert("elders".to_owned(), old_operators);
         (self.old, self.old_log) = (self.child.take(), self.log.take());
         let listen = self.values["consumers"].clone();
-        let front = self.front(front);
-        self.spawn(&listen, Some("127.0.0.1:0"), "1024", front);
+        let submission_file = self.write_submission_file(submission);
+        self.spawn(&listen, Some("127.0.0.1:0"), "1024", submission_file);
     }
 
     fn spawn(
@@ -128,13 +128,13 @@
         listen: &str,
         ops: Option<&str>,
         descriptors: &str,
-        front: Option<PathBuf>,
+        submission_file: Option<PathBuf>,
     ) {
         let path = self.folder.join("config.json");
-        let submits = front.is_some();
+        let takes_submissions = submission_file.is_some();
         let mut command = Command::new("sh");
-        let limited = format!("ulimit -n {descriptors}; exec \"$0\" \"$@\"");
-        command.args(["-c", &limited, env!("CARGO_BIN_EXE_marbledeck")]);
+        let shell_script = format!("ulimit -n {descriptors}; exec \"$0\" \"$@\"");
+        command.args(["-c", &shell_script, env!("CARGO_BIN_EXE_marbledeck")]);
         command
             .env("LB_CONFIG", path)
             .env("LB_LISTEN", listen)
@@ -142,8 +142,8 @@
             .env("LB_DISCOVERY", &self.values["directory"])
             .envs(ops.map(|addr| ("LB_OPS", addr)))
             .stderr(Stdio::piped());
-        if let Some(front) = front {
-            command.arg("--submission").arg(front);
+        if let Some(file) = submission_file {
+            command.arg("--submission").arg(file);
         }
         let mut child = command.spawn().unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
@@ -155,7 +155,7 @@
                 .for_each(|line| drop(sender.send(line)));
         });
         (self.child, self.log) = (Some(child), Some(log));
-        if submits {
+        if takes_submissions {
             self.expect_log(b"takes submissions at <submitters>\n");
         }
         if ops.is_some() {
@@ -164,15 +164,15 @@
         self.expect_log(b"serves at <consumers>\n");
     }
 
-    /// Waits for a line of the log that ends like this.
+    /// Waits for a line of the log that ends with this pattern.
     pub fn expect_log(&mut self, pattern: &[u8]) {
         let pattern = String::from_utf8_lossy(pattern).trim_end().to_owned();
         let log = self.log.take().expect("started");
         let deadline = Instant::now() + STEP_TIMEOUT;
         while let Ok(line) = log.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
-            let from = line.find(pattern.split('<').next().unwrap());
-            let found = from.and_then(|from| {
-                match_start(&format!("{pattern}\n"), &format!("{}\n", &line[from..]))
+            let start = line.find(pattern.split('<').next().unwrap());
+            let found = start.and_then(|start| {
+                match_start(&format!("{pattern}\n"), &format!("{}\n", &line[start..]))
             });
             if let Some((_, values)) = found {
                 self.values.extend(values);
@@ -180,7 +180,7 @@
                 return;
             }
         }
-        self.fail(&format!("not in the log: {pattern}"));
+        self.fail(&format!("no line of the log matches: {pattern}"));
     }
 }
 
--- a/crates/node/tests/common/sockets.rs
+++ b/crates/node/tests/common/sockets.rs
@@ -1,4 +1,4 @@
-//! The player's sockets: what stands for clients, workers and discovery.
+//! The player's sockets, which stand for clients, workers and discovery.
 
 use super::script::match_start;
 use super::{Player, STEP_TIMEOUT};
@@ -10,12 +10,12 @@
 /// A connection that the player has opened or accepted.
 pub struct Connection {
     pub stream: TcpStream,
-    /// What has come and was not expected yet.
+    /// Received bytes that no step has expected yet.
     pub received: Vec<u8>,
 }
 
 impl Connection {
-    /// Reads on for at most this long. Returns whether the peer has closed.
+    /// Reads once, for at most this long. Returns whether the peer has closed the connection.
     pub fn read(&mut self, timeout: Duration) -> bool {
         self.stream.set_read_timeout(Some(timeout)).unwrap();
         let mut bytes = [0; 4096];
@@ -56,7 +56,7 @@
             ["listen", name] => self.listen(name),
             ["quiet", listener] => {
                 if self.listeners[*listener].accept().is_ok() {
-                    self.fail("a connection that nobody asked for");
+                    self.fail("unexpected connection");
                 }
             }
             ["fill", listener] => {
@@ -84,7 +84,7 @@
                 let connection = self.connections.get_mut(*name).unwrap();
                 connection.read(Duration::from_millis(20));
                 if !connection.received.is_empty() {
-                    self.fail("bytes that nobody asked for");
+                    self.fail("unexpected bytes");
                 }
             }
             [name, "closes"] => {
@@ -103,31 +103,31 @@
     }
 
     fn connect_slow_client(&mut self, name: &str) {
-        // Set before it connects: what the node may send unread stays small.
+        // Set before the connect, so that the node can send only little that is not read.
         let (family, kind) = (AddressFamily::INET, SocketType::STREAM);
         let socket = net::socket_with(family, kind, SocketFlags::CLOEXEC, None).unwrap();
         net::sockopt::set_socket_recv_buffer_size(&socket, 4096).unwrap();
         let addr: SocketAddr = self.values["consumers"].parse().unwrap();
         net::connect(&socket, &addr).unwrap();
-        self.keep(name, TcpStream::from(socket));
+        self.add_connection(name, TcpStream::from(socket));
     }
 
-    /// A free address, kept from others.
-    pub fn address(&mut self) -> String {
+    /// Reserves a free address for this test.
+    pub fn reserve_address(&mut self) -> String {
         use net::sockopt;
         let (family, flags) = (AddressFamily::INET, SocketFlags::CLOEXEC);
         let socket = net::socket_with(family, SocketType::STREAM, flags, None).unwrap();
-        // One that listens may bind beside it, where it sets this as well.
+        // A listener that sets this, too, may bind the same address.
         sockopt::set_socket_reuseaddr(&socket, true).unwrap();
         net::bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
         let addr = SocketAddr::try_from(net::getsockname(&socket).unwrap()).unwrap();
-        self.bound.push(socket);
+        self.reserved.push(socket);
         addr.to_string()
     }
 
-    /// Listens under this name.
+    /// Opens a listener with this name.
     pub fn listen(&mut self, name: &str) {
-        let listener = TcpListener::bind(self.address()).unwrap();
+        let listener = TcpListener::bind(self.reserve_address()).unwrap();
         listener.set_nonblocking(true).unwrap();
         let addr = listener.local_addr().unwrap().to_string();
         self.values.insert(name.to_owned(), addr);
@@ -136,7 +136,7 @@
 
     pub fn connect(&mut self, name: &str, to: &str) {
         let stream = TcpStream::connect(&self.values[to]).unwrap();
-        self.keep(name, stream);
+        self.add_connection(name, stream);
     }
 
     pub fn accept(&mut self, name: &str, listener: &str) {
@@ -149,18 +149,18 @@
             }
         };
         stream.set_nonblocking(false).unwrap();
-        self.keep(name, stream);
+        self.add_connection(name, stream);
     }
 
-    /// Keeps a connection under this name.
-    pub fn keep(&mut self, name: &str, stream: TcpStream) {
+    /// Stores a connection under this name.
+    pub fn add_connection(&mut self, name: &str, stream: TcpStream) {
         stream.set_nodelay(true).unwrap();
         let received = Vec::new();
         self.connections
             .insert(name.to_owned(), Connection { stream, received });
     }
 
-    /// Waits until what has come on a connection begins like this.
+    /// Waits until the bytes received on a connection start with this pattern.
     pub fn expect(&mut self, name: &str, pattern: &[u8]) {
         let pattern = String::from_utf8_lossy(pattern).into_owned();
         let deadline = Instant::now() + STEP_TIMEOUT;
@@ -172,21 +172,23 @@
                 return self.values.extend(values);
             }
             if connection.read(Duration::from_millis(50)) || Instant::now() > deadline {
-                self.fail(&format!("wanted\n{pattern}\ngot\n{received}"));
+                self.fail(&format!("expected\n{pattern}\nreceived\n{received}"));
             }
         }
     }
 
-    /// Waits until the node has closed a connection on which nothing is left to read.
+    /// Waits until the node has closed a connection, on which nothing unexpected may be left.
     pub fn expect_closed(&mut self, name: &str) {
         let deadline = Instant::now() + STEP_TIMEOUT;
         let connection = self.connections.get_mut(name).expect("connected");
         while !connection.read(Duration::from_millis(50)) && Instant::now() < deadline {}
         let rest = String::from_utf8_lossy(&connection.received).into_owned();
         if Instant::now() > deadline || !rest.is_empty() {
-            self.fail(&format!("still open, or not all was expected: {rest}"));
+            self.fail(&format!(
+                "connection still open, or unexpected bytes: {rest}"
+            ));
         }
-        // As a client does that reads the end.
+        // Closes the connection as a client does that reads its end.
         let _ = self.connections[name].stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -1,4 +1,4 @@
-//! Scripts of events for the core, without any socket. `core/README` tells how they are written.
+//! Runs scripts of events against the core, without any socket. `core/README` describes their format.
 
 use marbledeck_dispatcher::{
     Micros, Outcome, RequestId, WorkerEntry, WorkerId, WorkerListKind, ZoneId,
@@ -13,9 +13,10 @@
 
 struct Script {
     core: Core,
-    /// In the order in which they were first called: which one is drawn is not the scripts' concern.
+    /// Workers in the order of their first attempts, which numbers them, since scripts do not depend on the random
+    /// choice.
     workers: Vec<WorkerId>,
-    names: Vec<String>,
+    request_names: Vec<String>,
 }
 
 fn ms(word: &str) -> Micros {
@@ -33,12 +34,12 @@
 }
 
 impl Script {
-    fn id(&self, name: &str) -> RequestId {
-        let at = self.names.iter().position(|known| known == name);
-        RequestId(at.expect("ordered before") as u64)
+    fn request_id(&self, name: &str) -> RequestId {
+        let position = self.request_names.iter().position(|known| known == name);
+        RequestId(position.expect("the script has ordered the request") as u64)
     }
 
-    fn act(&mut self, now: Micros, words: &[&str]) {
+    fn apply_event(&mut self, now: Micros, words: &[&str]) {
         match words {
             ["list", workers @ ..] => {
                 let entry = |name: &&str| WorkerEntry {
@@ -53,7 +54,7 @@
                 );
             }
             ["order", name, class, wait] => {
-                self.names.push(name.to_string());
+                self.request_names.push(name.to_string());
                 let request = NewRequest {
                     class,
                     tenant: Some("au"),
@@ -66,33 +67,37 @@
                     ..NewRequest::default()
                 };
                 let accepted = self.core.accept_request(now, request);
-                assert_eq!(accepted, Ok(self.id(name)));
+                assert_eq!(accepted, Ok(self.request_id(name)));
             }
-            ["started", name, go] => {
-                self.core
-                    .handle_attempt_started(now, self.id(name), go.parse().unwrap());
+            ["started", name, attempt] => {
+                self.core.handle_attempt_started(
+                    now,
+                    self.request_id(name),
+                    attempt.parse().unwrap(),
+                );
             }
-            ["ended", name, go, how] => {
+            ["ended", name, attempt, result] => {
                 let end = AttemptEnd {
-                    result: (*how == "ok").then(|| b"result".to_vec()),
-                    ..AttemptEnd::new(outcome(how))
+                    result: (*result == "ok").then(|| b"result".to_vec()),
+                    ..AttemptEnd::new(outcome(result))
                 };
-                let go = go.parse().unwrap();
-                self.core.handle_attempt_ended(now, self.id(name), go, end);
+                let attempt = attempt.parse().unwrap();
+                self.core
+                    .handle_attempt_ended(now, self.request_id(name), attempt, end);
             }
-            ["gone", name] => drop(self.core.handle_client_left(now, self.id(name))),
+            ["gone", name] => drop(self.core.handle_client_left(now, self.request_id(name))),
             ["settle"] => self.core.end_open_requests(now),
             ["wake"] => self.core.wake(now),
             ["idle"] => assert!(self.core.is_idle()),
-            _ => panic!("no such event"),
+            _ => panic!("unknown event: {words:?}"),
         }
     }
 
-    /// The commands that wait, as the scripts write them.
+    /// Drains the core's commands, in the notation of the scripts.
     fn drain_commands(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
         while let Some(command) = self.core.next_command() {
-            let names = &self.names;
+            let names = &self.request_names;
             let name = |id: RequestId| names[id.0 as usize].clone();
             lines.push(match command {
                 Command::StartAttempt(AttemptCommand {
@@ -103,14 +108,14 @@
                     ..
                 }) => {
                     let known = self.workers.iter().position(|w| *w == worker);
-                    let place = known.unwrap_or_else(|| {
+                    let index = known.unwrap_or_else(|| {
                         self.workers.push(worker);
                         self.workers.len() - 1
                     });
                     format!(
                         "call {} {attempt} w{} until {}",
                         name(id),
-                        place + 1,
+                        index + 1,
                         deadline.0 / 1000
                     )
                 }
@@ -120,7 +125,7 @@
                 } => format!("give up {} {attempt}", name(id)),
                 Command::ProbeWorker(_) => "probe".to_owned(),
                 Command::WatchWorkers => "watch".to_owned(),
-                // For peers only: every end of an attempt has one.
+                // Meant for peers only; every end of an attempt has one.
                 Command::AttemptEnded(_) => continue,
                 Command::RequestRunning(id, _) => format!("running {}", name(id)),
                 Command::RequestRequeued(id) => format!("requeued {}", name(id)),
@@ -160,7 +165,7 @@
     let mut script = Script {
         core: Core::new(settings, names, 7, Micros(0)).unwrap(),
         workers: Vec::new(),
-        names: Vec::new(),
+        request_names: Vec::new(),
     };
     let text = fs::read_to_string(&file).unwrap();
     let mut lines = text.lines().enumerate().peekable();
@@ -169,14 +174,14 @@
         if words.is_empty() || line.starts_with('#') {
             continue;
         }
-        script.act(ms(words[0]), &words[1..]);
-        let mut wanted = Vec::new();
+        script.apply_event(ms(words[0]), &words[1..]);
+        let mut expected = Vec::new();
         while let Some((_, line)) = lines.next_if(|(_, line)| line.starts_with('>')) {
-            wanted.push(line[1..].trim().to_owned());
+            expected.push(line[1..].trim().to_owned());
         }
         assert_eq!(
             script.drain_commands(),
-            wanted,
+            expected,
             "{}:{}: {line}",
             file.display(),
             number + 1
--- a/crates/node/tests/exchanges.rs
+++ b/crates/node/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! Recorded exchanges, played against the program.
+//! Replays recorded exchanges against the program.
 
 mod common;
 
