--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -122,7 +122,8 @@
         persisted: &PersistedState,
     ) -> Result<Self, ConsensusError> {
         if !voters.contains(&id) || !GROUP_SIZES.contains(&voters.len()) || voters.contains(&0) {
-            let message = "voters: want 3, 5 or 7 numbers, each 1 or more, including this node's";
+            let message =
+                "voters: must be 3, 5 or 7 numbers, each 1 or more, including this node's";
             return Err(ConsensusError::InvalidConfiguration(message.to_owned()));
         }
         let restored = restore(voters, persisted)?;
--- a/crates/node/src/admin/call.rs
+++ b/crates/node/src/admin/call.rs
@@ -26,7 +26,7 @@
     #[error("the call is not UTF-8 text")]
     NotText,
     /// A call about a worker does not have exactly one id.
-    #[error("want the id of exactly one render worker")]
+    #[error("the call requires the id of exactly one render worker")]
     NoWorkerId,
     /// The call is not known.
     #[error(
--- a/crates/node/src/consensus/config.rs
+++ b/crates/node/src/consensus/config.rs
@@ -160,11 +160,11 @@
         check_ranges(source, &checks)?;
         if self.lease_ms < MIN_TICKS_PER_LEASE * self.tick_ms {
             let key = format!("{source}: lease_ms");
-            return Err(ConfigError::new(key, "want 30 times tick_ms or more"));
+            return Err(ConfigError::new(key, "must be at least 30 times tick_ms"));
         }
         if self.fleet.is_empty() || self.fleet.len() > MAX_FLEET_NAME_LENGTH {
             let key = format!("{source}: fleet");
-            return Err(ConfigError::new(key, "want a name of 1 to 128 bytes"));
+            return Err(ConfigError::new(key, "must be a name of 1 to 128 bytes"));
         }
         Ok(())
     }
@@ -179,7 +179,7 @@
     for (position, ip) in from.iter().enumerate() {
         let ip = ip.parse().map_err(|_| {
             let key = format!("{source}: from[{position}]");
-            ConfigError::new(key, "want an address without a port")
+            ConfigError::new(key, "must be an IP address without a port")
         })?;
         ips.push(ip);
     }
@@ -194,7 +194,7 @@
     if ![3, 5, 7].contains(&sections.len()) {
         return Err(ConfigError::new(
             format!("{source}: voters"),
-            "want 3, 5 or 7",
+            "must have 3, 5 or 7 entries",
         ));
     }
     let mut voters: Vec<VoterConfig> = Vec::new();
@@ -207,7 +207,7 @@
             let key = format!("{key}.number");
             return Err(ConfigError::new(
                 key,
-                "want the number of a node, each once",
+                "must be a node's number that no other voter has",
             ));
         }
         voters.push(VoterConfig { number, address });
--- a/crates/node/src/eureka/config.rs
+++ b/crates/node/src/eureka/config.rs
@@ -92,13 +92,15 @@
         };
         let rest = url
             .strip_prefix("http://")
-            .ok_or_else(|| invalid("want http://ADDRESS:PORT/PATH"))?;
+            .ok_or_else(|| invalid("must have the form http://ADDRESS:PORT/PATH"))?;
         let (addr, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-        let addr = addr
-            .parse()
-            .map_err(|_| invalid("want an address with a port: no names are looked up"))?;
+        let addr = addr.parse().map_err(|_| {
+            invalid("must have an IP address with a port; host names are not resolved")
+        })?;
         if !path.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(invalid("want a plain path"));
+            return Err(invalid(
+                "must have a path of printable ASCII characters without spaces",
+            ));
         }
         Ok(RegistryUrl {
             addr,
@@ -161,7 +163,7 @@
         if self.vip.as_ref().is_some_and(|vip| !is_plain_word(vip)) {
             return Err(ConfigError::new(
                 format!("{source}: vip"),
-                "want a plain word",
+                "must be one or more printable ASCII characters without spaces",
             ));
         }
         let format = parse_format(source, &self.form)?;
@@ -198,7 +200,7 @@
             if !is_plain_word(value) || value.contains(['/', '?', '#', '%']) {
                 return Err(ConfigError::new(
                     format!("{source}: {key}"),
-                    "want a plain word",
+                    "must be one or more printable ASCII characters except space, /, ?, # and %",
                 ));
             }
         }
@@ -221,10 +223,10 @@
     }
     let key = format!("{source}: urls");
     if parsed.is_empty() {
-        return Err(ConfigError::new(key, "want one or more"));
+        return Err(ConfigError::new(key, "must have at least one entry"));
     }
     if parsed.iter().any(|url| url.path != parsed[0].path) {
-        return Err(ConfigError::new(key, "want the same path for all of them"));
+        return Err(ConfigError::new(key, "must all have the same path"));
     }
     Ok(parsed)
 }
@@ -235,7 +237,7 @@
         "xml" => Ok(ResponseFormat::Xml),
         _ => Err(ConfigError::new(
             format!("{source}: form"),
-            "want json or xml",
+            "must be json or xml",
         )),
     }
 }
--- a/crates/node/src/licensing_config.rs
+++ b/crates/node/src/licensing_config.rs
@@ -46,7 +46,10 @@
         for (position, name) in self.licences.iter().enumerate() {
             if !is_licence_name(name) || self.licences[..position].contains(name) {
                 let key = format!("{source}: licences[{position}]");
-                return Err(ConfigError::new(key, "want a plain name, each once"));
+                return Err(ConfigError::new(
+                    key,
+                    "must be a name without spaces and commas, listed once",
+                ));
             }
         }
         for (class, names) in &self.classes {
