--- a/crates/node/src/licensing_config.rs
+++ b/crates/node/src/licensing_config.rs
@@ -48,7 +48,7 @@
                 let key = format!("{source}: licences[{position}]");
                 return Err(ConfigError::new(
                     key,
-                    "must be a name without spaces and commas, listed once",
+                    "must be printable ASCII characters without spaces and commas, listed once",
                 ));
             }
         }
