--- a/crates/node/src/eureka/mod.rs
+++ b/crates/node/src/eureka/mod.rs
@@ -343,10 +343,12 @@
     }
 
     /// Leaves the lease of the node's own instance to the successor without cancelling it, so that it never lapses.
-    fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
+    fn set_has_successor(&mut self, has_successor: bool, context: &mut Context) {
         if let Some(lease_client) = &mut self.lease_client {
-            lease_client.lease.set_handed_over(context.now, succeeded);
-            if succeeded {
+            lease_client
+                .lease
+                .set_handed_over(context.now, has_successor);
+            if has_successor {
                 lease_client.close(&mut context.net);
             }
         }
--- a/crates/node/src/node/limits.rs
+++ b/crates/node/src/node/limits.rs
@@ -83,11 +83,11 @@
             self.context.core.set_processes(now, rate_sharers);
         }
         if !self.lifecycle.is_closed() {
-            let succeeded = self.handover.has_serving_successor();
+            let has_successor = self.handover.has_serving_successor();
             self.clients
-                .set_has_successor(succeeded, &mut self.context.net);
+                .set_has_successor(has_successor, &mut self.context.net);
             for service in &mut self.services {
-                service.set_succeeded(succeeded, &mut self.context);
+                service.set_has_successor(has_successor, &mut self.context);
             }
         }
     }
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -86,7 +86,7 @@
     }
 
     /// Leaves new connections to a successor that serves, or accepts them again if the successor is lost.
-    fn set_succeeded(&mut self, _succeeded: bool, _context: &mut Context) {}
+    fn set_has_successor(&mut self, _has_successor: bool, _context: &mut Context) {}
 
     /// Starts the shutdown after SIGTERM: no new work is accepted.
     fn begin_shutdown(&mut self, _now: Micros) {}
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -317,8 +317,9 @@
         self.server.handle_requeued(now, id);
     }
 
-    fn set_succeeded(&mut self, succeeded: bool, context: &mut Context) {
-        self.acceptor.set_has_successor(succeeded, &mut context.net);
+    fn set_has_successor(&mut self, has_successor: bool, context: &mut Context) {
+        self.acceptor
+            .set_has_successor(has_successor, &mut context.net);
     }
 
     fn begin_shutdown(&mut self, _now: Micros) {
